--- a/bench/office.cpp
+++ b/bench/office.cpp
@@ -80,7 +80,7 @@
 public:
     explicit fleet(int workers) : workers_(static_cast<std::size_t>(workers))
     {
-        core_.take_office(1, now_);
+        core_.begin_term(1, now_);
         core_.set_table(
             {.version = 1,
              .queues = {
--- a/bench/slopes.cpp
+++ b/bench/slopes.cpp
@@ -287,7 +287,7 @@
     {
         time_point now{std::chrono::hours(1)};
         scheduler_core core;
-        core.take_office(1, now);
+        core.begin_term(1, now);
         core.set_table(
             {.version = 1, .queues = {{.name = "heavy", .service = "s"}}});
         core.begin(now);
--- a/packages/daemon/src/job_desk.cpp
+++ b/packages/daemon/src/job_desk.cpp
@@ -18,8 +18,8 @@
 } // namespace
 
 job_desk::job_desk(job_process& process, platform::store_client& store,
-                   office_keeper& office, job_holder& holder,
-                   const holder_contact& contact)
+                   leader_election& office, job_scheduler& holder,
+                   const leader_heartbeat& contact)
     : process_(process), store_(store), office_(office), holder_(holder),
       contact_(contact)
 {
@@ -103,19 +103,20 @@
         answer(to, platform::state_answer(*state));
         return;
     }
-    ask_holder("show", {{"id", id}},
-               [this, id, to](const std::optional<json>& known)
-               {
-                   const auto state =
-                       known ? from_string<job_state>(known->value("state", ""))
+    query_leader("show", {{"id", id}},
+                 [this, id, to](const std::optional<json>& known)
+                 {
+                     const auto state =
+                         known
+                             ? from_string<job_state>(known->value("state", ""))
                              : std::nullopt;
-                   if (state)
-                   {
-                       answer(to, platform::state_answer(*state));
-                       return;
-                   }
-                   show_from_store(id, to);
-               });
+                     if (state)
+                     {
+                         answer(to, platform::state_answer(*state));
+                         return;
+                     }
+                     show_from_store(id, to);
+                 });
 }
 
 json job_desk::show_for_peer(const json& message) const
@@ -125,8 +126,8 @@
                  : json::object();
 }
 
-void job_desk::ask_holder(const char* method, const json& message,
-                          std::function<void(std::optional<json>)> done)
+void job_desk::query_leader(const char* method, const json& message,
+                            std::function<void(std::optional<json>)> done)
 {
     const std::string& address = office_.holder();
     if (address.empty() || office_.holds())
@@ -138,7 +139,7 @@
                           .url = "http://" + address + wire::rpc_path,
                           .headers = {{"content-type", "application/json"}},
                           .body = make_body(rpc_request(method, message)),
-                          .timeout = holder_timeout},
+                          .timeout = leader_timeout},
                          process_.on_control<http_result>(
                              [done = std::move(done)](const http_result& result)
                              { done(rpc_result_of(result)); }));
@@ -271,8 +272,8 @@
                             }
                             log_event(event_id::job_cancelled, {{"job", id}});
                             holder_.job_was_cancelled(id);
-                            ask_holder("cancelled", {{"id", id}},
-                                       [](const std::optional<json>&) {});
+                            query_leader("cancelled", {{"id", id}},
+                                         [](const std::optional<json>&) {});
                             answer(to, platform::accepted_answer());
                         }));
 }
@@ -290,21 +291,21 @@
         answer(to, platform::count_answer(holder_.core().waiting(queue)));
         return;
     }
-    ask_holder("count", {{"queue", queue}},
-               [this, queue, to](const std::optional<json>& known)
-               {
-                   if (known && known->contains("waiting"))
-                   {
-                       last_counts_[queue] = known->at("waiting");
-                   }
-                   else if (!last_counts_.contains(queue))
-                   {
-                       answer(to, platform::not_taken_answer(
-                                      come_back, "the holder is not known"));
-                       return;
-                   }
-                   answer(to, platform::count_answer(last_counts_[queue]));
-               });
+    query_leader("count", {{"queue", queue}},
+                 [this, queue, to](const std::optional<json>& known)
+                 {
+                     if (known && known->contains("waiting"))
+                     {
+                         last_counts_[queue] = known->at("waiting");
+                     }
+                     else if (!last_counts_.contains(queue))
+                     {
+                         answer(to, platform::not_taken_answer(
+                                        come_back, "the holder is not known"));
+                         return;
+                     }
+                     answer(to, platform::count_answer(last_counts_[queue]));
+                 });
 }
 
 json job_desk::count_for_peer(const json& message) const
--- a/packages/daemon/src/job_desk.hpp
+++ b/packages/daemon/src/job_desk.hpp
@@ -1,8 +1,8 @@
 #pragma once
 // Callers' requests at one entry.
 
-#include "holder_contact.hpp"
-#include "job_holder.hpp"
+#include "job_scheduler.hpp"
+#include "leader_heartbeat.hpp"
 
 #include <deque>
 #include <memory>
@@ -21,7 +21,7 @@
 /// When a caller whose request was not taken may come back.
 inline constexpr duration come_back = std::chrono::seconds(1);
 /// Another entry that says nothing for so long is passed over.
-inline constexpr duration holder_timeout = std::chrono::milliseconds(250);
+inline constexpr duration leader_timeout = std::chrono::milliseconds(250);
 
 /// Takes callers' requests. Any entry accepts a job by writing it to the
 /// store; what became of it is asked of the holder, or read from the store.
@@ -29,8 +29,8 @@
 {
 public:
     job_desk(job_process& process, platform::store_client& store,
-             office_keeper& office, job_holder& holder,
-             const holder_contact& contact);
+             leader_election& office, job_scheduler& holder,
+             const leader_heartbeat& contact);
 
     void set_table(const queue_table& table);
     void on_request(const http_arrival& arrival);
@@ -85,7 +85,7 @@
                       const platform::store_result& result);
     void on_unserved(const job& what, const request_ptr& to);
     void forward(const job& what, const request_ptr& to);
-    void tell_holder(const job& what);
+    void notify_leader(const job& what);
     void show(const std::string& id, const request_ptr& to);
     void show_from_store(const std::string& id, const request_ptr& to);
     void on_job_read(const std::string& id, const request_ptr& to,
@@ -111,8 +111,8 @@
     /// Runs something later, or answers that the time is over.
     void again(const request_ptr& to, std::function<void()> what);
     void answer(const request_ptr& to, http_response with);
-    void ask_holder(const char* method, const json& message,
-                    std::function<void(std::optional<json>)> done);
+    void query_leader(const char* method, const json& message,
+                      std::function<void(std::optional<json>)> done);
     [[nodiscard]] duration call_time(const request_ptr& to) const;
     void note_store(const platform::store_result& result);
     void give_up(const job& what, const request_ptr& to, const char* why);
@@ -122,9 +122,9 @@
 
     job_process& process_;
     platform::store_client& store_;
-    office_keeper& office_;
-    job_holder& holder_;
-    const holder_contact& contact_;
+    leader_election& office_;
+    job_scheduler& holder_;
+    const leader_heartbeat& contact_;
     queue_table table_;
     adaptive_timeout timeout_;
     /// Since when the store has given no answer here; nothing while it does.
--- a/packages/daemon/src/job_desk_passing.cpp
+++ b/packages/daemon/src/job_desk_passing.cpp
@@ -97,7 +97,7 @@
          .headers = {{"content-type", "application/json"}},
          .body = what.body,
          .timeout = std::min(left, forward_timeout),
-         .connect_timeout = holder_timeout},
+         .connect_timeout = leader_timeout},
         process_.on_control<http_result>(
             [this, what, to,
              in_vain = std::move(in_vain)](const http_result& result)
@@ -205,7 +205,7 @@
     }
     probing_ = true;
     next_probe_ = now + probe_every;
-    store_.read(holder_key, probe_timeout,
+    store_.read(leader_key, probe_timeout,
                 process_.on_control<store_result>(
                     [this](const store_result& result)
                     {
--- a/packages/daemon/src/job_desk_submitting.cpp
+++ b/packages/daemon/src/job_desk_submitting.cpp
@@ -95,7 +95,7 @@
         answer(to, platform::accepted_answer());
         if (result.status == store_status::done)
         {
-            tell_holder(what);
+            notify_leader(what);
         }
         return;
     }
@@ -135,14 +135,14 @@
 }
 
 // Saves the time until the holder finds the job in the store.
-void job_desk::tell_holder(const job& what)
+void job_desk::notify_leader(const job& what)
 {
     if (holder_.ready())
     {
         holder_.job_was_accepted(what);
         return;
     }
-    ask_holder("accepted", what, [](const std::optional<json>&) {});
+    query_leader("accepted", what, [](const std::optional<json>&) {});
 }
 
 } // namespace springstair
--- a/packages/daemon/src/job_entry_role.cpp
+++ b/packages/daemon/src/job_entry_role.cpp
@@ -1,10 +1,10 @@
 // The parts of an entry of the job system.
 
-#include "holder_contact.hpp"
 #include "job_desk.hpp"
-#include "job_holder.hpp"
-#include "office_handover.hpp"
-#include "office_keeper.hpp"
+#include "job_scheduler.hpp"
+#include "leader_election.hpp"
+#include "leader_handover.hpp"
+#include "leader_heartbeat.hpp"
 #include "operator_watch.hpp"
 
 #include <thread>
@@ -43,7 +43,7 @@
 public:
     explicit job_entry_control(job_process& process)
         : process_(process), store_(process.client, process.from.store),
-          office_(process, store_, office_callbacks()),
+          office_(process, store_, leader_election_callbacks()),
           handover_(process, store_, office_),
           contact_(process, store_, office_), holder_(process, store_, office_),
           desk_(process, store_, office_, holder_, contact_),
@@ -121,7 +121,7 @@
     }
 
 private:
-    office_keeper::callbacks office_callbacks()
+    leader_election::callbacks leader_election_callbacks()
     {
         return {.taken =
                     [this](std::int64_t epoch)
@@ -129,7 +129,7 @@
                     handover_.begin();
                     holder_.begin(epoch);
                 },
-                .lost = [this](const holder_change& next)
+                .lost = [this](const leader_change& next)
                 { holder_.end(next); },
                 .told =
                     [this](const std::string& from, std::int64_t epoch)
@@ -141,7 +141,7 @@
     void tick(time_point now)
     {
         follow_operator(now);
-        office_.set_turn(contact_.turn());
+        office_.set_claim_schedule(contact_.turn());
         office_.tick(now);
         handover_.tick(now, stop_since_.has_value());
         contact_.tick(now);
@@ -153,7 +153,7 @@
         }
         if (stop_since_)
         {
-            give_office_up(now);
+            resign_leadership(now);
             if (may_end(now))
             {
                 process_.parts.stop();
@@ -192,7 +192,7 @@
              .url = "http://" + to + wire::rpc_path,
              .headers = {{"content-type", "application/json"}},
              .body = make_body(rpc_request(took_over_method, result)),
-             .timeout = holder_timeout},
+             .timeout = leader_timeout},
             [](const http_result&) {}); // the key tells it, too
     }
 
@@ -205,7 +205,7 @@
 
     // Until another entry has taken it, jobs are served here. If none does,
     // the office is free for whoever comes.
-    void give_office_up(time_point now)
+    void resign_leadership(time_point now)
     {
         if (!office_.holds() || now - *stop_since_ > successor_within)
         {
@@ -259,10 +259,10 @@
 
     job_process& process_;
     platform::store_client store_;
-    office_keeper office_;
-    office_handover handover_;
-    holder_contact contact_;
-    job_holder holder_;
+    leader_election office_;
+    leader_handover handover_;
+    leader_heartbeat contact_;
+    job_scheduler holder_;
     job_desk desk_;
     operator_watch operator_;
     rpc_dispatcher rpc_;
--- a/packages/daemon/src/job_guard_role.cpp
+++ b/packages/daemon/src/job_guard_role.cpp
@@ -1,6 +1,6 @@
 // The parts of a guard of the job system.
 
-#include "holder_watch.hpp"
+#include "leader_watch.hpp"
 
 #include "platform.hpp"
 
@@ -28,7 +28,7 @@
 // Ends within this time travel in one report.
 constexpr duration report_gap = std::chrono::milliseconds(8);
 // The key is watched only while no holder answers.
-constexpr duration holder_watch_wait = std::chrono::seconds(2);
+constexpr duration leader_watch_wait = std::chrono::seconds(2);
 constexpr int incarnation_bytes_of_guard = 6;
 
 run_keeper_options keeper_options(const job_settings& from)
@@ -41,19 +41,19 @@
 public:
     explicit job_guard_control(job_process& process)
         : process_(process), store_(process.client, process.from.store),
-          holder_watch_(process, store_, holder_watch_wait,
+          leader_watch_(process, store_, leader_watch_wait,
                         [this](const std::optional<platform::store_item>& item)
-                        { on_holder(item); }),
+                        { on_leader(item); }),
           keeper_(keeper_options(process.from),
                   random_hex(incarnation_bytes_of_guard)),
           holder_(process.from.entries)
     {
         rpc_.add("orders", [this](const json& message)
                  { return take_orders(message.get<guard_orders>()); });
-        rpc_.add(holder_changed_method,
+        rpc_.add(leader_changed_method,
                  [this](const json& message)
                  {
-                     on_holder_changed(message.get<holder_change>());
+                     on_leader_changed(message.get<leader_change>());
                      return json::object();
                  });
     }
@@ -228,7 +228,7 @@
 
     // The holder -------------------------------------------------------------
 
-    void on_holder(const std::optional<platform::store_item>& item)
+    void on_leader(const std::optional<platform::store_item>& item)
     {
         const json value =
             item ? json::parse(item->value, nullptr, false) : json();
@@ -240,7 +240,7 @@
         }
     }
 
-    void on_holder_changed(const holder_change& what)
+    void on_leader_changed(const leader_change& what)
     {
         if (what.epoch > keeper_.epoch())
         {
@@ -253,12 +253,12 @@
         const bool needed = holder_.needs_store();
         if (needed && !asks_store_)
         {
-            holder_watch_.refresh();
+            leader_watch_.refresh();
         }
         asks_store_ = needed;
         if (needed)
         {
-            holder_watch_.tick(now);
+            leader_watch_.tick(now);
         }
     }
 
@@ -373,9 +373,9 @@
 
     job_process& process_;
     platform::store_client store_;
-    holder_watch holder_watch_;
+    leader_watch leader_watch_;
     run_keeper keeper_;
-    holder_finder holder_;
+    leader_finder holder_;
     rpc_dispatcher rpc_;
     std::map<executor_life, heard_executor> executors_;
     std::int64_t report_sequence_ = 0;
--- a/packages/daemon/src/job_holder.cpp
+++ b/packages/daemon/src/job_scheduler.cpp
@@ -1,6 +1,6 @@
 // What a holder writes, orders and tells; job_holder_reading.cpp has the rest.
 
-#include "job_holder.hpp"
+#include "job_scheduler.hpp"
 
 #include <algorithm>
 #include <utility>
@@ -33,8 +33,9 @@
 
 } // namespace
 
-job_holder::job_holder(job_process& process, platform::store_client& store,
-                       office_keeper& office)
+job_scheduler::job_scheduler(job_process& process,
+                             platform::store_client& store,
+                             leader_election& office)
     : process_(process), store_(store), office_(office),
       core_({.closing = {.close_within = process.from.close_within}}),
       page_timeout_(longest_page),
@@ -49,7 +50,7 @@
 // A store that loses answers is not waited for: another copy of the same batch
 // follows, while those before may still be answered. Each is conditioned on
 // what the batch replaces, so one of them is done at most.
-void job_holder::write()
+void job_scheduler::write()
 {
     const time_point now = boot_clock::now();
     if (!batch_)
@@ -62,7 +63,7 @@
     }
 }
 
-void job_holder::begin_batch(time_point now)
+void job_scheduler::begin_batch(time_point now)
 {
     batch_ = core_.next_commit(now);
     ++batches_;
@@ -71,7 +72,7 @@
     next_copy_ = now;
 }
 
-void job_holder::send_copy(time_point now)
+void job_scheduler::send_copy(time_point now)
 {
     if (++copies_ > 1)
     {
@@ -96,14 +97,14 @@
                         }));
 }
 
-void job_holder::end_batch(std::int64_t revision, time_point sent)
+void job_scheduler::end_batch(std::int64_t revision, time_point sent)
 {
     office_.verified(sent);
     core_.committed(*batch_, revision, boot_clock::now());
     batch_.reset();
 }
 
-void job_holder::on_written(const store_result& result, time_point sent)
+void job_scheduler::on_written(const store_result& result, time_point sent)
 {
     switch (result.status)
     {
@@ -132,14 +133,14 @@
 // A conflict with our own earlier copy of the same batch: it was done, and
 // only its answer was lost. Gives the revision that it wrote.
 std::optional<std::int64_t>
-job_holder::written_before(const store_result& result) const
+job_scheduler::written_before(const store_result& result) const
 {
     std::map<std::string, const store_item*> items;
     for (const store_item& item : result.items)
     {
         items[item.key] = &item;
     }
-    const auto holder = items.find(holder_key);
+    const auto holder = items.find(leader_key);
     if (holder == items.end() || holder->second->revision != core_.epoch())
     {
         return std::nullopt;
@@ -159,7 +160,7 @@
 }
 
 // Written without a condition: a late copy only says a little less.
-void job_holder::keep_harms(time_point now)
+void job_scheduler::keep_harms(time_point now)
 {
     if (now < next_harms_)
     {
@@ -181,7 +182,7 @@
 // Guards
 // ---------------------------------------------------------------------------
 
-report_answer job_holder::report(const worker_report& from)
+report_answer job_scheduler::report(const worker_report& from)
 {
     report_answer answer;
     if (ready())
@@ -193,14 +194,14 @@
 }
 
 // Otherwise they would hear of it with the answers to their next reports.
-void job_holder::tell_guards(const holder_change& next)
+void job_scheduler::tell_guards(const leader_change& next)
 {
     if (next.holder.empty())
     {
         return;
     }
     const shared_body body =
-        make_body(rpc_request(holder_changed_method, next));
+        make_body(rpc_request(leader_changed_method, next));
     for (const auto& [guard, at] : core_.workers())
     {
         process_.client.send(
@@ -213,7 +214,7 @@
     }
 }
 
-void job_holder::ask_for_advice(time_point now)
+void job_scheduler::ask_for_advice(time_point now)
 {
     const auto question =
         process_.from.advice.empty() ? std::nullopt : core_.next_question(now);
@@ -244,7 +245,7 @@
             }));
 }
 
-void job_holder::send_orders()
+void job_scheduler::send_orders()
 {
     for (const addressed_orders& one : core_.take_orders())
     {
@@ -265,17 +266,17 @@
     }
 }
 
-void job_holder::set_table(const queue_table& table)
+void job_scheduler::set_table(const queue_table& table)
 {
     core_.set_table(table);
 }
 
-void job_holder::set_closed(const closed_data_centres& known)
+void job_scheduler::set_closed(const closed_data_centres& known)
 {
     core_.set_closed(known, boot_clock::now());
 }
 
-void job_holder::job_was_accepted(const job& what)
+void job_scheduler::job_was_accepted(const job& what)
 {
     if (ready())
     {
@@ -283,7 +284,7 @@
     }
 }
 
-void job_holder::job_was_cancelled(const std::string& id)
+void job_scheduler::job_was_cancelled(const std::string& id)
 {
     if (ready())
     {
@@ -291,7 +292,7 @@
     }
 }
 
-void job_holder::tick(time_point now)
+void job_scheduler::tick(time_point now)
 {
     if (at_ == stage::idle)
     {
@@ -318,7 +319,7 @@
     count_figures(now);
 }
 
-void job_holder::log_decisions()
+void job_scheduler::log_decisions()
 {
     for (const decision& one : core_.take_decisions())
     {
@@ -332,8 +333,8 @@
     }
 }
 
-void job_holder::show_service(const std::string& of,
-                              const service_account& account)
+void job_scheduler::show_service(const std::string& of,
+                                 const service_account& account)
 {
     metrics& to = process_.numbers;
     to.set(of + "_tasks", static_cast<double>(account.tasks));
@@ -342,7 +343,7 @@
     to.set(of + "_unplaced", static_cast<double>(account.unplaced));
 }
 
-void job_holder::count_figures(time_point now)
+void job_scheduler::count_figures(time_point now)
 {
     if (now < next_figures_)
     {
--- a/packages/daemon/src/job_holder.hpp
+++ b/packages/daemon/src/job_scheduler.hpp
@@ -3,7 +3,7 @@
 // to the guards.
 
 #include "job_store.hpp"
-#include "office_keeper.hpp"
+#include "leader_election.hpp"
 
 #include <springstair/scheduler.hpp>
 
@@ -15,17 +15,17 @@
 namespace springstair
 {
 
-class job_holder
+class job_scheduler
 {
 public:
-    job_holder(job_process& process, platform::store_client& store,
-               office_keeper& office);
+    job_scheduler(job_process& process, platform::store_client& store,
+                  leader_election& office);
 
     /// The office was taken: reads all that the store keeps.
     void begin(std::int64_t epoch);
     /// The office was lost. The guards hear of the next holder, if it is
     /// known.
-    void end(const holder_change& next);
+    void end(const leader_change& next);
     void tick(time_point now);
 
     void set_table(const queue_table& table);
@@ -88,7 +88,7 @@
     std::optional<std::int64_t>
     written_before(const platform::store_result& result) const;
 
-    void tell_guards(const holder_change& next);
+    void tell_guards(const leader_change& next);
     void ask_for_advice(time_point now);
     void send_orders();
     void log_decisions();
@@ -97,7 +97,7 @@
 
     job_process& process_;
     platform::store_client& store_;
-    office_keeper& office_;
+    leader_election& office_;
     scheduler_core core_;
     stage at_ = stage::idle;
     std::int64_t term_ = 0; ///< counts offices; ends of older calls are void
--- a/packages/daemon/src/job_holder_reading.cpp
+++ b/packages/daemon/src/job_scheduler_loading.cpp
@@ -1,7 +1,7 @@
 // What a holder reads of the store: all that is kept when it takes over, and
 // new jobs and cancellations afterwards.
 
-#include "job_holder.hpp"
+#include "job_scheduler.hpp"
 
 #include <utility>
 
@@ -26,10 +26,10 @@
 // Taking over
 // ---------------------------------------------------------------------------
 
-void job_holder::begin(std::int64_t epoch)
+void job_scheduler::begin(std::int64_t epoch)
 {
     ++term_;
-    core_.take_office(epoch, boot_clock::now());
+    core_.begin_term(epoch, boot_clock::now());
     at_ = stage::reading_jobs;
     reading_ = false;
     watching_ = false;
@@ -42,15 +42,15 @@
     jobs_since_ = 0;
 }
 
-void job_holder::end(const holder_change& next)
+void job_scheduler::end(const leader_change& next)
 {
     tell_guards(next);
     ++term_;
     at_ = stage::idle;
-    core_.take_office(0, boot_clock::now());
+    core_.begin_term(0, boot_clock::now());
 }
 
-void job_holder::read_page()
+void job_scheduler::read_page()
 {
     reading_ = true;
     const char* const prefix =
@@ -66,7 +66,7 @@
                      }));
 }
 
-void job_holder::on_page(const store_result& result)
+void job_scheduler::on_page(const store_result& result)
 {
     reading_ = false;
     if (result.status != store_status::done)
@@ -94,7 +94,7 @@
 }
 
 // Harms are a help, not a need: whatever the store says, the office begins.
-void job_holder::read_harms()
+void job_scheduler::read_harms()
 {
     reading_ = true;
     store_.read(harms_key, timeout_.value(),
@@ -120,7 +120,7 @@
                     }));
 }
 
-void job_holder::take_item(const store_item& item)
+void job_scheduler::take_item(const store_item& item)
 {
     try
     {
@@ -146,7 +146,7 @@
     }
 }
 
-void job_holder::adopt_all()
+void job_scheduler::adopt_all()
 {
     const time_point now = boot_clock::now();
     for (auto& [id, what] : kept_jobs_)
@@ -175,7 +175,7 @@
 // New jobs
 // ---------------------------------------------------------------------------
 
-void job_holder::watch()
+void job_scheduler::watch()
 {
     watching_ = true;
     const time_point sent = boot_clock::now();
@@ -190,7 +190,7 @@
                      }));
 }
 
-void job_holder::on_watch(const store_result& result, time_point sent)
+void job_scheduler::on_watch(const store_result& result, time_point sent)
 {
     watching_ = false;
     if (result.status != store_status::done)
@@ -209,7 +209,7 @@
     }
 }
 
-void job_holder::learn(const store_item& item)
+void job_scheduler::learn(const store_item& item)
 {
     if (item.gone)
     {
@@ -237,7 +237,7 @@
     }
 }
 
-void job_holder::read_again()
+void job_scheduler::read_again()
 {
     watching_ = true;
     store_.range(jobs_prefix, page_after_, page_timeout_.value(),
@@ -251,7 +251,7 @@
                      }));
 }
 
-void job_holder::on_read_again(const store_result& result)
+void job_scheduler::on_read_again(const store_result& result)
 {
     watching_ = false;
     if (result.status != store_status::done)
--- a/packages/daemon/src/job_store.cpp
+++ b/packages/daemon/src/job_store.cpp
@@ -1,6 +1,6 @@
 #include "job_store.hpp"
 
-#include "holder_watch.hpp"
+#include "leader_watch.hpp"
 
 namespace springstair
 {
@@ -66,7 +66,7 @@
 
 kv_transaction transaction_of(const commit_batch& batch, std::int64_t epoch)
 {
-    kv_transaction to{.compares = {{.key = holder_key,
+    kv_transaction to{.compares = {{.key = leader_key,
                                     .of = kv_compare::number::mod_revision,
                                     .equals = epoch}}};
     for (const progress_write& write : batch)
--- a/packages/daemon/src/office_keeper.cpp
+++ b/packages/daemon/src/leader_election.cpp
@@ -1,4 +1,4 @@
-#include "office_keeper.hpp"
+#include "leader_election.hpp"
 
 #include <utility>
 
@@ -23,7 +23,7 @@
 constexpr duration pause = std::chrono::milliseconds(150);
 constexpr int nonce_bytes = 6;
 
-json holder_value(const job_process& process, const std::string& nonce)
+json leader_value(const job_process& process, const std::string& nonce)
 {
     return {{"entry", process.from.name},
             {"address", announced_address(process.from)},
@@ -43,8 +43,8 @@
 
 } // namespace
 
-office_keeper::office_keeper(job_process& process,
-                             platform::store_client& store, callbacks then)
+leader_election::leader_election(job_process& process,
+                                 platform::store_client& store, callbacks then)
     : process_(process), store_(store), then_(std::move(then)),
       watch_(process, store, watch_wait,
              [this](const std::optional<platform::store_item>& item)
@@ -53,7 +53,7 @@
 {
 }
 
-void office_keeper::tick(time_point now)
+void leader_election::tick(time_point now)
 {
     if (at_ == stage::holding)
     {
@@ -80,7 +80,7 @@
     }
 }
 
-void office_keeper::note_answer(const store_result& result)
+void leader_election::note_answer(const store_result& result)
 {
     if (result.status == store_status::unknown)
     {
@@ -98,7 +98,7 @@
 // Following another holder
 // ---------------------------------------------------------------------------
 
-void office_keeper::follow(const std::optional<platform::store_item>& item)
+void leader_election::follow(const std::optional<platform::store_item>& item)
 {
     if (item && item->revision < newest_epoch())
     {
@@ -137,7 +137,7 @@
         hold(item->revision, boot_clock::now());
         return;
     }
-    note_holder(*item);
+    record_leader(*item);
     if (!asked_by_.empty())
     {
         then_.told(std::exchange(asked_by_, {}), 0); // another one was faster
@@ -151,13 +151,13 @@
     at_ = stage::watching;
 }
 
-void office_keeper::set_turn(const claim_turn& turn)
+void leader_election::set_claim_schedule(const claim_schedule& turn)
 {
     turn_ = turn;
     watch_.set_wait(turn.is_successor ? watch_wait : long_watch_wait);
 }
 
-void office_keeper::look_again()
+void leader_election::look_again()
 {
     if (at_ == stage::watching)
     {
@@ -165,7 +165,7 @@
     }
 }
 
-void office_keeper::told(std::int64_t epoch, const std::string& holder)
+void leader_election::told(std::int64_t epoch, const std::string& holder)
 {
     if (epoch <= newest_epoch() || holder.empty() || at_ == stage::retired)
     {
@@ -177,22 +177,22 @@
              {.epoch = epoch, .holder = holder});
     }
     holder_ = holder;
-    holder_epoch_ = epoch;
+    leader_epoch_ = epoch;
     at_ = stage::watching;
 }
 
 // The key of a process of this VM that is gone: this one has its port. It need
 // not wait for the end of the lease, 0.8 s of the 1.7 s between a loss of all
 // power and the next office (the holders' log of a played day, 62 workers).
-bool office_keeper::is_of_former_process() const
+bool leader_election::is_of_former_process() const
 {
     return !has_held_ && holder_ == announced_address(process_.from);
 }
 
-void office_keeper::note_holder(const platform::store_item& item)
+void leader_election::record_leader(const platform::store_item& item)
 {
     holder_ = address_in(item);
-    holder_epoch_ = item.revision;
+    leader_epoch_ = item.revision;
 }
 
 // ---------------------------------------------------------------------------
@@ -200,7 +200,7 @@
 // ---------------------------------------------------------------------------
 
 // The claim names the holder's revision: of several entries, one takes it.
-void office_keeper::take_over(const take_over_request& what)
+void leader_election::take_over(const take_over_request& what)
 {
     if (at_ != stage::watching || what.epoch < newest_epoch())
     {
@@ -214,7 +214,7 @@
 }
 
 // Who was asked to take an office and cannot says so: another one can.
-void office_keeper::note_unserved()
+void leader_election::note_unserved()
 {
     next_ = boot_clock::now() + pause;
     if (asked_by_.empty())
@@ -226,7 +226,7 @@
     then_.told(std::exchange(asked_by_, {}), 0);
 }
 
-void office_keeper::take()
+void leader_election::take()
 {
     busy_ = true;
     store_.grant_lease(
@@ -235,7 +235,7 @@
                                           { on_lease(result); }));
 }
 
-void office_keeper::on_lease(const store_result& result)
+void leader_election::on_lease(const store_result& result)
 {
     busy_ = false;
     note_answer(result);
@@ -250,15 +250,15 @@
 
 // The same claim is repeated until its outcome is known: it is conditioned on
 // the key's absence, or on one revision of it, so it takes effect once at most.
-void office_keeper::claim()
+void leader_election::claim()
 {
     busy_ = true;
     const time_point sent = boot_clock::now();
-    store_.transact({.compares = {{.key = holder_key,
+    store_.transact({.compares = {{.key = leader_key,
                                    .of = kv_compare::number::mod_revision,
                                    .equals = replaces_}},
-                     .puts = {{.key = holder_key,
-                               .value = holder_value(process_, nonce_).dump(),
+                     .puts = {{.key = leader_key,
+                               .value = leader_value(process_, nonce_).dump(),
                                .lease = lease_}}},
                     timeout_.value(),
                     process_.on_control<store_result>(
@@ -266,7 +266,7 @@
                         { on_claim(result, sent); }));
 }
 
-void office_keeper::on_claim(const store_result& result, time_point sent)
+void leader_election::on_claim(const store_result& result, time_point sent)
 {
     busy_ = false;
     note_answer(result);
@@ -297,7 +297,7 @@
     }
 }
 
-void office_keeper::hold(std::int64_t revision, time_point sent)
+void leader_election::hold(std::int64_t revision, time_point sent)
 {
     at_ = stage::holding;
     held_since_ = boot_clock::now();
@@ -318,7 +318,7 @@
 // Keeping it
 // ---------------------------------------------------------------------------
 
-void office_keeper::renew()
+void leader_election::renew()
 {
     renewing_ = true;
     next_renewal_ = boot_clock::now() + renew_every;
@@ -328,7 +328,7 @@
                                           { on_renewed(result); }));
 }
 
-void office_keeper::on_renewed(const store_result& result)
+void leader_election::on_renewed(const store_result& result)
 {
     renewing_ = false;
     note_answer(result);
@@ -348,7 +348,7 @@
 }
 
 // A lease that lives does not prove that the key is still there.
-void office_keeper::check()
+void leader_election::check()
 {
     if (checking_)
     {
@@ -356,7 +356,7 @@
     }
     checking_ = true;
     const time_point sent = boot_clock::now();
-    store_.read(holder_key, timeout_.value(),
+    store_.read(leader_key, timeout_.value(),
                 process_.on_control<store_result>(
                     [this, sent](const store_result& result)
                     {
@@ -381,13 +381,13 @@
                     }));
 }
 
-void office_keeper::verified(time_point sent)
+void leader_election::verified(time_point sent)
 {
     verified_ = std::max(verified_, sent);
     store_answered_ = std::max(store_answered_, sent);
 }
 
-void office_keeper::superseded(const char* why)
+void leader_election::superseded(const char* why)
 {
     if (at_ == stage::holding)
     {
@@ -395,7 +395,7 @@
     }
 }
 
-void office_keeper::lose(const char* why, const holder_change& next)
+void leader_election::lose(const char* why, const leader_change& next)
 {
     log_event(event_id::office_lost,
               {{"epoch", std::to_string(epoch_)},
@@ -405,7 +405,7 @@
     at_ = stage::watching;
     watch_.refresh();
     lease_ = 0;
-    holder_epoch_ = std::max(holder_epoch_, epoch_);
+    leader_epoch_ = std::max(leader_epoch_, epoch_);
     epoch_ = 0;
     next_ = {};
     holder_.clear();
@@ -413,7 +413,7 @@
     then_.lost(next);
 }
 
-void office_keeper::retire()
+void leader_election::retire()
 {
     const bool held = at_ == stage::holding;
     at_ = stage::retired;
--- a/packages/daemon/src/office_keeper.hpp
+++ b/packages/daemon/src/leader_election.hpp
@@ -1,7 +1,7 @@
 #pragma once
 // Which entry holds the jobs: a leased key of the store.
 
-#include "holder_watch.hpp"
+#include "leader_watch.hpp"
 
 #include <springstair/scheduler.hpp>
 
@@ -14,20 +14,20 @@
 
 /// Takes, keeps and gives up the office of the holder of all jobs. The key's
 /// revision is the epoch; the key goes with its lease.
-class office_keeper
+class leader_election
 {
 public:
     struct callbacks
     {
         std::function<void(std::int64_t epoch)> taken;
         /// @param next the next holder, if it is known
-        std::function<void(const holder_change& next)> lost;
+        std::function<void(const leader_change& next)> lost;
         /// An office that this entry was asked to take was taken, or not.
         std::function<void(const std::string& from, std::int64_t epoch)> told;
     };
 
-    office_keeper(job_process& process, platform::store_client& store,
-                  callbacks then);
+    leader_election(job_process& process, platform::store_client& store,
+                    callbacks then);
 
     void tick(time_point now);
     /// Gives the office up and takes it no more.
@@ -35,7 +35,7 @@
     /// The holder asks this entry to take its office.
     void take_over(const take_over_request& what);
     /// When this entry claims an office that is free.
-    void set_turn(const claim_turn& turn);
+    void set_claim_schedule(const claim_schedule& turn);
     /// The holder does not answer: the store is asked who holds.
     void look_again();
     /// Another entry says who holds. A newer holder than is known here is
@@ -67,7 +67,7 @@
     /// The newest office that is known here, its own or another's.
     [[nodiscard]] std::int64_t newest_epoch() const noexcept
     {
-        return std::max(epoch_, holder_epoch_);
+        return std::max(epoch_, leader_epoch_);
     }
     /// The holder's internal address; empty if not known.
     [[nodiscard]] const std::string& holder() const noexcept
@@ -90,7 +90,7 @@
     };
 
     void follow(const std::optional<platform::store_item>& item);
-    void note_holder(const platform::store_item& item);
+    void record_leader(const platform::store_item& item);
     [[nodiscard]] bool is_of_former_process() const;
     void take();
     void on_lease(const platform::store_result& result);
@@ -100,22 +100,22 @@
     void on_renewed(const platform::store_result& result);
     void check();
     void hold(std::int64_t revision, time_point sent);
-    void lose(const char* why, const holder_change& next = {});
+    void lose(const char* why, const leader_change& next = {});
     void note_answer(const platform::store_result& result);
     void note_unserved();
 
     job_process& process_;
     platform::store_client& store_;
     callbacks then_;
-    holder_watch watch_;
+    leader_watch watch_;
     stage at_ = stage::watching;
     adaptive_timeout timeout_;
     std::string nonce_; ///< tells this attempt's key from any other
     std::string holder_;
-    std::int64_t holder_epoch_ = 0;
+    std::int64_t leader_epoch_ = 0;
     std::int64_t replaces_ = 0; ///< claimed over this revision; 0: none there
     bool has_held_ = false;     ///< this process, at some time
-    claim_turn turn_;
+    claim_schedule turn_;
     std::string asked_by_; ///< whose office is being taken; empty: nobody's
     bool busy_ = false;    ///< a claim is under way
     bool renewing_ = false;
--- a/packages/daemon/src/office_handover.cpp
+++ b/packages/daemon/src/leader_handover.cpp
@@ -1,4 +1,4 @@
-#include "office_handover.hpp"
+#include "leader_handover.hpp"
 
 namespace springstair
 {
@@ -12,20 +12,20 @@
 
 } // namespace
 
-office_handover::office_handover(job_process& process,
+leader_handover::leader_handover(job_process& process,
                                  const platform::store_client& store,
-                                 office_keeper& office)
+                                 leader_election& office)
     : process_(process), store_(store), office_(office)
 {
 }
 
-void office_handover::begin()
+void leader_handover::begin()
 {
     entries_.clear();
     asked_.clear();
 }
 
-office_state office_handover::state(time_point now, bool stopping) const
+leader_state leader_handover::state(time_point now, bool stopping) const
 {
     const duration silent = now - store_.served_at();
     return {.processors = process_.from.processors,
@@ -34,7 +34,7 @@
             .stopping = stopping};
 }
 
-void office_handover::tick(time_point now, bool stopping)
+void leader_handover::tick(time_point now, bool stopping)
 {
     if (!office_.holds())
     {
@@ -49,13 +49,13 @@
         entries_.note_declined(asked_, now);
         asked_.clear();
     }
-    if (const auto next = entries_.next_hand_over(state(now, stopping), now))
+    if (const auto next = entries_.next_handover(state(now, stopping), now))
     {
         ask(*next, now);
     }
 }
 
-void office_handover::ask(const hand_over& what, time_point now)
+void leader_handover::ask(const hand_over& what, time_point now)
 {
     asked_ = what.to;
     asked_at_ = now;
@@ -81,7 +81,7 @@
             }));
 }
 
-void office_handover::on_result(const take_over_result& result)
+void leader_handover::on_result(const take_over_result& result)
 {
     if (result.epoch > 0)
     {
@@ -94,7 +94,7 @@
     }
 }
 
-entry_heartbeat_answer office_handover::answer(const entry_heartbeat& from)
+entry_heartbeat_answer leader_handover::answer(const entry_heartbeat& from)
 {
     entry_heartbeat_answer answer{.epoch = office_.newest_epoch(),
                                   .holder = office_.holder(),
--- a/packages/daemon/src/office_handover.hpp
+++ b/packages/daemon/src/leader_handover.hpp
@@ -1,7 +1,7 @@
 #pragma once
 // How a holder gives its office to another entry.
 
-#include "office_keeper.hpp"
+#include "leader_election.hpp"
 
 #include <springstair/scheduler.hpp>
 
@@ -11,11 +11,11 @@
 /// Asks the best of the entries that a holder hears to take its office, where
 /// the holder is to stop, is not served by the store, or is much smaller. It
 /// goes on as holder until that one has taken it.
-class office_handover
+class leader_handover
 {
 public:
-    office_handover(job_process& process, const platform::store_client& store,
-                    office_keeper& office);
+    leader_handover(job_process& process, const platform::store_client& store,
+                    leader_election& office);
 
     void tick(time_point now, bool stopping);
     /// An entry that was asked says what came of it.
@@ -26,12 +26,12 @@
     void begin();
 
 private:
-    [[nodiscard]] office_state state(time_point now, bool stopping) const;
+    [[nodiscard]] leader_state state(time_point now, bool stopping) const;
     void ask(const hand_over& what, time_point now);
 
     job_process& process_;
     const platform::store_client& store_;
-    office_keeper& office_;
+    leader_election& office_;
     entry_list entries_;
     std::string asked_; ///< who is to take the office; empty: nobody
     time_point asked_at_{};
--- a/packages/daemon/src/holder_contact.cpp
+++ b/packages/daemon/src/leader_heartbeat.cpp
@@ -1,4 +1,4 @@
-#include "holder_contact.hpp"
+#include "leader_heartbeat.hpp"
 
 #include <random>
 #include <utility>
@@ -27,20 +27,20 @@
 
 } // namespace
 
-holder_contact::holder_contact(job_process& process,
-                               platform::store_client& store,
-                               office_keeper& office)
+leader_heartbeat::leader_heartbeat(job_process& process,
+                                   platform::store_client& store,
+                                   leader_election& office)
     : process_(process), store_(store), office_(office)
 {
 }
 
-bool holder_contact::tells_changes(time_point now) const
+bool leader_heartbeat::tells_changes(time_point now) const
 {
     return operator_change_ > 0 &&
            now - answered_at_ < heartbeat_every + heartbeat_timeout;
 }
 
-void holder_contact::tick(time_point now)
+void leader_heartbeat::tick(time_point now)
 {
     if (office_.holds())
     {
@@ -65,7 +65,7 @@
 }
 
 // Every other time the holder, also while it does not answer: it may be back.
-std::string holder_contact::next_target()
+std::string leader_heartbeat::next_target()
 {
     const std::string own = announced_address(process_.from);
     if (!office_.holder().empty() && failures_ % 2 == 0)
@@ -84,7 +84,7 @@
     return office_.holder();
 }
 
-void holder_contact::send(const std::string& to, time_point now)
+void leader_heartbeat::send(const std::string& to, time_point now)
 {
     busy_ = true;
     const entry_heartbeat what{.address = announced_address(process_.from),
@@ -101,7 +101,7 @@
                                          { on_answer(result, now); }));
 }
 
-void holder_contact::on_answer(const http_result& result, time_point sent)
+void leader_heartbeat::on_answer(const http_result& result, time_point sent)
 {
     busy_ = false;
     const auto answer = rpc_answer_of<entry_heartbeat_answer>(result);
--- a/packages/daemon/src/holder_contact.hpp
+++ b/packages/daemon/src/leader_heartbeat.hpp
@@ -1,7 +1,7 @@
 #pragma once
 // What an entry and the holder of all jobs tell one another.
 
-#include "office_keeper.hpp"
+#include "leader_election.hpp"
 
 #include <springstair/scheduler.hpp>
 
@@ -13,11 +13,11 @@
 
 /// Sends an entry's heartbeats to the holder. While that one does not answer,
 /// other entries are asked who holds.
-class holder_contact
+class leader_heartbeat
 {
 public:
-    holder_contact(job_process& process, platform::store_client& store,
-                   office_keeper& office);
+    leader_heartbeat(job_process& process, platform::store_client& store,
+                     leader_election& office);
 
     void tick(time_point now);
 
@@ -35,9 +35,9 @@
         return operator_change_;
     }
     /// When this entry claims an office that is free.
-    [[nodiscard]] claim_turn turn() const
+    [[nodiscard]] claim_schedule turn() const
     {
-        return claim_turn::of(answered_at_ != time_point{}, rank_);
+        return claim_schedule::of(answered_at_ != time_point{}, rank_);
     }
     /// When the holder last answered.
     [[nodiscard]] time_point answered_at() const noexcept
@@ -52,7 +52,7 @@
 
     job_process& process_;
     platform::store_client& store_;
-    office_keeper& office_;
+    leader_election& office_;
     std::string asked_; ///< where the newest heartbeat went
     bool busy_ = false;
     std::size_t failures_ = 0; ///< in a row
--- a/packages/daemon/src/holder_watch.cpp
+++ b/packages/daemon/src/leader_watch.cpp
@@ -1,4 +1,4 @@
-#include "holder_watch.hpp"
+#include "leader_watch.hpp"
 
 #include <utility>
 
@@ -15,14 +15,14 @@
 
 } // namespace
 
-holder_watch::holder_watch(job_process& process, platform::store_client& store,
+leader_watch::leader_watch(job_process& process, platform::store_client& store,
                            duration wait, on_change changed)
     : process_(process), store_(store), wait_(wait),
       changed_(std::move(changed))
 {
 }
 
-void holder_watch::tick(time_point now)
+void leader_watch::tick(time_point now)
 {
     if (busy_ || now < next_)
     {
@@ -31,17 +31,17 @@
     watched_ == 0 ? look() : watch();
 }
 
-void holder_watch::refresh()
+void leader_watch::refresh()
 {
     ++turn_;
     busy_ = false;
     watched_ = 0;
 }
 
-void holder_watch::look()
+void leader_watch::look()
 {
     busy_ = true;
-    store_.range(holder_key, {}, timeout_.value(),
+    store_.range(leader_key, {}, timeout_.value(),
                  process_.on_control<store_result>(
                      [this, turn = turn_](const store_result& result)
                      {
@@ -52,7 +52,7 @@
                      }));
 }
 
-void holder_watch::on_look(const store_result& result)
+void leader_watch::on_look(const store_result& result)
 {
     busy_ = false;
     if (result.status != store_status::done)
@@ -68,11 +68,11 @@
                                   : std::optional(result.items.front()));
 }
 
-void holder_watch::watch()
+void leader_watch::watch()
 {
     busy_ = true;
     const time_point sent = boot_clock::now();
-    store_.watch(holder_key, watched_, wait_,
+    store_.watch(leader_key, watched_, wait_,
                  process_.on_control<store_result>(
                      [this, sent, turn = turn_](const store_result& result)
                      {
@@ -83,7 +83,7 @@
                      }));
 }
 
-void holder_watch::on_watch(const store_result& result, time_point sent)
+void leader_watch::on_watch(const store_result& result, time_point sent)
 {
     busy_ = false;
     if (result.status != store_status::done)
--- a/packages/daemon/src/holder_watch.hpp
+++ b/packages/daemon/src/leader_watch.hpp
@@ -13,10 +13,10 @@
 {
 
 /// The store's key of the holder; it goes with the holder's lease.
-inline constexpr const char* holder_key = "springstair/holder";
+inline constexpr const char* leader_key = "springstair/holder";
 
 /// Watches the holder's key.
-class holder_watch
+class leader_watch
 {
 public:
     /// Called with the key as it stands, or nothing once it is gone.
@@ -24,7 +24,7 @@
         std::function<void(const std::optional<platform::store_item>&)>;
 
     /// @param wait how long a watch may wait; each one is a priced call
-    holder_watch(job_process& process, platform::store_client& store,
+    leader_watch(job_process& process, platform::store_client& store,
                  duration wait, on_change changed);
 
     void tick(time_point now);
--- a/packages/guard/include/springstair/detail/guard/holder_finder.hpp
+++ b/packages/guard/include/springstair/detail/guard/leader_finder.hpp
@@ -10,11 +10,11 @@
 
 /// @brief Decides whom a guard reports to: the holder, or while that one does
 /// not answer, any entry that may know of another.
-class holder_finder
+class leader_finder
 {
 public:
     /// @param entries addresses that the settings name; maybe outdated
-    explicit holder_finder(std::vector<std::string> entries)
+    explicit leader_finder(std::vector<std::string> entries)
         : entries_(std::move(entries))
     {
     }
--- a/packages/guard/include/springstair/guard.hpp
+++ b/packages/guard/include/springstair/guard.hpp
@@ -3,6 +3,6 @@
 /// The guard's decisions: the only admission to one executor and worker.
 
 #include <springstair/detail/guard/guard_core.hpp>
-#include <springstair/detail/guard/holder_finder.hpp>
+#include <springstair/detail/guard/leader_finder.hpp>
 #include <springstair/detail/guard/run_keeper.hpp>
 #include <springstair/detail/guard/task_keeper.hpp>
--- a/packages/jobs/include/springstair/detail/jobs/entry_messages.hpp
+++ b/packages/jobs/include/springstair/detail/jobs/entry_messages.hpp
@@ -19,15 +19,15 @@
 inline constexpr const char* took_over_method = "took_over";
 
 /// @brief The method by which a former holder tells its guards of the next.
-inline constexpr const char* holder_changed_method = "holder_changed";
+inline constexpr const char* leader_changed_method = "holder_changed";
 
 /// @brief Another entry holds the jobs from now on.
-struct holder_change
+struct leader_change
 {
     std::int64_t epoch = 0;
     std::string holder; ///< its address
 
-    bool operator==(const holder_change&) const = default;
+    bool operator==(const leader_change&) const = default;
 };
 
 /// @brief A holder asks another entry to take its office.
@@ -84,7 +84,7 @@
 
 void to_json(json& to, const entry_heartbeat_answer& from);
 void from_json(const json& from, entry_heartbeat_answer& to);
-NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(holder_change, epoch, holder)
+NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(leader_change, epoch, holder)
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(take_over_request, epoch, from)
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(take_over_result, epoch, by)
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(entry_heartbeat, address,
--- a/packages/scheduler/include/springstair/detail/scheduler/entry_list.hpp
+++ b/packages/scheduler/include/springstair/detail/scheduler/entry_list.hpp
@@ -42,7 +42,7 @@
 };
 
 /// @brief Why a holder gives its office to another entry.
-enum class hand_over_reason : std::uint8_t
+enum class handover_reason : std::uint8_t
 {
     stopping,   ///< its process is to stop
     store_away, ///< the store does not serve its VM
@@ -50,10 +50,10 @@
 };
 
 /// @brief The name of a reason, for the log.
-std::string_view to_string(hand_over_reason value) noexcept;
+std::string_view to_string(handover_reason value) noexcept;
 
 /// @brief What decides whether a holder gives its office up.
-struct office_state
+struct leader_state
 {
     double processors = 1;    ///< of its VM
     duration held_for{0};     ///< since the office was taken
@@ -65,7 +65,7 @@
 struct hand_over
 {
     std::string to;
-    hand_over_reason why = hand_over_reason::stopping;
+    handover_reason why = handover_reason::stopping;
 
     bool operator==(const hand_over&) const = default;
 };
@@ -78,7 +78,7 @@
 /// likely as any to get it. Now the first four have a turn each; the others
 /// follow in groups that double, so that the loss of many of the largest costs
 /// a fraction of a second and no more claims than a group has.
-struct claim_turn
+struct claim_schedule
 {
     /// Between two turns: a lease and a claim, each a few milliseconds, and the
     /// news of it.
@@ -94,9 +94,9 @@
     /// @param was_told whether a holder has told this entry its place at all;
     /// after a loss of everything nobody knows of a better one
     /// @param rank its place; nothing where the store did not serve it
-    static claim_turn of(bool was_told, std::optional<std::int64_t> rank);
+    static claim_schedule of(bool was_told, std::optional<std::int64_t> rank);
 
-    bool operator==(const claim_turn&) const = default;
+    bool operator==(const claim_schedule&) const = default;
 };
 
 /// @brief The entries that a holder hears, and the order in which they take
@@ -121,8 +121,8 @@
     std::optional<std::int64_t> rank(const std::string& address,
                                      time_point now);
     /// @brief Who is to take the holder's office now; nothing if it keeps it.
-    std::optional<hand_over> next_hand_over(const office_state& of,
-                                            time_point now);
+    std::optional<hand_over> next_handover(const leader_state& of,
+                                           time_point now);
     /// @brief An entry could not take the office, or said nothing of it.
     void note_declined(const std::string& address, time_point now);
     /// @brief Entries that the store serves, for one that asks.
--- a/packages/scheduler/include/springstair/detail/scheduler/scheduler_core.hpp
+++ b/packages/scheduler/include/springstair/detail/scheduler/scheduler_core.hpp
@@ -38,13 +38,13 @@
     /// No permit ends later than this after the office was last verified. A
     /// successor waits as long for workers it cannot reach. Above the longest
     /// outage of the store that tasks should survive, plus a permit.
-    duration office_reach = std::chrono::seconds(10);
+    duration lease_horizon = std::chrono::seconds(10);
     /// A state that can still change is shown from memory for so long after
     /// the office was last verified. A holder that was paused or cut off for
     /// longer may have a successor that showed a later state, and callers
     /// would see the job go back. The lease of the office, 2 s, less the time
     /// between its renewals.
-    duration show_reach = std::chrono::milliseconds(1500);
+    duration max_read_age = std::chrono::milliseconds(1500);
     /// A worker's clock may run slower by this share of a lease (platform).
     double clock_drift = 0.02;
     /// Delays of messages and timers, on top of a lease.
@@ -189,7 +189,7 @@
     explicit scheduler_core(scheduler_options options = {});
 
     /// @brief Begins an office. @param epoch grows with each office
-    void take_office(std::int64_t epoch, time_point now);
+    void begin_term(std::int64_t epoch, time_point now);
     /// @brief Adds a job that an earlier holder kept, before begin().
     void adopt(job what, const std::optional<job_progress>& kept,
                std::int64_t revision, time_point now, std::int64_t day_ms);
@@ -510,7 +510,7 @@
     bool withheld_ = false; ///< starts, for want of news of data centres
     std::int64_t epoch_ = 0;
     bool begun_ = false;
-    time_point office_since_{};
+    time_point term_started_at_{};
     std::map<std::string, std::unique_ptr<job_record>> jobs_;
     std::set<std::string> wanting_;  ///< jobs that may have tasks to place
     std::vector<std::string> dirty_; ///< jobs to write, oldest change first
--- a/packages/scheduler/src/entry_list.cpp
+++ b/packages/scheduler/src/entry_list.cpp
@@ -20,21 +20,22 @@
 
 } // namespace
 
-std::string_view to_string(hand_over_reason value) noexcept
+std::string_view to_string(handover_reason value) noexcept
 {
     switch (value)
     {
-    case hand_over_reason::stopping:
+    case handover_reason::stopping:
         return "a planned stop";
-    case hand_over_reason::store_away:
+    case handover_reason::store_away:
         return "the store does not serve this VM";
-    case hand_over_reason::small:
+    case handover_reason::small:
         return "another VM is much larger";
     }
     return {};
 }
 
-claim_turn claim_turn::of(bool was_told, std::optional<std::int64_t> rank)
+claim_schedule claim_schedule::of(bool was_told,
+                                  std::optional<std::int64_t> rank)
 {
     if (!was_told)
     {
@@ -105,8 +106,8 @@
     return found == ranks_.end() ? std::nullopt : std::optional(found->second);
 }
 
-std::optional<hand_over> entry_list::next_hand_over(const office_state& of,
-                                                    time_point now)
+std::optional<hand_over> entry_list::next_handover(const leader_state& of,
+                                                   time_point now)
 {
     sort(now);
     std::erase_if(declined_, [&](const auto& one)
@@ -120,17 +121,17 @@
     }
     if (of.stopping)
     {
-        return hand_over{best->address, hand_over_reason::stopping};
+        return hand_over{best->address, handover_reason::stopping};
     }
     if (of.store_silent >= options_.store_patience)
     {
-        return hand_over{best->address, hand_over_reason::store_away};
+        return hand_over{best->address, handover_reason::store_away};
     }
     const bool is_small =
         best->processors >= options_.much_larger * of.processors;
     if (is_small && of.held_for >= options_.settling)
     {
-        return hand_over{best->address, hand_over_reason::small};
+        return hand_over{best->address, handover_reason::small};
     }
     return std::nullopt;
 }
--- a/packages/scheduler/src/scheduler_core.cpp
+++ b/packages/scheduler/src/scheduler_core.cpp
@@ -21,7 +21,7 @@
 {
 }
 
-void scheduler_core::take_office(std::int64_t epoch, time_point now)
+void scheduler_core::begin_term(std::int64_t epoch, time_point now)
 {
     const queue_table table = table_;
     const data_centre_book data_centres = data_centres_;
@@ -29,7 +29,7 @@
     table_ = table;
     data_centres_ = data_centres;
     epoch_ = epoch;
-    office_since_ = now;
+    term_started_at_ = now;
 }
 
 void scheduler_core::adopt(job what, const std::optional<job_progress>& kept,
@@ -60,7 +60,7 @@
 void scheduler_core::begin(time_point now)
 {
     begun_ = true;
-    office_since_ = now;
+    term_started_at_ = now;
     for (const auto& [id, of] : jobs_)
     {
         finish_if_done(*of, now);
@@ -203,7 +203,7 @@
         return of->shown;
     }
     // An end that the store may have is shown by whoever reads it there.
-    if (is_final(of->sent) || now - verified > options_.show_reach)
+    if (is_final(of->sent) || now - verified > options_.max_read_age)
     {
         return std::nullopt;
     }
@@ -268,11 +268,11 @@
             lose_worker(at, at.held, run_over::permits_ended(), now);
         }
     }
-    const duration reach =
-        options_.office_reach +
-        from_seconds(to_seconds(options_.office_reach) * options_.clock_drift) +
-        options_.lease_slack;
-    if (!awaited_.empty() && now - office_since_ > reach)
+    const duration reach = options_.lease_horizon +
+                           from_seconds(to_seconds(options_.lease_horizon) *
+                                        options_.clock_drift) +
+                           options_.lease_slack;
+    if (!awaited_.empty() && now - term_started_at_ > reach)
     {
         for (const auto& [guard, tasks] : std::exchange(awaited_, {}))
         {
--- a/packages/scheduler/src/scheduler_leases.cpp
+++ b/packages/scheduler/src/scheduler_leases.cpp
@@ -16,8 +16,8 @@
 {
     const bool is_awaited = !from.looked && awaited_.contains(from.guard);
     const time_point reached =
-        is_awaited ? std::min(verified, office_since_) : verified;
-    return std::clamp(reached + options_.office_reach - now, duration{0},
+        is_awaited ? std::min(verified, term_started_at_) : verified;
+    return std::clamp(reached + options_.lease_horizon - now, duration{0},
                       options_.permit);
 }
 
--- a/tests/unit/entry_list_tests.cpp
+++ b/tests/unit/entry_list_tests.cpp
@@ -70,30 +70,30 @@
     time_point now{std::chrono::hours(1)};
     entry_list list = two_data_centres(now);
     const std::string best = list.successors(now).front().address;
-    office_state state{.processors = 1.0, .held_for = seconds(9)};
-    CHECK_FALSE(list.next_hand_over(state, now).has_value());
+    leader_state state{.processors = 1.0, .held_for = seconds(9)};
+    CHECK_FALSE(list.next_handover(state, now).has_value());
     SUBCASE("it is to stop")
     {
         state.stopping = true;
-        CHECK(list.next_hand_over(state, now) ==
-              hand_over{best, hand_over_reason::stopping});
+        CHECK(list.next_handover(state, now) ==
+              hand_over{best, handover_reason::stopping});
     }
     SUBCASE("the store does not serve it")
     {
         state.store_silent = std::chrono::milliseconds(399);
-        CHECK_FALSE(list.next_hand_over(state, now).has_value());
+        CHECK_FALSE(list.next_handover(state, now).has_value());
         state.store_silent = std::chrono::milliseconds(400);
-        CHECK(list.next_hand_over(state, now) ==
-              hand_over{best, hand_over_reason::store_away});
+        CHECK(list.next_handover(state, now) ==
+              hand_over{best, handover_reason::store_away});
     }
     SUBCASE("it is small, and has settled")
     {
         state.processors = 0.12;
         state.held_for = std::chrono::milliseconds(499);
-        CHECK_FALSE(list.next_hand_over(state, now).has_value());
+        CHECK_FALSE(list.next_handover(state, now).has_value());
         state.held_for = std::chrono::milliseconds(500);
-        CHECK(list.next_hand_over(state, now) ==
-              hand_over{best, hand_over_reason::small});
+        CHECK(list.next_handover(state, now) ==
+              hand_over{best, handover_reason::small});
     }
 }
 
@@ -101,9 +101,9 @@
 {
     time_point now{std::chrono::hours(1)};
     entry_list list = two_data_centres(now);
-    const office_state stops{.stopping = true};
+    const leader_state stops{.stopping = true};
     std::set<std::string> asked;
-    while (const auto next = list.next_hand_over(stops, now))
+    while (const auto next = list.next_handover(stops, now))
     {
         asked.insert(next->to);
         list.note_declined(next->to, now);
@@ -111,36 +111,36 @@
     // With a store that serves nobody, 95 of 184 were asked in 1.5 seconds.
     CHECK(asked.size() == 4);
     now += seconds(2);
-    CHECK(list.next_hand_over(stops, now).has_value());
+    CHECK(list.next_handover(stops, now).has_value());
     // Where the store serves nobody, the office stays.
     for (entry_heartbeat one : list.successors(now))
     {
         one.store_away = true;
         list.note(one, now);
     }
-    CHECK_FALSE(list.next_hand_over(stops, now).has_value());
+    CHECK_FALSE(list.next_handover(stops, now).has_value());
 }
 
 TEST_CASE("successors claim a free office in their order")
 {
     using std::chrono::milliseconds;
-    CHECK(claim_turn::of(false, std::nullopt) == claim_turn{});
-    CHECK(claim_turn::of(true, 0) ==
-          claim_turn{.is_successor = true, .delay = milliseconds(0)});
-    CHECK(claim_turn::of(true, 1) ==
-          claim_turn{.is_successor = true, .delay = milliseconds(60)});
+    CHECK(claim_schedule::of(false, std::nullopt) == claim_schedule{});
+    CHECK(claim_schedule::of(true, 0) ==
+          claim_schedule{.is_successor = true, .delay = milliseconds(0)});
+    CHECK(claim_schedule::of(true, 1) ==
+          claim_schedule{.is_successor = true, .delay = milliseconds(60)});
     const auto other = [](int turns)
     {
-        return claim_turn{.is_successor = false,
-                          .delay = turns * milliseconds(60)};
+        return claim_schedule{.is_successor = false,
+                              .delay = turns * milliseconds(60)};
     };
-    CHECK(claim_turn::of(true, 4) == other(4));
-    CHECK(claim_turn::of(true, 7) == other(4));
-    CHECK(claim_turn::of(true, 8) == other(5));
-    CHECK(claim_turn::of(true, 50) == other(7));
-    CHECK(claim_turn::of(true, 183) == other(9));
-    CHECK(claim_turn::of(true, 100'000) == other(12));
-    CHECK(claim_turn::of(true, std::nullopt) == other(12));
+    CHECK(claim_schedule::of(true, 4) == other(4));
+    CHECK(claim_schedule::of(true, 7) == other(4));
+    CHECK(claim_schedule::of(true, 8) == other(5));
+    CHECK(claim_schedule::of(true, 50) == other(7));
+    CHECK(claim_schedule::of(true, 183) == other(9));
+    CHECK(claim_schedule::of(true, 100'000) == other(12));
+    CHECK(claim_schedule::of(true, std::nullopt) == other(12));
 }
 
 TEST_CASE("every holder tells about the same order")
--- a/tests/unit/holder_by_hand.hpp
+++ b/tests/unit/holder_by_hand.hpp
@@ -57,7 +57,7 @@
     explicit holder(scheduler_options options = {.gather_lasting = duration{0}})
         : core(options)
     {
-        core.take_office(7, now);
+        core.begin_term(7, now);
         core.set_table(table());
         core.begin(now);
     }
@@ -95,7 +95,7 @@
     // Another entry takes the office, with what the store has.
     void take_over()
     {
-        core.take_office(core.epoch() + 1, now);
+        core.begin_term(core.epoch() + 1, now);
         core.set_table(table());
         for (const auto& [id, what] : accepted)
         {
--- a/tests/unit/job_world_holders.cpp
+++ b/tests/unit/job_world_holders.cpp
@@ -232,7 +232,7 @@
     current_->epoch = epoch_;
     current_->verified = now_;
     scheduler_core& core = *current_->core;
-    core.take_office(epoch_, now_);
+    core.begin_term(epoch_, now_);
     core.set_table(table_);
     for (const auto& [id, what] : jobs_)
     {
--- a/tests/unit/late_message_tests.cpp
+++ b/tests/unit/late_message_tests.cpp
@@ -65,7 +65,7 @@
     holder at;
     at.say("g1");
     worker_report late = restart(at, "g1");
-    at.core.take_office(8, at.now);
+    at.core.begin_term(8, at.now);
     at.core.set_table(holder::table());
     at.core.begin(at.now);
     SUBCASE("that comes after its successor's") {}
--- a/tests/unit/restarted_guard_tests.cpp
+++ b/tests/unit/restarted_guard_tests.cpp
@@ -74,7 +74,7 @@
 public:
     small_fleet()
     {
-        core.take_office(7, now);
+        core.begin_term(7, now);
         core.set_table(tests::holder::table());
         core.begin(now);
         for (const char* name : {"a", "b"})
--- a/tests/unit/restarting_executor.hpp
+++ b/tests/unit/restarting_executor.hpp
@@ -197,7 +197,7 @@
 public:
     one_worker_fleet()
     {
-        core.take_office(7, now);
+        core.begin_term(7, now);
         core.set_table({.version = 1,
                         .queues = {{.name = "q",
                                     .service = "s",
--- a/tests/unit/run_keeper_tests.cpp
+++ b/tests/unit/run_keeper_tests.cpp
@@ -243,7 +243,7 @@
 
 TEST_CASE("a holder that is back at its address is found again")
 {
-    holder_finder finder({"a:1", "b:1"});
+    leader_finder finder({"a:1", "b:1"});
     CHECK(finder.target() == "a:1");
     CHECK(finder.follow("c:1"));
     CHECK(finder.target() == "c:1");
--- a/tests/unit/scheduler_tests.cpp
+++ b/tests/unit/scheduler_tests.cpp
@@ -468,7 +468,7 @@
     const scheduler_options options;
     holder at(options);
     at.say("g1");
-    at.now += options.office_reach - milliseconds(500);
+    at.now += options.lease_horizon - milliseconds(500);
     CHECK(at.say("g1").permit_ms == 500);
     at.now += seconds(1);
     CHECK(at.say("g1").permit_ms == 0);
@@ -486,7 +486,7 @@
     REQUIRE(batch.has_value());
 
     holder second(options);
-    second.core.take_office(8, second.now);
+    second.core.begin_term(8, second.now);
     second.core.set_table(holder::table());
     second.core.adopt(what, decode_progress(batch->front().text), 9, second.now,
                       0);
@@ -498,7 +498,7 @@
         second.turn(milliseconds(100));
         REQUIRE(second.now - since < seconds(20));
     }
-    CHECK(second.now - since > options.office_reach);
+    CHECK(second.now - since > options.lease_horizon);
     CHECK(second.started[task].run == 2);
 }
 
@@ -513,7 +513,7 @@
     REQUIRE(batch.has_value());
 
     holder second;
-    second.core.take_office(8, second.now);
+    second.core.begin_term(8, second.now);
     second.core.set_table(holder::table());
     second.core.adopt(what, decode_progress(batch->front().text), 9, second.now,
                       0);
@@ -570,7 +570,7 @@
     CHECK(whole.tasks.empty());
 
     holder second;
-    second.core.take_office(8, second.now);
+    second.core.begin_term(8, second.now);
     second.core.set_table(holder::table());
     second.core.adopt(what, whole, 9, second.now, 0);
     second.core.begin(second.now);
@@ -631,7 +631,7 @@
     REQUIRE(batch.has_value());
 
     holder second;
-    second.core.take_office(8, second.now);
+    second.core.begin_term(8, second.now);
     second.core.set_table(holder::table());
     second.core.adopt(what, decode_progress(batch->front().text), 9, second.now,
                       0);
--- a/tests/unit/unasked_run_tests.cpp
+++ b/tests/unit/unasked_run_tests.cpp
@@ -64,7 +64,7 @@
     {
         at.core.cancel(what.id, at.now);
         at.turn();
-        at.core.take_office(8, at.now);
+        at.core.begin_term(8, at.now);
         at.core.set_table(holder::table());
         at.core.adopt(what, std::nullopt, 0, at.now, 0);
         at.core.begin(at.now);
