--- a/packages/daemon/src/job_guard_role.cpp
+++ b/packages/daemon/src/job_guard_role.cpp
@@ -116,7 +116,7 @@
     // Numbers order the heartbeats of one life; the keeper orders lives.
     void on_heartbeat(const platform::worker_heartbeat& beat)
     {
-        const executor_life& life = beat.worker.life;
+        const executor_incarnation& life = beat.worker.life;
         heard_executor& from = executors_[life];
         if (beat.sequence <= from.sequence)
         {
@@ -139,7 +139,7 @@
     void on_looked(const look_at_worker& what, const http_result& result,
                    time_point sent)
     {
-        const executor_life before = keeper_.worker().life;
+        const executor_incarnation before = keeper_.worker().life;
         keeper_.on_looked(what.life, platform::decode_result(result),
                           platform::decode_look(result), sent,
                           boot_clock::now());
@@ -160,7 +160,7 @@
         std::visit([this](const auto& what) { send(what); }, action);
     }
 
-    const std::string& address_of(const executor_life& life) const
+    const std::string& address_of(const executor_incarnation& life) const
     {
         const auto found = executors_.find(life);
         const bool known =
@@ -377,7 +377,7 @@
     run_keeper keeper_;
     leader_finder holder_;
     rpc_dispatcher rpc_;
-    std::map<executor_life, heard_executor> executors_;
+    std::map<executor_incarnation, heard_executor> executors_;
     std::int64_t report_sequence_ = 0;
     bool reporting_ = false;
     bool asks_store_ = false; ///< no holder answers
--- a/packages/guard/include/springstair/detail/guard/run_keeper.hpp
+++ b/packages/guard/include/springstair/detail/guard/run_keeper.hpp
@@ -56,14 +56,14 @@
     duration whole_every = std::chrono::milliseconds(400);
     /// What went with a former life is told for so long after a holder has
     /// first heard it: above the time that a new one needs to hear its guards.
-    duration former_told_for = std::chrono::seconds(6);
+    duration repeat_past_for = std::chrono::seconds(6);
     /// A run that was given back, or has ended, is remembered for so long. An
     /// order for it that was made before the holder heard so holds no longer
     /// than the permit on the last report before, 4 s.
     duration remember_given_back = std::chrono::milliseconds(5000);
     /// Former lives that are told of at most: a guard that no holder hears
     /// for a minute, while its executor crashes every few seconds.
-    std::size_t most_former = 16;
+    std::size_t max_past_incarnations = 16;
     interference_options interference;
 };
 
@@ -106,7 +106,7 @@
     start_order order;
     std::int64_t deadline_ms = 0;
     std::int64_t fence = 0;
-    executor_life life;
+    executor_incarnation life;
 };
 
 /// @brief Stop a run.
@@ -114,7 +114,7 @@
 {
     stop_order order;
     std::int64_t fence = 0;
-    executor_life life;
+    executor_incarnation life;
 };
 
 /// @brief Let a run work at a share of its speed, in percent.
@@ -124,7 +124,7 @@
     std::int64_t run = 0;
     std::int64_t percent = 100;
     std::int64_t fence = 0;
-    executor_life life;
+    executor_incarnation life;
 };
 
 /// @brief Extend the lease, acknowledge ends and ask for both lists.
@@ -137,7 +137,7 @@
     std::optional<time_point> vouched_at;
     std::int64_t wait_ms = 0;
     std::int64_t fence = 0;
-    executor_life life;
+    executor_incarnation life;
 };
 
 /// @brief One thing to do.
@@ -159,7 +159,7 @@
     void on_worker(const worker_description& what, std::int64_t clock_ms,
                    time_point now);
     /// @brief The executor said that it ends.
-    void on_leave(const executor_life& life);
+    void on_leave(const executor_incarnation& life);
     /// @brief Orders came. @return false if they are of an older holder or
     /// for another incarnation
     bool on_orders(const guard_orders& orders, time_point now);
@@ -174,7 +174,7 @@
     void on_paced(const pace_run& what, order_result result);
     /// @brief A look ended. @param asked the life that was meant
     /// @param look nothing if it got no answer
-    void on_looked(const executor_life& asked, order_result result,
+    void on_looked(const executor_incarnation& asked, order_result result,
                    const std::optional<worker_look>& look, time_point sent,
                    time_point now);
 
@@ -270,14 +270,14 @@
     };
 
     /// A life that is over, and when a holder first heard of it.
-    struct remembered_life
+    struct reported_incarnation
     {
-        former_life what;
+        past_incarnation what;
         std::optional<time_point> told;
     };
 
     /// An executor of another life, until its address has told who is there.
-    struct unproven_life
+    struct unconfirmed_incarnation
     {
         worker_description what; ///< without a life: there is none
         std::int64_t clock_ms = 0;
@@ -286,22 +286,24 @@
         time_point next_ask{};
     };
 
-    void meet_beat_of_another(const worker_description& what,
-                              std::int64_t clock_ms, time_point now);
-    void begin_life(const executor_life& next, time_point now);
+    void on_unconfirmed_heartbeat(const worker_description& what,
+                                  std::int64_t clock_ms, time_point now);
+    void begin_incarnation(const executor_incarnation& next, time_point now);
     void carry_doubts(time_point now);
-    void meet_stranger(order_result result,
-                       const std::optional<worker_look>& look, time_point now);
-    void meet_next_life(const executor_life& who, time_point now);
+    void on_unconfirmed_polled(order_result result,
+                               const std::optional<worker_look>& look,
+                               time_point now);
+    void switch_incarnation(const executor_incarnation& who, time_point now);
     void spare_taken_runs();
-    void ask_stranger(time_point now, std::vector<keeper_action>& out);
+    void poll_unconfirmed(time_point now, std::vector<keeper_action>& out);
     void refuse(const std::string& task, kept_run& run,
                 const std::string& reason, time_point now);
     void settle(time_point sent, time_point now);
     void note_health(order_result result);
-    void remember_life(time_point now);
+    void remember_incarnation(time_point now);
     void remember_run(const std::string& task, const kept_run& run);
-    void forget_told_lives(const worker_report& report, time_point now);
+    void forget_reported_incarnations(const worker_report& report,
+                                      time_point now);
     void list_runs(worker_report& out) const;
     void act_on_run(const std::string& task, kept_run& run, time_point now,
                     std::vector<keeper_action>& out);
@@ -333,11 +335,11 @@
     run_keeper_options options_;
     std::string incarnation_;
     worker_description worker_;
-    unproven_life stranger_;
-    std::set<executor_life> past_lives_; ///< surely over
-    std::int64_t lives_ = 0;             ///< that this process has met
-    std::vector<remembered_life> former_;
-    former_life over_; ///< what surely went with the present life
+    unconfirmed_incarnation unconfirmed_;
+    std::set<executor_incarnation> ended_incarnations_; ///< surely over
+    std::int64_t incarnation_count_ = 0; ///< that this process has met
+    std::vector<reported_incarnation> former_;
+    past_incarnation over_; ///< what surely went with the present life
     guard_admission admission_;
     std::int64_t clock_ms_ = 0; ///< the worker's clock at clock_at_
     time_point clock_at_{};
--- a/packages/guard/src/run_keeper.cpp
+++ b/packages/guard/src/run_keeper.cpp
@@ -104,7 +104,7 @@
 // unknown, or while the executor may have started again.
 bool run_keeper::may_lease(time_point now) const
 {
-    const bool may_be_over = stranger_.what.life.id == worker_.life.id;
+    const bool may_be_over = unconfirmed_.what.life.id == worker_.life.id;
     return knows_clock_ && !may_be_over && !is_silent(now);
 }
 
@@ -117,7 +117,7 @@
         admission_.epoch == epoch_ ? admission_.number : 0;
     return epoch_ * fences_an_epoch +
            std::min(process, fences_a_level - 1) * fences_a_level +
-           std::min(lives_, fences_a_level - 1);
+           std::min(incarnation_count_, fences_a_level - 1);
 }
 
 bool run_keeper::is_running(const std::string& task, std::int64_t run) const
@@ -250,7 +250,7 @@
         news_ = true; // to be repeated at once
         return;
     }
-    forget_told_lives(report, now);
+    forget_reported_incarnations(report, now);
     permit_until_ = std::max(
         permit_until_, sent + std::chrono::milliseconds(answer.permit_ms));
     std::erase_if(refused_,
@@ -295,7 +295,7 @@
         act_on_pace(task, kept, out);
     }
     act_on_worker(now, out);
-    ask_stranger(now, out);
+    poll_unconfirmed(now, out);
     return out;
 }
 
@@ -479,7 +479,7 @@
     {
         list_runs(out);
     }
-    for (const remembered_life& one : former_)
+    for (const reported_incarnation& one : former_)
     {
         // With the news of the next life, so that nothing is placed between.
         if (out.whole || !one.told)
--- a/packages/guard/src/run_keeper_lives.cpp
+++ b/packages/guard/src/run_keeper_lives.cpp
@@ -13,16 +13,16 @@
 {
     if (worker_.life != what.life)
     {
-        if (past_lives_.contains(what.life))
+        if (ended_incarnations_.contains(what.life))
         {
             return;
         }
         if (looked_)
         {
-            meet_beat_of_another(what, clock_ms, now);
+            on_unconfirmed_heartbeat(what, clock_ms, now);
             return;
         }
-        begin_life(what.life, now);
+        begin_incarnation(what.life, now);
     }
     news_ = news_ || worker_ != what;
     worker_ = what;
@@ -35,16 +35,16 @@
 // Whether the present life is over is not known yet. If the same executor has
 // started again, calls that were meant for the life before may be taken there,
 // with the longest lease: their times are on another clock.
-void run_keeper::meet_beat_of_another(const worker_description& what,
-                                      std::int64_t clock_ms, time_point now)
+void run_keeper::on_unconfirmed_heartbeat(const worker_description& what,
+                                          std::int64_t clock_ms, time_point now)
 {
-    if (stranger_.what.life != what.life)
+    if (unconfirmed_.what.life != what.life)
     {
-        stranger_ = {};
+        unconfirmed_ = {};
     }
-    stranger_.what = what;
-    stranger_.clock_ms = clock_ms;
-    stranger_.heard = now;
+    unconfirmed_.what = what;
+    unconfirmed_.clock_ms = clock_ms;
+    unconfirmed_.heard = now;
     if (what.life.id == worker_.life.id)
     {
         expect_longest_lease(now + options_.silence);
@@ -53,9 +53,10 @@
 
 // A new life has seen no order. It runs nothing, unless it is of the same
 // executor: then it may have taken starts that were meant for the life before.
-void run_keeper::begin_life(const executor_life& next, time_point now)
+void run_keeper::begin_incarnation(const executor_incarnation& next,
+                                   time_point now)
 {
-    remember_life(now);
+    remember_incarnation(now);
     failing_since_.reset();
     refuses_ = false;
     if (next.id == worker_.life.id)
@@ -80,7 +81,7 @@
     whole_told_ = {}; // the first report of a life has to show what it took
     look_open_ = false;
     acknowledged_ = 0;
-    ++lives_;
+    ++incarnation_count_;
     leased_until_ = {};
     expect_longest_lease(now);
     next_look_ = now;
@@ -113,67 +114,68 @@
 // A look that another life was meant by tells who lives at the address. Only
 // an answer decides between two lives: a heartbeat that was held back can come
 // after its sender's end, and lives have no order.
-void run_keeper::meet_stranger(order_result result,
-                               const std::optional<worker_look>& look,
-                               time_point now)
+void run_keeper::on_unconfirmed_polled(order_result result,
+                                       const std::optional<worker_look>& look,
+                                       time_point now)
 {
-    stranger_.asking = false;
-    const executor_life& asked = stranger_.what.life;
+    unconfirmed_.asking = false;
+    const executor_incarnation& asked = unconfirmed_.what.life;
     const bool names_it = asked.id != worker_.life.id;
     if (look)
     {
-        const executor_life there(asked.id, look->born_ms);
+        const executor_incarnation there(asked.id, look->born_ms);
         if (!names_it && there.may_be(worker_.life))
         {
-            past_lives_.insert(asked);
-            stranger_ = {};
+            ended_incarnations_.insert(asked);
+            unconfirmed_ = {};
         }
         else
         {
-            meet_next_life(there.may_be(asked) ? asked : there, now);
+            switch_incarnation(there.may_be(asked) ? asked : there, now);
         }
     }
     else if (names_it && (result == order_result::accepted ||
                           result == order_result::fenced))
     {
-        meet_next_life(asked, now);
+        switch_incarnation(asked, now);
     }
     else if (result == order_result::other_life)
     {
-        stranger_ = {};
+        unconfirmed_ = {};
     }
     else
     {
-        stranger_.next_ask = now + options_.look_retry;
+        unconfirmed_.next_ask = now + options_.look_retry;
     }
 }
 
 // Another life has answered. Until its own heartbeat has told what it can run,
 // it gets nothing to run; until it has told its clock, no lease. A time on the
 // clock of the life before is far ahead on its own.
-void run_keeper::meet_next_life(const executor_life& who, time_point now)
+void run_keeper::switch_incarnation(const executor_incarnation& who,
+                                    time_point now)
 {
     worker_description next = worker_;
     next.life = who;
     next.service.clear();
     next.draining = false;
     next.leaves_ms = 0;
-    past_lives_.insert(worker_.life);
-    begin_life(who, now);
-    if (who == stranger_.what.life)
+    ended_incarnations_.insert(worker_.life);
+    begin_incarnation(who, now);
+    if (who == unconfirmed_.what.life)
     {
-        next = stranger_.what;
-        clock_ms_ = stranger_.clock_ms;
-        clock_at_ = stranger_.heard;
+        next = unconfirmed_.what;
+        clock_ms_ = unconfirmed_.clock_ms;
+        clock_at_ = unconfirmed_.heard;
         knows_clock_ = true;
     }
     worker_ = std::move(next);
     answered_ = now;
-    stranger_ = {};
+    unconfirmed_ = {};
     news_ = true;
 }
 
-void run_keeper::on_leave(const executor_life& life)
+void run_keeper::on_leave(const executor_incarnation& life)
 {
     if (worker_.life.may_be(life))
     {
@@ -182,16 +184,17 @@
     }
 }
 
-void run_keeper::ask_stranger(time_point now, std::vector<keeper_action>& out)
+void run_keeper::poll_unconfirmed(time_point now,
+                                  std::vector<keeper_action>& out)
 {
-    if (stranger_.what.life.empty() || stranger_.asking ||
-        now < stranger_.next_ask)
+    if (unconfirmed_.what.life.empty() || unconfirmed_.asking ||
+        now < unconfirmed_.next_ask)
     {
         return;
     }
-    stranger_.asking = true;
+    unconfirmed_.asking = true;
     out.emplace_back(
-        look_at_worker{.fence = fence(), .life = stranger_.what.life});
+        look_at_worker{.fence = fence(), .life = unconfirmed_.what.life});
 }
 
 // ---------------------------------------------------------------------------
@@ -213,7 +216,7 @@
                            .is_sure = run.surely_begun});
 }
 
-void run_keeper::remember_life(time_point now)
+void run_keeper::remember_incarnation(time_point now)
 {
     for (const auto& [task, kept] : runs_)
     {
@@ -225,7 +228,7 @@
         over_.lost_ms = vm_clock_ms(failing_since_.value_or(now));
         former_.push_back({.what = std::exchange(over_, {})});
     }
-    if (former_.size() > options_.most_former)
+    if (former_.size() > options_.max_past_incarnations)
     {
         former_.erase(former_.begin());
     }
@@ -248,9 +251,10 @@
 
 // A holder has heard a report. It may fall before it has written what it
 // makes of that, so its successor hears the same for a while.
-void run_keeper::forget_told_lives(const worker_report& report, time_point now)
+void run_keeper::forget_reported_incarnations(const worker_report& report,
+                                              time_point now)
 {
-    for (remembered_life& one : former_)
+    for (reported_incarnation& one : former_)
     {
         const bool was_told =
             std::find(report.former.begin(), report.former.end(), one.what) !=
@@ -261,8 +265,8 @@
         }
     }
     std::erase_if(
-        former_, [&](const remembered_life& one)
-        { return one.told && now - *one.told > options_.former_told_for; });
+        former_, [&](const reported_incarnation& one)
+        { return one.told && now - *one.told > options_.repeat_past_for; });
 }
 
 } // namespace springstair
--- a/packages/guard/src/run_keeper_results.cpp
+++ b/packages/guard/src/run_keeper_results.cpp
@@ -156,14 +156,15 @@
     kept.next_call = now + options_.retry_after;
 }
 
-void run_keeper::on_looked(const executor_life& asked, order_result result,
+void run_keeper::on_looked(const executor_incarnation& asked,
+                           order_result result,
                            const std::optional<worker_look>& look,
                            time_point sent, time_point now)
 {
-    if (!stranger_.what.life.empty() && asked == stranger_.what.life)
+    if (!unconfirmed_.what.life.empty() && asked == unconfirmed_.what.life)
     {
         const bool is_of_another_executor = asked.id != worker_.life.id;
-        meet_stranger(result, look, now);
+        on_unconfirmed_polled(result, look, now);
         if (!is_of_another_executor)
         {
             return; // starts that it took meanwhile may be missing
@@ -173,10 +174,10 @@
     {
         return;
     }
-    const executor_life there(asked.id, look ? look->born_ms : 0);
+    const executor_incarnation there(asked.id, look ? look->born_ms : 0);
     if (!there.may_be(asked))
     {
-        meet_next_life(there, now);
+        switch_incarnation(there, now);
         return;
     }
     note_health(result);
--- a/packages/jobs/include/springstair/detail/jobs/advice.hpp
+++ b/packages/jobs/include/springstair/detail/jobs/advice.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include <springstair/detail/jobs/executor_life.hpp>
+#include <springstair/detail/jobs/executor_incarnation.hpp>
 #include <springstair/detail/jobs/job.hpp>
 
 #include <map>
@@ -15,14 +15,14 @@
 struct advice_question
 {
     std::string step; ///< step_group(): job, round and step
-    std::vector<executor_life> lives;
+    std::vector<executor_incarnation> lives;
 
     bool operator==(const advice_question&) const = default;
 };
 
 /// @brief Tickets; each holds for one life and goes with every start of its
 /// step there.
-using ticket_map = std::map<executor_life, std::string>;
+using ticket_map = std::map<executor_incarnation, std::string>;
 
 /// @brief The tickets of those that may.
 struct advice_answer
--- a/packages/jobs/include/springstair/detail/jobs/executor_life.hpp
+++ b/packages/jobs/include/springstair/detail/jobs/executor_incarnation.hpp
@@ -17,14 +17,14 @@
 /// executor by its id alone, so a call that is meant for one life can reach the
 /// next; only what an executor says of itself and its lists of runs tell which
 /// life speaks.
-struct executor_life
+struct executor_incarnation
 {
-    executor_life() = default;
+    executor_incarnation() = default;
     /// @brief The life of an executor that does not tell when it was born.
-    executor_life(std::string executor) : id(std::move(executor)) {}
-    /// @copydoc executor_life(std::string)
-    executor_life(const char* executor) : id(executor) {}
-    executor_life(std::string executor, std::int64_t born)
+    executor_incarnation(std::string executor) : id(std::move(executor)) {}
+    /// @copydoc executor_incarnation(std::string)
+    executor_incarnation(const char* executor) : id(executor) {}
+    executor_incarnation(std::string executor, std::int64_t born)
         : id(std::move(executor)), born_ms(born)
     {
     }
@@ -34,7 +34,7 @@
     /// order them: the time of day may step back.
     std::int64_t born_ms = 0;
 
-    auto operator<=>(const executor_life&) const = default; // NOLINT
+    auto operator<=>(const executor_incarnation&) const = default; // NOLINT
 
     [[nodiscard]] bool empty() const noexcept
     {
@@ -42,7 +42,7 @@
     }
     /// @brief Whether it may be the same life: it is, or one of the two comes
     /// from who does not tell births, like a record of an older version.
-    [[nodiscard]] bool may_be(const executor_life& other) const noexcept
+    [[nodiscard]] bool may_be(const executor_incarnation& other) const noexcept
     {
         return id == other.id &&
                (born_ms == other.born_ms || born_ms == 0 || other.born_ms == 0);
@@ -56,7 +56,7 @@
 
 /// @brief Writes a life as two members of a message. Older versions read the
 /// first one alone.
-inline void put_life(json& to, const executor_life& life)
+inline void put_incarnation(json& to, const executor_incarnation& life)
 {
     to["life"] = life.id;
     if (life.born_ms != 0)
@@ -65,8 +65,8 @@
     }
 }
 
-/// @brief Reads what put_life() wrote, or an older version.
-inline executor_life life_in(const json& from)
+/// @brief Reads what put_incarnation() wrote, or an older version.
+inline executor_incarnation incarnation_in(const json& from)
 {
     return {from.value("life", std::string()),
             from.value("born_ms", std::int64_t{0})};
--- a/packages/jobs/include/springstair/detail/jobs/progress.hpp
+++ b/packages/jobs/include/springstair/detail/jobs/progress.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include <springstair/detail/jobs/executor_life.hpp>
+#include <springstair/detail/jobs/executor_incarnation.hpp>
 #include <springstair/detail/jobs/job.hpp>
 
 namespace springstair
@@ -14,7 +14,7 @@
     std::int64_t runs = 0;      ///< number of the newest run; 0: none yet
     std::int64_t failures = 0;  ///< runs that ended by a failure
     std::string guard;          ///< where the newest run may be; empty: nowhere
-    executor_life life;         ///< of the executor there
+    executor_incarnation life;  ///< of the executor there
     std::string checkpoint;     ///< to resume from; empty: none
     std::int64_t suspicion = 0; ///< of crashing the executors that start it
     std::int64_t crashes = 0;   ///< of executors, surely under it
--- a/packages/jobs/include/springstair/detail/jobs/worker_messages.hpp
+++ b/packages/jobs/include/springstair/detail/jobs/worker_messages.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include <springstair/detail/jobs/executor_life.hpp>
+#include <springstair/detail/jobs/executor_incarnation.hpp>
 #include <springstair/detail/jobs/job.hpp>
 
 #include <map>
@@ -17,8 +17,8 @@
 /// @brief One incarnation of the executor beside a guard.
 struct worker_description
 {
-    executor_life life;  ///< empty: none is known
-    std::string service; ///< the pool that it belongs to
+    executor_incarnation life; ///< empty: none is known
+    std::string service;       ///< the pool that it belongs to
     std::string data_centre;
     std::string rack;
     std::vector<std::string> labels; ///< its kind and its rack among them
@@ -109,16 +109,16 @@
 
 /// @brief An incarnation of the executor that the guard lived through, and
 /// what went with it.
-struct former_life
+struct past_incarnation
 {
-    executor_life life;
+    executor_incarnation life;
     /// When looks at it began to fail, by the clock of worker_report::sent_ms;
     /// 0 if that is not known. An executor that crashes closes its connections,
     /// so it went then; one that falls silent went up to a look earlier.
     std::int64_t lost_ms = 0;
     std::vector<begun_run> begun;
 
-    bool operator==(const former_life&) const = default;
+    bool operator==(const past_incarnation&) const = default;
 };
 
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(begun_run, task, run,
@@ -181,7 +181,7 @@
     std::vector<std::string> unknown;  ///< running, but never described to it
     /// Incarnations that were over lately; told for some seconds, so that a
     /// change of holder loses none.
-    std::vector<former_life> former;
+    std::vector<past_incarnation> former;
 
     bool operator==(const worker_report&) const = default;
 };
@@ -222,7 +222,7 @@
 struct guard_orders
 {
     std::int64_t epoch = 0;
-    executor_life life; ///< that is meant
+    executor_incarnation life; ///< that is meant
     /// The guard's incarnation that is meant: no other takes the starts. A
     /// copy that comes late may be of a run that the guard has given back, of
     /// which its next process knows nothing.
@@ -277,8 +277,8 @@
 
 void to_json(json& to, const worker_description& from);
 void from_json(const json& from, worker_description& to);
-void to_json(json& to, const former_life& from);
-void from_json(const json& from, former_life& to);
+void to_json(json& to, const past_incarnation& from);
+void from_json(const json& from, past_incarnation& to);
 void to_json(json& to, const guard_orders& from);
 void from_json(const json& from, guard_orders& to);
 void to_json(json& to, const running_task& from);
--- a/packages/jobs/include/springstair/jobs.hpp
+++ b/packages/jobs/include/springstair/jobs.hpp
@@ -6,7 +6,7 @@
 #include <springstair/detail/jobs/advice.hpp>
 #include <springstair/detail/jobs/closed_data_centres.hpp>
 #include <springstair/detail/jobs/entry_messages.hpp>
-#include <springstair/detail/jobs/executor_life.hpp>
+#include <springstair/detail/jobs/executor_incarnation.hpp>
 #include <springstair/detail/jobs/job.hpp>
 #include <springstair/detail/jobs/progress.hpp>
 #include <springstair/detail/jobs/queue_table.hpp>
--- a/packages/jobs/src/worker_messages.cpp
+++ b/packages/jobs/src/worker_messages.cpp
@@ -33,13 +33,13 @@
           {"rack", from.rack},          {"labels", from.labels},
           {"capacity", from.capacity},  {"draining", from.draining},
           {"leaves_ms", from.leaves_ms}};
-    put_life(to, from.life);
+    put_incarnation(to, from.life);
 }
 
 void from_json(const json& from, worker_description& to)
 {
     const worker_description none;
-    to = {.life = life_in(from),
+    to = {.life = incarnation_in(from),
           .service = from.value("service", none.service),
           .data_centre = from.value("data_centre", none.data_centre),
           .rack = from.value("rack", none.rack),
@@ -49,15 +49,15 @@
           .leaves_ms = from.value("leaves_ms", none.leaves_ms)};
 }
 
-void to_json(json& to, const former_life& from)
+void to_json(json& to, const past_incarnation& from)
 {
     to = {{"lost_ms", from.lost_ms}, {"begun", from.begun}};
-    put_life(to, from.life);
+    put_incarnation(to, from.life);
 }
 
-void from_json(const json& from, former_life& to)
+void from_json(const json& from, past_incarnation& to)
 {
-    to = {.life = life_in(from),
+    to = {.life = incarnation_in(from),
           .lost_ms = from.value("lost_ms", std::int64_t{0}),
           .begun = from.value("begun", std::vector<begun_run>{})};
 }
@@ -71,14 +71,14 @@
           {"acknowledged", from.acknowledged},
           {"starts_until_ms", from.starts_until_ms},
           {"closed", from.closed}};
-    put_life(to, from.life);
+    put_incarnation(to, from.life);
 }
 
 void from_json(const json& from, guard_orders& to)
 {
     const guard_orders none;
     to = {.epoch = from.value("epoch", none.epoch),
-          .life = life_in(from),
+          .life = incarnation_in(from),
           .incarnation = from.value("incarnation", none.incarnation),
           .starts = from.value("starts", none.starts),
           .stops = from.value("stops", none.stops),
--- a/packages/scheduler/include/springstair/detail/scheduler/run_over.hpp
+++ b/packages/scheduler/include/springstair/detail/scheduler/run_over.hpp
@@ -35,12 +35,12 @@
     /// the life before died with it. Not so of a run that the next life of the
     /// same executor shows, and of one whose start may still reach it: starts
     /// name the executor by its id alone.
-    static run_over life_ended()
+    static run_over incarnation_ended()
     {
         return {run_end::lost, {}, "its executor began another life"};
     }
     /// @brief The same for a run that an earlier holder placed.
-    static run_over former_life_ended()
+    static run_over past_incarnation_ended()
     {
         return {run_end::lost,
                 {},
--- a/packages/scheduler/include/springstair/detail/scheduler/scheduler_core.hpp
+++ b/packages/scheduler/include/springstair/detail/scheduler/scheduler_core.hpp
@@ -394,7 +394,7 @@
     [[nodiscard]] bool is_end_given_up(const worker_record& at,
                                        const ended_task& end);
     void await_lapse(worker_record& at, const worker_report& from,
-                     bool knows_life);
+                     bool knows_incarnation);
     void extend_lease(worker_record& at, const worker_report& from,
                       duration permit, time_point now) const;
     [[nodiscard]] duration permit_for(const worker_report& from, time_point now,
@@ -427,13 +427,13 @@
         std::set<task_name> open;  ///< their start may reach the next life
     };
 
-    void change_life(worker_record& at, const worker_report& from,
-                     time_point now);
+    void on_executor_restart(worker_record& at, const worker_report& from,
+                             time_point now);
     runs_after_restart after_restart(const std::set<task_name>& runs,
                                      const worker_report& from);
     void follow_restart(worker_record& at, const runs_after_restart& runs,
-                        const executor_life& next, time_point now);
-    void enter_life(const task_name& name, const executor_life& life,
+                        const executor_incarnation& next, time_point now);
+    void rebind_run(const task_name& name, const executor_incarnation& life,
                     time_point now);
     [[nodiscard]] static bool is_judged(const job_record& of,
                                         const job_task& task, std::int64_t run);
@@ -457,11 +457,12 @@
     [[nodiscard]] static duration shown_at_work(const task_run& run);
     void judge_crashes(worker_record& at, const worker_report& from,
                        time_point now);
-    void judge_crash(worker_record& at, const former_life& over,
+    void judge_crash(worker_record& at, const past_incarnation& over,
                      time_point now);
-    crash_company company_in(const former_life& over);
-    static time_point end_of(const former_life& over, const worker_record& at,
-                             const worker_report& from, time_point now);
+    crash_company company_in(const past_incarnation& over);
+    static time_point end_of(const past_incarnation& over,
+                             const worker_record& at, const worker_report& from,
+                             time_point now);
     [[nodiscard]] bool went_with_its_rack(const worker_record& at,
                                           time_point now) const;
     void suspect(const worker_record& at, const task_name& name,
--- a/packages/scheduler/include/springstair/detail/scheduler/ticket_book.hpp
+++ b/packages/scheduler/include/springstair/detail/scheduler/ticket_book.hpp
@@ -36,15 +36,15 @@
     ticket_map tickets(const std::string& step, time_point now) const;
     /// @brief A step needs a worker. Notes a question about those that were
     /// not asked about, unless one for the step waits already.
-    void want(const std::string& step, const std::vector<executor_life>& lives,
-              time_point now);
+    void want(const std::string& step,
+              const std::vector<executor_incarnation>& lives, time_point now);
     /// @brief The question that has waited longest; nothing while one is out
     /// or none waits.
     std::optional<advice_question> next_question(time_point now);
     /// @brief What came of the question that is out; nothing if no answer.
     void answered(const std::optional<advice_answer>& answer, time_point now);
     /// @brief A worker did not take its ticket: it is asked about again.
-    void refused(const std::string& step, const executor_life& life);
+    void refused(const std::string& step, const executor_incarnation& life);
     /// @brief The step needs no worker any more.
     void forget(const std::string& step);
 
@@ -56,10 +56,11 @@
     };
     struct step_record
     {
-        std::map<executor_life, ticket> good;
-        std::set<executor_life> asked;     ///< have a verdict, good or not
-        std::vector<executor_life> wanted; ///< to ask about; empty: nothing
-        time_point since{};                ///< when wanted was noted
+        std::map<executor_incarnation, ticket> good;
+        std::set<executor_incarnation> asked; ///< have a verdict, good or not
+        std::vector<executor_incarnation>
+            wanted;         ///< to ask about; empty: nothing
+        time_point since{}; ///< when wanted was noted
         time_point not_before{};
     };
 
--- a/packages/scheduler/include/springstair/detail/scheduler/worker_ledger.hpp
+++ b/packages/scheduler/include/springstair/detail/scheduler/worker_ledger.hpp
@@ -44,11 +44,12 @@
     std::optional<task_name> kept_for;
     time_point kept_until{};
     /// Former lives that its guard still tells of and that were judged.
-    std::set<executor_life> judged_lives;
+    std::set<executor_incarnation> judged_incarnations;
     /// The guard process that told of its executor's life last: of what goes
     /// with that life, it knows.
     std::string witness;
-    time_point life_since{}; ///< when its executor's life was first reported
+    time_point
+        incarnation_since{}; ///< when its executor's life was first reported
     /// When looks at its executor began to fail, or its guard fell silent.
     time_point lost{};
     time_point went{};         ///< the same of its executor's former life
--- a/packages/scheduler/src/job_record.cpp
+++ b/packages/scheduler/src/job_record.cpp
@@ -121,7 +121,7 @@
              .runs = task.runs,
              .failures = task.failures,
              .guard = task.run ? task.run->guard : std::string(),
-             .life = task.run ? task.run->life : executor_life(),
+             .life = task.run ? task.run->life : executor_incarnation(),
              .checkpoint = task.done ? std::string() : task.checkpoint,
              .suspicion = task.done ? 0 : task.suspicion,
              .crashes = task.crashes,
--- a/packages/scheduler/src/scheduler_leases.cpp
+++ b/packages/scheduler/src/scheduler_leases.cpp
@@ -43,7 +43,7 @@
 // its end as done would count, beside the run that has taken its place. So the
 // worker gets no lease until that one is over; nothing else of ours is there.
 void scheduler_core::await_lapse(worker_record& at, const worker_report& from,
-                                 bool knows_life)
+                                 bool knows_incarnation)
 {
     const bool awaited_before = at.has_to_lapse;
     // What was noted once is on its way to be acknowledged.
@@ -51,7 +51,7 @@
     const auto end = std::ranges::find_if(
         from.ended, [&](const ended_task& one)
         { return one.number > noted && is_end_given_up(at, one); });
-    at.has_to_lapse = knows_life && from.looked && from.lease_ms > 0 &&
+    at.has_to_lapse = knows_incarnation && from.looked && from.lease_ms > 0 &&
                       end != from.ended.end();
     if (at.has_to_lapse && !awaited_before)
     {
--- a/packages/scheduler/src/scheduler_losses.cpp
+++ b/packages/scheduler/src/scheduler_losses.cpp
@@ -9,8 +9,9 @@
 
 // Another life of the executor: all that ran there is gone, but for what the
 // same executor has taken in its next life.
-void scheduler_core::change_life(worker_record& at, const worker_report& from,
-                                 time_point now)
+void scheduler_core::on_executor_restart(worker_record& at,
+                                         const worker_report& from,
+                                         time_point now)
 {
     if (at.what.life.empty() || at.what.life == from.worker.life)
     {
@@ -20,13 +21,13 @@
     {
         for (const task_name& name : at.held)
         {
-            enter_life(name, from.worker.life, now);
+            rebind_run(name, from.worker.life, now);
         }
         return;
     }
     const bool is_witnessed =
         at.witness == from.incarnation ||
-        std::ranges::find(from.former, at.what.life, &former_life::life) !=
+        std::ranges::find(from.former, at.what.life, &past_incarnation::life) !=
             from.former.end();
     auto suspects =
         is_witnessed ? std::map<task_name, std::int64_t>{} : unproven_runs(at);
@@ -35,7 +36,7 @@
     {
         suspects.erase(name);
     }
-    lose_worker(at, runs.over, run_over::life_ended(), now);
+    lose_worker(at, runs.over, run_over::incarnation_ended(), now);
     outbox_.erase(at.guard); // meant for the life before
     follow_restart(at, runs, from.worker.life, now);
     suspect_unwitnessed(at, suspects, now);
@@ -86,22 +87,24 @@
 // there first: lost at once, it began later beside the next run of its task.
 void scheduler_core::follow_restart(worker_record& at,
                                     const runs_after_restart& runs,
-                                    const executor_life& next, time_point now)
+                                    const executor_incarnation& next,
+                                    time_point now)
 {
     for (const task_name& name : runs.taken)
     {
-        enter_life(name, next, now);
+        rebind_run(name, next, now);
     }
     for (const task_name& name : runs.open)
     {
-        enter_life(name, next, now);
+        rebind_run(name, next, now);
         task_run& run = *job_of(name.job)->find(name.at)->run;
         order_stop(run, name.text(), outbox_[at.guard]);
     }
 }
 
-void scheduler_core::enter_life(const task_name& name,
-                                const executor_life& life, time_point now)
+void scheduler_core::rebind_run(const task_name& name,
+                                const executor_incarnation& life,
+                                time_point now)
 {
     job_record& of = *job_of(name.job);
     task_run& run = *of.find(name.at)->run;
@@ -161,7 +164,7 @@
 }
 
 // When the executor of a former life went, as far as it is known.
-time_point scheduler_core::end_of(const former_life& over,
+time_point scheduler_core::end_of(const past_incarnation& over,
                                   const worker_record& at,
                                   const worker_report& from, time_point now)
 {
@@ -275,7 +278,7 @@
         }
     }
     follow_restart(at, runs, at.what.life, now);
-    lose_runs(runs.over, run_over::former_life_ended(), now);
+    lose_runs(runs.over, run_over::past_incarnation_ended(), now);
     suspect_unwitnessed(at, suspects, now);
 }
 
@@ -292,8 +295,8 @@
         {
             const task_run& run = *job_of(name.job)->find(name.at)->run;
             const bool is_witnessed =
-                std::ranges::find(from.former, run.life, &former_life::life) !=
-                from.former.end();
+                std::ranges::find(from.former, run.life,
+                                  &past_incarnation::life) != from.former.end();
             if (!is_witnessed)
             {
                 out.emplace(name, run.number);
@@ -363,11 +366,11 @@
 void scheduler_core::judge_crashes(worker_record& at, const worker_report& from,
                                    time_point now)
 {
-    std::set<executor_life> told;
-    for (const former_life& one : from.former)
+    std::set<executor_incarnation> told;
+    for (const past_incarnation& one : from.former)
     {
         told.insert(one.life);
-        if (at.judged_lives.insert(one.life).second)
+        if (at.judged_incarnations.insert(one.life).second)
         {
             at.went = end_of(one, at, from, now);
             judge_crash(at, one, now);
@@ -375,12 +378,12 @@
     }
     if (from.whole)
     {
-        at.judged_lives = std::move(told); // the others are told no more
+        at.judged_incarnations = std::move(told); // the others are told no more
     }
 }
 
-void scheduler_core::judge_crash(worker_record& at, const former_life& over,
-                                 time_point now)
+void scheduler_core::judge_crash(worker_record& at,
+                                 const past_incarnation& over, time_point now)
 {
     const crash_scope scope =
         went_with_its_rack(at, now) ? crash_scope::rack : crash_scope::executor;
@@ -419,7 +422,7 @@
 
 // Who may have caused a crash, those of jobs that have ended among them.
 scheduler_core::crash_company
-scheduler_core::company_in(const former_life& over)
+scheduler_core::company_in(const past_incarnation& over)
 {
     crash_company company;
     for (const begun_run& begun : over.begun)
--- a/packages/scheduler/src/scheduler_placing.cpp
+++ b/packages/scheduler/src/scheduler_placing.cpp
@@ -146,7 +146,7 @@
         candidates.begin(), candidates.end(),
         [](const worker_record* left, const worker_record* right)
         { return left->room().cpu_millis > right->room().cpu_millis; });
-    std::vector<executor_life> lives;
+    std::vector<executor_incarnation> lives;
     lives.reserve(candidates.size());
     for (const worker_record* at : candidates)
     {
--- a/packages/scheduler/src/scheduler_reports.cpp
+++ b/packages/scheduler/src/scheduler_reports.cpp
@@ -35,19 +35,19 @@
     at.reported = now;
     // A life that its guard has not heard itself may be a former one, and only
     // a whole report shows what a new one has taken.
-    const bool knows_life =
+    const bool knows_incarnation =
         !from.worker.life.empty() &&
         ((from.looked && from.whole) || from.worker.life == at.what.life);
-    const bool has_lapsed = knows_life && from.lapsed;
-    await_lapse(at, from, knows_life);
+    const bool has_lapsed = knows_incarnation && from.lapsed;
+    await_lapse(at, from, knows_incarnation);
     const duration permit = has_lapsed || at.has_to_lapse
                                 ? duration{0}
                                 : permit_for(from, now, verified);
     answer.permit_ms = to_milliseconds(permit);
     extend_lease(at, from, permit, now);
-    if (knows_life)
+    if (knows_incarnation)
     {
-        change_life(at, from, now);
+        on_executor_restart(at, from, now);
         at.what = from.worker;
         at.witness = from.incarnation;
         at.closed = data_centres_.is_closed(at.what.data_centre);
--- a/packages/scheduler/src/ticket_book.cpp
+++ b/packages/scheduler/src/ticket_book.cpp
@@ -24,7 +24,8 @@
 }
 
 void ticket_book::want(const std::string& step,
-                       const std::vector<executor_life>& lives, time_point now)
+                       const std::vector<executor_incarnation>& lives,
+                       time_point now)
 {
     step_record& of = steps_[step];
     const bool waits = !of.wanted.empty() || (out_ && out_->step == step);
@@ -33,7 +34,7 @@
         return;
     }
     of.since = now;
-    for (const executor_life& life : lives)
+    for (const executor_incarnation& life : lives)
     {
         const auto held = of.good.find(life);
         const bool holds = held != of.good.end() &&
@@ -92,7 +93,7 @@
     }
     const time_point until =
         out_since_ + std::chrono::milliseconds(answer->valid_ms);
-    for (const executor_life& life : question.lives)
+    for (const executor_incarnation& life : question.lives)
     {
         of.asked.insert(life);
         of.good.erase(life);
@@ -103,7 +104,8 @@
     }
 }
 
-void ticket_book::refused(const std::string& step, const executor_life& life)
+void ticket_book::refused(const std::string& step,
+                          const executor_incarnation& life)
 {
     const auto found = steps_.find(step);
     if (found != steps_.end())
--- a/tests/unit/adapter_tests.cpp
+++ b/tests/unit/adapter_tests.cpp
@@ -255,9 +255,9 @@
     };
     const auto told =
         adapter::decode_heartbeat(beat(R"(, "born": 1776000000001)"));
-    CHECK(told->worker.life == executor_life("i-7", 1'776'000'000'001));
+    CHECK(told->worker.life == executor_incarnation("i-7", 1'776'000'000'001));
     CHECK(adapter::decode_heartbeat(beat(""))->worker.life ==
-          executor_life("i-7"));
+          executor_incarnation("i-7"));
     for (const char* const wrong : {R"("1776000000001")", "1.5", "-1", "null"})
     {
         CAPTURE(wrong);
@@ -284,7 +284,7 @@
     CHECK(adapter::decode_leave(request("POST",
                                         "/springstair/executors/i-7/leave",
                                         R"({"born": 1776000000001})")) ==
-          executor_life("i-7", 1'776'000'000'001));
+          executor_incarnation("i-7", 1'776'000'000'001));
 }
 
 TEST_CASE(
@@ -551,15 +551,16 @@
 // During an upgrade, a record of one version is read by the other.
 TEST_CASE("a record tells of births what its writer knew")
 {
-    const auto life_of = [](const std::string& row)
+    const auto incarnation_of = [](const std::string& row)
     {
         return decode_progress(R"({"state": 1, "tasks": [)" + row + "]}")
             .tasks.at(0)
             .life;
     };
-    CHECK(life_of(R"([0,0,0,0,1,0,"g","i-7",""])") == executor_life("i-7"));
-    CHECK(life_of(R"([0,0,0,0,1,0,"g","i-7","",2,1,1])") ==
-          executor_life("i-7"));
+    CHECK(incarnation_of(R"([0,0,0,0,1,0,"g","i-7",""])") ==
+          executor_incarnation("i-7"));
+    CHECK(incarnation_of(R"([0,0,0,0,1,0,"g","i-7","",2,1,1])") ==
+          executor_incarnation("i-7"));
     const job_progress kept{
         .state = job_state::running,
         .tasks = {{.runs = 1, .guard = "g", .life = {"i-7", 5}}}};
@@ -572,7 +573,7 @@
 
 TEST_CASE("messages tell of births beside what older versions read")
 {
-    const executor_life life("i-7", 5);
+    const executor_incarnation life("i-7", 5);
     const json order = guard_orders{.epoch = 1, .life = life};
     CHECK(order.at("life") == "i-7");
     CHECK(order.get<guard_orders>().life == life);
@@ -580,13 +581,13 @@
     CHECK(what.at("life") == "i-7");
     CHECK(what.get<worker_description>() ==
           worker_description{.life = life, .service = "s"});
-    const json over = former_life{.life = life};
-    CHECK(over.get<former_life>().life == life);
+    const json over = past_incarnation{.life = life};
+    CHECK(over.get<past_incarnation>().life == life);
     CHECK(json{{"life", "i-7"}}.get<guard_orders>().life ==
-          executor_life("i-7"));
-    CHECK(life.may_be(executor_life("i-7")));
+          executor_incarnation("i-7"));
+    CHECK(life.may_be(executor_incarnation("i-7")));
     CHECK_FALSE(life.may_be({"i-7", 6}));
-    CHECK_FALSE(life.may_be(executor_life("i-8")));
+    CHECK_FALSE(life.may_be(executor_incarnation("i-8")));
 }
 
 TEST_CASE("reports and answers pass the wire unchanged")
--- a/tests/unit/crashing_fleet.hpp
+++ b/tests/unit/crashing_fleet.hpp
@@ -207,15 +207,16 @@
         report.lapsed = at.now - worker.gone >= lease_;
         if (at.now >= worker.back)
         {
-            begin_life(guard, worker);
+            begin_incarnation(guard, worker);
         }
     }
 
-    former_life former_of(const std::string& guard, const worker_state& worker)
+    past_incarnation former_of(const std::string& guard,
+                               const worker_state& worker)
     {
-        former_life over{.life = at.worker(guard).worker.life,
-                         .lost_ms =
-                             to_milliseconds(worker.gone - time_point{})};
+        past_incarnation over{.life = at.worker(guard).worker.life,
+                              .lost_ms =
+                                  to_milliseconds(worker.gone - time_point{})};
         for (const auto& [run, since] : worker.since)
         {
             if (worker.ended.contains(run))
@@ -235,7 +236,7 @@
         return over;
     }
 
-    void begin_life(const std::string& guard, worker_state& worker)
+    void begin_incarnation(const std::string& guard, worker_state& worker)
     {
         worker_report& report = at.worker(guard);
         report.former = {former_of(guard, worker)};
--- a/tests/unit/job_world.hpp
+++ b/tests/unit/job_world.hpp
@@ -86,9 +86,10 @@
     void hear_orders(std::size_t index, const guard_orders& orders);
 
     // Guards
-    void begin_life(std::size_t index);
+    void begin_incarnation(std::size_t index);
     duration time_away();
-    static executor_life next_life(guard_process& of, bool keeps_id);
+    static executor_incarnation next_incarnation(guard_process& of,
+                                                 bool keeps_id);
     void begin_guard(std::size_t index);
     void serve(std::size_t index);
     void beat(std::size_t index);
@@ -100,7 +101,7 @@
     void end_report(std::size_t index, const std::shared_ptr<run_keeper>& of,
                     duration pause);
     // An end that the holder acknowledges is in the store.
-    void note_acknowledged(std::size_t index, const executor_life& life,
+    void note_acknowledged(std::size_t index, const executor_incarnation& life,
                            std::int64_t number);
 
     // Workers
@@ -127,7 +128,7 @@
             if (late)
             {
                 later(milliseconds(2000 + draw(4000)),
-                      [this, index, what, to = life_at(index)]
+                      [this, index, what, to = incarnation_at(index)]
                       { carry_out_late(index, what, to); });
             }
             later(milliseconds(300), [this, keeper, what, sent = now_]
@@ -177,13 +178,14 @@
                    const std::shared_ptr<run_keeper>& keeper)
     {
         later(milliseconds(draw(longest_wait_ms)),
-              [this, index, what, to = life_at(index)]
+              [this, index, what, to = incarnation_at(index)]
               { carry_out_late(index, what, to); });
         later(call_limit, [this, keeper, what, sent = now_]
               { answer(*keeper, what, sent, order_result::unanswered); });
     }
 
-    [[nodiscard]] const executor_life& life_at(std::size_t index) const
+    [[nodiscard]] const executor_incarnation&
+    incarnation_at(std::size_t index) const
     {
         return guards_[index].executor.life;
     }
@@ -192,9 +194,9 @@
     // whichever one was meant. No bound of time holds for it.
     template <class Order>
     void carry_out_late(std::size_t index, const Order& what,
-                        const executor_life& sent_to)
+                        const executor_incarnation& sent_to)
     {
-        if (life_at(index) != sent_to)
+        if (incarnation_at(index) != sent_to)
         {
             return;
         }
@@ -226,7 +228,7 @@
     worker_look look_of(const fake_executor& at) const;
     std::int64_t draw_percent(const fake_executor::at_work& work) const;
     std::optional<order_result> refusal(fake_executor& at,
-                                        const executor_life& life,
+                                        const executor_incarnation& life,
                                         std::int64_t fence) const;
     order_result carry_out(std::size_t index, const start_run& what);
     void start(fake_executor& at, const std::string& task, std::int64_t run);
--- a/tests/unit/job_world_checks.cpp
+++ b/tests/unit/job_world_checks.cpp
@@ -45,7 +45,7 @@
         }
         if (chance(faults_.crash_worker))
         {
-            begin_life(index);
+            begin_incarnation(index);
         }
         if (chance(faults_.cut_guard))
         {
@@ -109,7 +109,7 @@
     {
         if (crashing_.contains(task))
         {
-            begin_life(index);
+            begin_incarnation(index);
             return;
         }
     }
--- a/tests/unit/job_world_guards.cpp
+++ b/tests/unit/job_world_guards.cpp
@@ -9,7 +9,7 @@
 namespace springstair::job_worlds
 {
 
-void job_world::begin_life(std::size_t index)
+void job_world::begin_incarnation(std::size_t index)
 {
     guard_process& guard = guards_[index];
     for (auto& [task, work] : guard.executor.running)
@@ -27,7 +27,7 @@
     }
     const bool keeps_id = guard.lives > 0 && draw(2) == 0;
     const duration away = keeps_id ? time_away() : duration{0};
-    guard.executor = {.life = next_life(guard, keeps_id),
+    guard.executor = {.life = next_incarnation(guard, keeps_id),
                       .rate = draw(2) == 0 ? 1.0 : 0.98,
                       .born = now_ + away};
     if (!guard.keeper)
@@ -44,7 +44,8 @@
 }
 
 // Births tell lives apart and do not order them.
-executor_life job_world::next_life(guard_process& of, bool keeps_id)
+executor_incarnation job_world::next_incarnation(guard_process& of,
+                                                 bool keeps_id)
 {
     ++of.lives;
     if (!keeps_id)
@@ -195,7 +196,8 @@
     }
 }
 
-void job_world::note_acknowledged(std::size_t index, const executor_life& life,
+void job_world::note_acknowledged(std::size_t index,
+                                  const executor_incarnation& life,
                                   std::int64_t number)
 {
     fake_executor& at = guards_[index].executor;
@@ -267,7 +269,7 @@
 
 // Why an executor does nothing for a call; nothing if it takes it.
 std::optional<order_result> job_world::refusal(fake_executor& at,
-                                               const executor_life& life,
+                                               const executor_incarnation& life,
                                                std::int64_t fence) const
 {
     if (now_ < at.busy_until || now_ < at.born)
--- a/tests/unit/job_world_holders.cpp
+++ b/tests/unit/job_world_holders.cpp
@@ -21,7 +21,7 @@
     for (std::size_t index = 0; index < guard_count; ++index)
     {
         guards_[index].name = "guard-" + std::to_string(index);
-        begin_life(index);
+        begin_incarnation(index);
     }
     take_over();
 }
--- a/tests/unit/job_world_parts.hpp
+++ b/tests/unit/job_world_parts.hpp
@@ -97,7 +97,7 @@
         resources demand;
     };
 
-    executor_life life;
+    executor_incarnation life;
     double rate = 1; ///< of its clock
     time_point born; ///< in the future while it is away
     std::int64_t fence = 0;
--- a/tests/unit/restarted_executor_tests.cpp
+++ b/tests/unit/restarted_executor_tests.cpp
@@ -160,7 +160,7 @@
 TEST_CASE("a life without a birth may be the one that is there")
 {
     restarted_worker with;
-    with.at.worker("g1").worker.life = executor_life("i-1");
+    with.at.worker("g1").worker.life = executor_incarnation("i-1");
     with.at.worker("g1").running = {with.row};
     with.hear();
     with.at.worker("g1").worker.life = {"i-1", 2};
@@ -194,7 +194,7 @@
     keeper.on_started({.order = orders.starts.at(0), .life = what.life},
                       order_result::unanswered, now);
     look(2);
-    CHECK(keeper.worker().life == executor_life("i-1", 2));
+    CHECK(keeper.worker().life == executor_incarnation("i-1", 2));
     CHECK(keeper.worker().service.empty());
     CHECK_FALSE(keeper.report(now).looked);
     now += milliseconds(20);
@@ -207,7 +207,7 @@
         }
     }
     REQUIRE(stops.size() == 1);
-    CHECK(stops.at(0).life == executor_life("i-1", 2));
+    CHECK(stops.at(0).life == executor_incarnation("i-1", 2));
     look(2);
     CHECK(keeper.report(now).starting == std::vector<std::string>{"j.0.0.0"});
     keeper.on_stopped(stops.at(0), order_result::accepted, now);
@@ -290,7 +290,7 @@
     REQUIRE(held_back.deadline_ms.has_value());
     at.answer(held_back, 2); // the next life answers
     const look_at_worker first = at.look_due();
-    REQUIRE(first.life == executor_life("i-1", 2));
+    REQUIRE(first.life == executor_incarnation("i-1", 2));
     CHECK(first.fence > held_back.fence);
     // Until that fence was there, any call of before could still be taken.
     at.now += seconds(3);
@@ -353,14 +353,14 @@
     run_keeper keeper({}, "guard process");
     keeper.on_worker({.life = {"i-1", 1}, .service = "s"}, 5, now);
     guard_orders orders{.epoch = 7,
-                        .life = executor_life("i-1"),
+                        .life = executor_incarnation("i-1"),
                         .incarnation = "guard process",
                         .starts = {{.task = "j.0.0.0", .run = 1}}};
     CHECK(keeper.on_orders(orders, now));
     CHECK(keeper.report(now).starting.size() == 1);
     orders.life = {"i-1", 2};
     CHECK_FALSE(keeper.on_orders(orders, now));
-    orders.life = executor_life("i-2");
+    orders.life = executor_incarnation("i-2");
     CHECK_FALSE(keeper.on_orders(orders, now));
 }
 
@@ -422,7 +422,7 @@
     }
     REQUIRE(at.where.at(task) == "g2");
     worker_report& back = at.worker("g1");
-    back.worker.life = executor_life("g1-1", 5);
+    back.worker.life = executor_incarnation("g1-1", 5);
     back.running.clear();
     back.ended = {{.number = 1, .task = task, .run = 1, .how = run_end::done}};
     back.lease_ms = 1500;
--- a/tests/unit/scheduler_tests.cpp
+++ b/tests/unit/scheduler_tests.cpp
@@ -318,7 +318,7 @@
     at.turn(milliseconds(400));
     const auto again = at.core.next_question(at.now);
     REQUIRE(again.has_value());
-    CHECK(again->lives == std::vector<executor_life>{"g2-1"});
+    CHECK(again->lives == std::vector<executor_incarnation>{"g2-1"});
 }
 
 TEST_CASE("priority goes first, then the earliest objective")
--- a/tests/unit/ticket_tests.cpp
+++ b/tests/unit/ticket_tests.cpp
@@ -12,7 +12,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-const std::vector<executor_life> three{"a", "b", "c"};
+const std::vector<executor_incarnation> three{"a", "b", "c"};
 
 } // namespace
 
@@ -35,7 +35,8 @@
     book.answered(std::nullopt, now);
     // Those that were not good stay so; others may be.
     book.want("j.0.0", {"a", "b", "c", "d"}, now);
-    CHECK(book.next_question(now)->lives == std::vector<executor_life>{"d"});
+    CHECK(book.next_question(now)->lives ==
+          std::vector<executor_incarnation>{"d"});
 }
 
 TEST_CASE("tickets end before their time, from the question on")
@@ -52,7 +53,8 @@
     now += milliseconds(200);
     CHECK(book.tickets("j.0.0", now).empty());
     book.want("j.0.0", three, now);
-    CHECK(book.next_question(now)->lives == std::vector<executor_life>{"a"});
+    CHECK(book.next_question(now)->lives ==
+          std::vector<executor_incarnation>{"a"});
 }
 
 TEST_CASE("a question without an answer is asked again, after a pause")
@@ -80,7 +82,8 @@
     book.refused("j.0.0", "a");
     CHECK(book.tickets("j.0.0", now).empty());
     book.want("j.0.0", three, now);
-    CHECK(book.next_question(now)->lives == std::vector<executor_life>{"a"});
+    CHECK(book.next_question(now)->lives ==
+          std::vector<executor_incarnation>{"a"});
 }
 
 TEST_CASE("an answer for a step that needs none any more changes nothing")
