--- a/packages/daemon/src/entry_control.hpp
+++ b/packages/daemon/src/entry_control.hpp
@@ -153,7 +153,7 @@
     time_point started_;
     std::string incarnation_;
     request_core requests_;
-    table_keeper table_;
+    table_synchronizer table_;
     task_core tasks_;
     rpc_dispatcher rpc_;
     std::map<request_number, open_request> open_;
--- a/packages/daemon/src/guard_control.hpp
+++ b/packages/daemon/src/guard_control.hpp
@@ -113,7 +113,7 @@
     daemon_clock clock_;
     std::string incarnation_;
     guard_core core_;
-    task_keeper keeper_;
+    attempt_tracker keeper_;
     worker_client worker_;
     rpc_dispatcher rpc_;
     std::map<attempt_name, open_attempt> open_;
--- a/packages/daemon/src/job_guard_role.cpp
+++ b/packages/daemon/src/job_guard_role.cpp
@@ -31,7 +31,7 @@
 constexpr duration leader_watch_wait = std::chrono::seconds(2);
 constexpr int incarnation_bytes_of_guard = 6;
 
-run_keeper_options keeper_options(const job_settings& from)
+run_reconciler_options reconciler_options(const job_settings& from)
 {
     return {.longest_lease = from.longest_lease, .stop_time = from.stop_time};
 }
@@ -44,7 +44,7 @@
           leader_watch_(process, store_, leader_watch_wait,
                         [this](const std::optional<platform::store_item>& item)
                         { on_leader(item); }),
-          keeper_(keeper_options(process.from),
+          keeper_(reconciler_options(process.from),
                   random_hex(incarnation_bytes_of_guard)),
           holder_(process.from.entries)
     {
@@ -136,12 +136,12 @@
         }
     }
 
-    void on_looked(const look_at_worker& what, const http_result& result,
+    void on_polled(const poll_executor& what, const http_result& result,
                    time_point sent)
     {
         const executor_incarnation before = keeper_.worker().life;
-        keeper_.on_looked(what.life, platform::decode_result(result),
-                          platform::decode_look(result), sent,
+        keeper_.on_polled(what.life, platform::decode_result(result),
+                          platform::decode_poll(result), sent,
                           boot_clock::now());
         if (keeper_.worker().life == before)
         {
@@ -155,7 +155,7 @@
                       [&](const auto& one) { return one.first == before; });
     }
 
-    void carry_out(const keeper_action& action)
+    void carry_out(const executor_action& action)
     {
         std::visit([this](const auto& what) { send(what); }, action);
     }
@@ -219,11 +219,11 @@
             { keeper_.on_paced(what, platform::decode_result(result)); });
     }
 
-    void send(const look_at_worker& what)
+    void send(const poll_executor& what)
     {
         const time_point sent = boot_clock::now();
         call_executor(what, [this, sent, what](const http_result& result)
-                      { on_looked(what, result, sent); });
+                      { on_polled(what, result, sent); });
     }
 
     // The holder -------------------------------------------------------------
@@ -340,7 +340,7 @@
     void tick(time_point now)
     {
         ask_store(now);
-        for (const keeper_action& action : keeper_.due(now))
+        for (const executor_action& action : keeper_.due(now))
         {
             carry_out(action);
         }
@@ -356,7 +356,7 @@
                        {"use_percent",
                         std::to_string(static_cast<int>(100 * one.use))}});
         }
-        if (keeper_.take_news() && !holder_.has_failed())
+        if (keeper_.take_report_due() && !holder_.has_failed())
         {
             next_report_ = std::min(next_report_, now + report_gap);
         }
@@ -374,7 +374,7 @@
     job_process& process_;
     platform::store_client store_;
     leader_watch leader_watch_;
-    run_keeper keeper_;
+    run_reconciler keeper_;
     leader_finder holder_;
     rpc_dispatcher rpc_;
     std::map<executor_incarnation, heard_executor> executors_;
--- a/packages/entry/include/springstair/detail/entry/table_keeper.hpp
+++ b/packages/entry/include/springstair/detail/entry/table_synchronizer.hpp
@@ -21,7 +21,7 @@
 } // namespace store_keys
 
 /// @brief Times of the table's keeper.
-struct table_keeper_options
+struct table_synchronizer_options
 {
     std::string writer; ///< prefix of the nonces of this process
     duration poll = std::chrono::seconds(1);
@@ -85,11 +85,11 @@
 /// again: the nonce is there (committed), or the document has moved on (that
 /// write can never take effect), or it has not (the same write is sent
 /// again; only one of the two can win).
-class table_keeper
+class table_synchronizer
 {
 public:
     /// @param options times and the writer's name
-    explicit table_keeper(table_keeper_options options);
+    explicit table_synchronizer(table_synchronizer_options options);
 
     /// @brief An operator's edit.
     table_actions on_edit(time_point now, edit_number number,
@@ -140,7 +140,7 @@
     void end(edit_ended how, time_point now, table_actions& actions);
     void note_store(const kv_answer& answer, table_actions& actions);
 
-    table_keeper_options options_;
+    table_synchronizer_options options_;
     std::deque<pending_edit> edits_;
     std::int64_t seen_mod_revision_ = 0;
     std::int64_t seen_revision_ = 0;
--- a/packages/entry/include/springstair/detail/entry/task_core.hpp
+++ b/packages/entry/include/springstair/detail/entry/task_core.hpp
@@ -23,7 +23,7 @@
     std::int64_t shards = 8; ///< of the whole fleet; never changed
     std::int64_t lease_seconds = 10;
     duration renew_every = std::chrono::seconds(3);
-    duration look_every = std::chrono::seconds(2);
+    duration shard_poll_interval = std::chrono::seconds(2);
     duration adopt_after = std::chrono::seconds(3);
     duration commit_every = std::chrono::milliseconds(200);
     duration retry = std::chrono::milliseconds(300);
@@ -214,7 +214,7 @@
     // The store and the shards.
     store_call ask(kv_operation operation);
     void keep_lease(time_point now, task_actions& actions);
-    void look_for_shards(time_point now, task_actions& actions);
+    void poll_shard_holders(time_point now, task_actions& actions);
     void take_shards(time_point now, const kv_answer& answer,
                      const std::set<std::string>& entries,
                      task_actions& actions);
@@ -309,9 +309,9 @@
     std::int64_t lease_ = 0;
     std::optional<store_token> lease_token_;
     time_point next_renewal_{};
-    std::optional<store_token> look_token_;
+    std::optional<store_token> shard_poll_token_;
     time_point next_look_{};
-    time_point look_asked_{};
+    time_point shard_poll_sent_at_{};
     std::optional<kv_answer> seen_shards_;
     std::map<std::pair<std::string, std::int64_t>, time_point> unknown_since_;
     store_token next_token_ = 1;
--- a/packages/entry/src/table_keeper.cpp
+++ b/packages/entry/src/table_synchronizer.cpp
@@ -39,17 +39,18 @@
 
 } // namespace
 
-table_keeper::table_keeper(table_keeper_options options)
+table_synchronizer::table_synchronizer(table_synchronizer_options options)
     : options_(std::move(options))
 {
 }
 
-store_call table_keeper::ask(kv_operation operation)
+store_call table_synchronizer::ask(kv_operation operation)
 {
     return {.token = next_token_++, .operation = std::move(operation)};
 }
 
-void table_keeper::note_store(const kv_answer& answer, table_actions& actions)
+void table_synchronizer::note_store(const kv_answer& answer,
+                                    table_actions& actions)
 {
     const bool answered = answer.how == kv_answer::state::done;
     if (answered != available_)
@@ -63,7 +64,8 @@
 // Reading
 // ---------------------------------------------------------------------------
 
-void table_keeper::take_document(const kv_item& item, table_actions& actions)
+void table_synchronizer::take_document(const kv_item& item,
+                                       table_actions& actions)
 {
     if (item.mod_revision <= seen_mod_revision_)
     {
@@ -91,7 +93,7 @@
     }
 }
 
-table_actions table_keeper::on_tick(time_point now)
+table_actions table_synchronizer::on_tick(time_point now)
 {
     table_actions actions;
     if (!poll_ && now >= next_poll_)
@@ -129,8 +131,8 @@
 // Edits
 // ---------------------------------------------------------------------------
 
-table_actions table_keeper::on_edit(time_point now, edit_number number,
-                                    std::vector<cell_edit> edits)
+table_actions table_synchronizer::on_edit(time_point now, edit_number number,
+                                          std::vector<cell_edit> edits)
 {
     table_actions actions;
     pending_edit fresh;
@@ -147,7 +149,7 @@
     return actions;
 }
 
-void table_keeper::begin_next(time_point now, table_actions& actions)
+void table_synchronizer::begin_next(time_point now, table_actions& actions)
 {
     if (!edits_.empty() && now < edits_.front().deadline)
     {
@@ -155,7 +157,7 @@
     }
 }
 
-void table_keeper::read_again(table_actions& actions)
+void table_synchronizer::read_again(table_actions& actions)
 {
     pending_edit& edit = edits_.front();
     store_call call = ask(kv_range{.key = store_keys::table});
@@ -164,15 +166,17 @@
     actions.emplace_back(std::move(call));
 }
 
-void table_keeper::end(edit_ended how, time_point now, table_actions& actions)
+void table_synchronizer::end(edit_ended how, time_point now,
+                             table_actions& actions)
 {
     edits_.pop_front();
     actions.emplace_back(std::move(how));
     begin_next(now, actions);
 }
 
-void table_keeper::write(const edit_result& edited, std::int64_t mod_revision,
-                         table_actions& actions)
+void table_synchronizer::write(const edit_result& edited,
+                               std::int64_t mod_revision,
+                               table_actions& actions)
 {
     pending_edit& edit = edits_.front();
     const auto revision = edited.document.at("revision").get<std::int64_t>();
@@ -196,8 +200,8 @@
     actions.emplace_back(std::move(call));
 }
 
-void table_keeper::after_read(time_point now, const kv_answer& answer,
-                              table_actions& actions)
+void table_synchronizer::after_read(time_point now, const kv_answer& answer,
+                                    table_actions& actions)
 {
     pending_edit& edit = edits_.front();
     if (answer.how != kv_answer::state::done)
@@ -257,8 +261,8 @@
     write(edited, mod_revision, actions);
 }
 
-void table_keeper::after_write(time_point now, const kv_answer& answer,
-                               table_actions& actions)
+void table_synchronizer::after_write(time_point now, const kv_answer& answer,
+                                     table_actions& actions)
 {
     pending_edit& edit = edits_.front();
     if (answer.how == kv_answer::state::unknown)
@@ -275,8 +279,8 @@
     read_again(actions);
 }
 
-table_actions table_keeper::on_store(time_point now, store_token token,
-                                     const kv_answer& answer)
+table_actions table_synchronizer::on_store(time_point now, store_token token,
+                                           const kv_answer& answer)
 {
     table_actions actions;
     note_store(answer, actions);
--- a/packages/entry/src/task_core.cpp
+++ b/packages/entry/src/task_core.cpp
@@ -475,7 +475,7 @@
                         task_actions& actions)
 {
     keep_lease(now, actions);
-    look_for_shards(now, actions);
+    poll_shard_holders(now, actions);
     if (seen_shards_)
     {
         const kv_answer seen = *std::exchange(seen_shards_, std::nullopt);
--- a/packages/entry/src/task_shards.cpp
+++ b/packages/entry/src/task_shards.cpp
@@ -86,16 +86,16 @@
 // Holders' keys
 // ---------------------------------------------------------------------------
 
-void task_core::look_for_shards(time_point now, task_actions& actions)
+void task_core::poll_shard_holders(time_point now, task_actions& actions)
 {
-    if (look_token_ || now < next_look_)
+    if (shard_poll_token_ || now < next_look_)
     {
         return;
     }
-    next_look_ = now + options_.look_every;
+    next_look_ = now + options_.shard_poll_interval;
     store_call call = ask(kv_range{.key = task_keys::holders, .prefix = true});
-    look_token_ = call.token;
-    look_asked_ = now;
+    shard_poll_token_ = call.token;
+    shard_poll_sent_at_ = now;
     actions.emplace_back(std::move(call));
 }
 
@@ -127,7 +127,7 @@
                 holder != nullptr && holder->create_revision > of.epoch;
             if (holder != nullptr && holder->create_revision == of.epoch)
             {
-                of.confirmed = look_asked_;
+                of.confirmed = shard_poll_sent_at_;
             }
             if (overtaken)
             {
@@ -285,7 +285,7 @@
 {
     draining_ = true;
     next_look_ = now;
-    look_for_shards(now, actions);
+    poll_shard_holders(now, actions);
 }
 
 // ---------------------------------------------------------------------------
@@ -312,9 +312,9 @@
         }
         return;
     }
-    if (look_token_ == token)
+    if (shard_poll_token_ == token)
     {
-        look_token_.reset();
+        shard_poll_token_.reset();
         if (answered)
         {
             seen_shards_ = answer;
--- a/packages/guard/include/springstair/detail/guard/task_keeper.hpp
+++ b/packages/guard/include/springstair/detail/guard/attempt_tracker.hpp
@@ -13,7 +13,7 @@
 {
 
 /// @brief What a guard is told by its settings about tasks.
-struct task_keeper_options
+struct attempt_tracker_options
 {
     std::string incarnation;
     resources capacity; ///< of the worker, less what its executor needs
@@ -28,11 +28,11 @@
 /// An attempt's needs are booked before the worker is asked to start it and
 /// freed only when the worker lists it as ended, so the sum of what runs
 /// never exceeds the capacity. Ends come from the worker's list alone.
-class task_keeper
+class attempt_tracker
 {
 public:
     /// @param options from the settings
-    explicit task_keeper(task_keeper_options options);
+    explicit attempt_tracker(attempt_tracker_options options);
 
     /// @brief An entry asks for a start.
     task_reply on_start(time_point now, const start_task& what,
@@ -98,7 +98,7 @@
     void end_missing(duration worker_clock,
                      const std::set<task_attempt>& listed);
 
-    task_keeper_options options_;
+    attempt_tracker_options options_;
     std::map<task_attempt, kept_attempt> attempts_;
     std::map<task_attempt, time_point> closed_;
     std::map<std::int64_t, std::int64_t> epochs_;
--- a/packages/guard/include/springstair/detail/guard/run_keeper.hpp
+++ b/packages/guard/include/springstair/detail/guard/run_reconciler.hpp
@@ -14,7 +14,7 @@
 {
 
 /// @brief Timings of a guard's dealings with its worker.
-struct run_keeper_options
+struct run_reconciler_options
 {
     /// Longest lease that the worker takes (platform setting).
     duration longest_lease = std::chrono::seconds(6);
@@ -43,9 +43,9 @@
     std::size_t most_ends_listed = 500;
     /// How long the worker may wait for an end before it answers a look.
     /// Sets the age of what reports say and how often leases are extended.
-    duration look_wait = std::chrono::milliseconds(500);
+    duration poll_wait = std::chrono::milliseconds(500);
     /// Pause after a look that got no answer.
-    duration look_retry = std::chrono::milliseconds(100);
+    duration poll_retry = std::chrono::milliseconds(100);
     /// Pause between looks while ends wait for their acknowledgement: about
     /// a write to the store and a report's way.
     duration unacknowledged_pause = std::chrono::milliseconds(30);
@@ -86,19 +86,19 @@
 std::string_view to_string(order_result value) noexcept;
 
 /// @brief The worker's lists and its clock.
-struct worker_look
+struct executor_snapshot
 {
     std::int64_t clock_ms = 0;
     std::int64_t born_ms = 0; ///< of who answered; 0: not told
     std::vector<running_task> running;
     std::vector<ended_task> ended;
 
-    bool operator==(const worker_look&) const = default;
+    bool operator==(const executor_snapshot&) const = default;
 };
 
 // What a guard has its worker do. Each call names the life that is meant, of
 // which the executor compares the id alone. Once an executor has taken a call
-// of one fence, it takes none of a lower one: see run_keeper::fence().
+// of one fence, it takes none of a lower one: see run_reconciler::fence().
 
 /// @brief Start a run. @a deadline_ms is on the worker's clock.
 struct start_run
@@ -128,32 +128,32 @@
 };
 
 /// @brief Extend the lease, acknowledge ends and ask for both lists.
-struct look_at_worker
+struct poll_executor
 {
     std::optional<std::int64_t> deadline_ms;
     std::int64_t acknowledged = 0;
     /// With an acknowledgement: it may reach only who was there at that time,
     /// when the newest look that this life has answered was sent.
-    std::optional<time_point> vouched_at;
+    std::optional<time_point> connected_before;
     std::int64_t wait_ms = 0;
     std::int64_t fence = 0;
     executor_incarnation life;
 };
 
 /// @brief One thing to do.
-using keeper_action =
-    std::variant<start_run, stop_run, pace_run, look_at_worker>;
+using executor_action =
+    std::variant<start_run, stop_run, pace_run, poll_executor>;
 
 /// @brief Keeps the runs of one worker as the holder of its jobs orders.
 ///
 /// It decides nothing about jobs: it repeats orders until their effect is
 /// certain, extends the lease as far as the holder permits, and reports.
-class run_keeper
+class run_reconciler
 {
 public:
     /// @param incarnation of the guard's process; differs from all others'
-    explicit run_keeper(run_keeper_options options = {},
-                        std::string incarnation = {});
+    explicit run_reconciler(run_reconciler_options options = {},
+                            std::string incarnation = {});
 
     /// @brief The executor beside this guard said who it is.
     void on_worker(const worker_description& what, std::int64_t clock_ms,
@@ -174,12 +174,12 @@
     void on_paced(const pace_run& what, order_result result);
     /// @brief A look ended. @param asked the life that was meant
     /// @param look nothing if it got no answer
-    void on_looked(const executor_incarnation& asked, order_result result,
-                   const std::optional<worker_look>& look, time_point sent,
-                   time_point now);
+    void on_polled(const executor_incarnation& asked, order_result result,
+                   const std::optional<executor_snapshot>& look,
+                   time_point sent, time_point now);
 
     /// @brief What to do now.
-    std::vector<keeper_action> due(time_point now);
+    std::vector<executor_action> due(time_point now);
     [[nodiscard]] const std::string& incarnation() const noexcept
     {
         return incarnation_;
@@ -187,7 +187,7 @@
     /// @brief The present report, without the guard's own name and address.
     [[nodiscard]] worker_report report(time_point now) const;
     /// @brief Whether something is new since the last call; clears it.
-    bool take_news() noexcept;
+    bool take_report_due() noexcept;
 
     [[nodiscard]] std::int64_t epoch() const noexcept
     {
@@ -231,7 +231,7 @@
         stopped   ///< until a later look shows that it is gone
     };
 
-    struct kept_run
+    struct tracked_run
     {
         start_order order;
         stage at = stage::starting;
@@ -291,26 +291,26 @@
     void begin_incarnation(const executor_incarnation& next, time_point now);
     void carry_doubts(time_point now);
     void on_unconfirmed_polled(order_result result,
-                               const std::optional<worker_look>& look,
+                               const std::optional<executor_snapshot>& look,
                                time_point now);
     void switch_incarnation(const executor_incarnation& who, time_point now);
     void spare_taken_runs();
-    void poll_unconfirmed(time_point now, std::vector<keeper_action>& out);
-    void refuse(const std::string& task, kept_run& run,
+    void poll_unconfirmed(time_point now, std::vector<executor_action>& out);
+    void refuse(const std::string& task, tracked_run& run,
                 const std::string& reason, time_point now);
     void settle(time_point sent, time_point now);
     void note_health(order_result result);
     void remember_incarnation(time_point now);
-    void remember_run(const std::string& task, const kept_run& run);
+    void remember_run(const std::string& task, const tracked_run& run);
     void forget_reported_incarnations(const worker_report& report,
                                       time_point now);
     void list_runs(worker_report& out) const;
-    void act_on_run(const std::string& task, kept_run& run, time_point now,
-                    std::vector<keeper_action>& out);
-    void act_on_worker(time_point now, std::vector<keeper_action>& out);
+    void act_on_run(const std::string& task, tracked_run& run, time_point now,
+                    std::vector<executor_action>& out);
+    void act_on_worker(time_point now, std::vector<executor_action>& out);
     void give_back_unstarted(time_point now);
     void take_stop(const stop_order& order, time_point now);
-    void stop_beside(std::vector<keeper_action>& out);
+    void stop_beside(std::vector<executor_action>& out);
     void tell_given_back(refused_run what, time_point now);
     [[nodiscard]] bool was_given_back(const start_order& order);
     [[nodiscard]] bool has_ended(const start_order& order) const;
@@ -318,8 +318,8 @@
     void give_back(const std::vector<std::string>& tasks, const char* why,
                    time_point now);
     [[nodiscard]] static bool is_void(std::int64_t until_ms, time_point now);
-    void act_on_pace(const std::string& task, kept_run& run,
-                     std::vector<keeper_action>& out);
+    void act_on_pace(const std::string& task, tracked_run& run,
+                     std::vector<executor_action>& out);
     [[nodiscard]] std::int64_t worker_clock(time_point now) const;
     [[nodiscard]] static std::int64_t vm_clock_ms(time_point now);
     [[nodiscard]] bool is_silent(time_point now) const;
@@ -332,7 +332,7 @@
     [[nodiscard]] bool is_ended(const std::string& task,
                                 std::int64_t run) const;
 
-    run_keeper_options options_;
+    run_reconciler_options options_;
     std::string incarnation_;
     worker_description worker_;
     unconfirmed_incarnation unconfirmed_;
@@ -350,13 +350,13 @@
     time_point answered_{};     ///< when the worker last answered or spoke
     time_point leased_until_{}; ///< no lease asked for lasts longer
     std::int64_t acknowledged_ = 0;
-    std::map<std::string, kept_run> runs_;
-    bool looked_ = false;
-    time_point looked_at_{};   ///< when its lists came last
-    bool look_failed_ = false; ///< the newest one; the next is to tell more
+    std::map<std::string, tracked_run> runs_;
+    bool polled_ = false;
+    time_point polled_at_{};   ///< when its lists came last
+    bool poll_failed_ = false; ///< the newest one; the next is to tell more
     std::optional<time_point> failing_since_; ///< of looks that all failed
-    time_point vouched_at_{};                 ///< see look_at_worker
-    bool look_open_ = false;
+    time_point vouched_at_{};                 ///< see poll_executor
+    bool poll_open_ = false;
     time_point next_look_{};
     std::vector<running_task> running_;
     std::vector<ended_task> ended_;
@@ -370,7 +370,7 @@
     /// The worker's newest answer was that it does nothing, or nobody takes
     /// calls at its address.
     bool refuses_ = false;
-    bool news_ = false;
+    bool report_due_ = false;
 };
 
 } // namespace springstair
--- a/packages/guard/include/springstair/guard.hpp
+++ b/packages/guard/include/springstair/guard.hpp
@@ -2,7 +2,7 @@
 /// @file
 /// The guard's decisions: the only admission to one executor and worker.
 
+#include <springstair/detail/guard/attempt_tracker.hpp>
 #include <springstair/detail/guard/guard_core.hpp>
 #include <springstair/detail/guard/leader_finder.hpp>
-#include <springstair/detail/guard/run_keeper.hpp>
-#include <springstair/detail/guard/task_keeper.hpp>
+#include <springstair/detail/guard/run_reconciler.hpp>
--- a/packages/guard/src/task_keeper.cpp
+++ b/packages/guard/src/attempt_tracker.cpp
@@ -29,12 +29,12 @@
 
 } // namespace
 
-task_keeper::task_keeper(task_keeper_options options)
+attempt_tracker::attempt_tracker(attempt_tracker_options options)
     : options_(std::move(options))
 {
 }
 
-resources task_keeper::free() const
+resources attempt_tracker::free() const
 {
     resources left = options_.capacity;
     for (const auto& [name, kept] : attempts_)
@@ -53,7 +53,7 @@
 
 // Whoever holds a shard has a higher epoch than all who held it before, so
 // a holder that was frozen and overtaken is told apart by it.
-bool task_keeper::stale(std::int64_t shard, std::int64_t epoch)
+bool attempt_tracker::stale(std::int64_t shard, std::int64_t epoch)
 {
     std::int64_t& newest = epochs_[shard];
     if (epoch < newest)
@@ -64,7 +64,7 @@
     return false;
 }
 
-std::string task_keeper::objection(const start_task& what) const
+std::string attempt_tracker::objection(const start_task& what) const
 {
     if (what.incarnation != options_.incarnation)
     {
@@ -95,8 +95,8 @@
     return what.spec.needs.fits(free()) ? "" : "no_room";
 }
 
-task_reply task_keeper::on_start(time_point now, const start_task& what,
-                                 worker_actions& actions)
+task_reply attempt_tracker::on_start(time_point now, const start_task& what,
+                                     worker_actions& actions)
 {
     if (stale(what.shard, what.epoch))
     {
@@ -129,13 +129,13 @@
     return {.accepted = true, .reason = {}};
 }
 
-void task_keeper::close(time_point now, const task_attempt& name)
+void attempt_tracker::close(time_point now, const task_attempt& name)
 {
     closed_[name] = now;
 }
 
-task_reply task_keeper::on_stop(time_point now, const stop_task& what,
-                                worker_actions& actions)
+task_reply attempt_tracker::on_stop(time_point now, const stop_task& what,
+                                    worker_actions& actions)
 {
     if (stale(what.shard, what.epoch))
     {
@@ -162,9 +162,9 @@
     return {.accepted = true, .reason = {}};
 }
 
-void task_keeper::on_acked(time_point now,
-                           const std::vector<attempt_ack>& acked,
-                           worker_actions& actions)
+void attempt_tracker::on_acked(time_point now,
+                               const std::vector<attempt_ack>& acked,
+                               worker_actions& actions)
 {
     std::vector<task_attempt> gone;
     for (const attempt_ack& ack : acked)
@@ -193,7 +193,7 @@
 // The worker's list
 // ---------------------------------------------------------------------------
 
-void task_keeper::take_listed(const listed_task& item)
+void attempt_tracker::take_listed(const listed_task& item)
 {
     if (closed_.contains(item.name))
     {
@@ -216,8 +216,8 @@
 }
 
 // A stop that overtook its start found nothing to stop.
-void task_keeper::stop_again(const listed_task& item,
-                             worker_actions& actions) const
+void attempt_tracker::stop_again(const listed_task& item,
+                                 worker_actions& actions) const
 {
     const auto found = attempts_.find(item.name);
     const bool due = found != attempts_.end() && found->second.stopping &&
@@ -233,8 +233,8 @@
 // An attempt that the worker listed before and lists no more has died. One
 // that it never listed may still start until its window has closed on the
 // worker's own clock, however long either side was paused.
-void task_keeper::end_missing(duration worker_clock,
-                              const std::set<task_attempt>& listed)
+void attempt_tracker::end_missing(duration worker_clock,
+                                  const std::set<task_attempt>& listed)
 {
     for (auto& [name, kept] : attempts_)
     {
@@ -251,9 +251,9 @@
     }
 }
 
-void task_keeper::on_worker_list(time_point now, duration worker_clock,
-                                 const std::vector<listed_task>& list,
-                                 worker_actions& actions)
+void attempt_tracker::on_worker_list(time_point now, duration worker_clock,
+                                     const std::vector<listed_task>& list,
+                                     worker_actions& actions)
 {
     clock_read_ = now;
     worker_clock_ = worker_clock;
@@ -295,7 +295,7 @@
 // Time
 // ---------------------------------------------------------------------------
 
-void task_keeper::on_tick(time_point now, worker_actions& actions)
+void attempt_tracker::on_tick(time_point now, worker_actions& actions)
 {
     std::erase_if(closed_, [&](const auto& item)
                   { return now - item.second > options_.remember_closed; });
@@ -318,7 +318,7 @@
     }
 }
 
-std::vector<attempt_report> task_keeper::reports() const
+std::vector<attempt_report> attempt_tracker::reports() const
 {
     std::vector<attempt_report> all;
     all.reserve(attempts_.size());
--- a/packages/guard/src/run_keeper.cpp
+++ b/packages/guard/src/run_reconciler.cpp
@@ -39,11 +39,13 @@
 // Processes of a guard that an epoch tells apart, and lives that a process
 // does; the last ones share a fence.
 constexpr std::int64_t fences_a_level = std::int64_t{1} << 12;
-static_assert(fences_a_level * fences_a_level == run_keeper::fences_an_epoch);
+static_assert(fences_a_level * fences_a_level ==
+              run_reconciler::fences_an_epoch);
 
 } // namespace
 
-run_keeper::run_keeper(run_keeper_options options, std::string incarnation)
+run_reconciler::run_reconciler(run_reconciler_options options,
+                               std::string incarnation)
     : options_(options), incarnation_(std::move(incarnation)),
       interference_(options.interference)
 {
@@ -53,23 +55,23 @@
 // The executor
 // ---------------------------------------------------------------------------
 
-std::int64_t run_keeper::worker_clock(time_point now) const
+std::int64_t run_reconciler::worker_clock(time_point now) const
 {
     return clock_ms_ + to_milliseconds(now - clock_at_);
 }
 
-bool run_keeper::is_silent(time_point now) const
+bool run_reconciler::is_silent(time_point now) const
 {
     return now - answered_ > options_.silence;
 }
 
-std::int64_t run_keeper::vm_clock_ms(time_point now)
+std::int64_t run_reconciler::vm_clock_ms(time_point now)
 {
     return to_milliseconds(now - time_point{});
 }
 
 // The permit may still be used; what was asked for may be in force.
-std::int64_t run_keeper::lease_left(time_point now) const
+std::int64_t run_reconciler::lease_left(time_point now) const
 {
     const duration permitted = from_seconds(to_seconds(permit_until_ - now) *
                                             (1 + options_.clock_drift));
@@ -79,7 +81,7 @@
 
 // The worker's time at which a lease of a length from now ends. Its clock
 // may be behind the estimate, and slow: the lease can last a little longer.
-std::int64_t run_keeper::lease_to(duration left, time_point now)
+std::int64_t run_reconciler::lease_to(duration left, time_point now)
 {
     const duration behind =
         from_seconds(to_seconds(now - clock_at_) * options_.clock_drift);
@@ -92,7 +94,7 @@
 
 // Calls of before, of an earlier guard or meant for the life before, may have
 // asked for any lease: only the longest one bounds it.
-void run_keeper::expect_longest_lease(time_point from)
+void run_reconciler::expect_longest_lease(time_point from)
 {
     const duration longest = from_seconds(to_seconds(options_.longest_lease) *
                                           (1 + options_.clock_drift));
@@ -102,7 +104,7 @@
 
 // A lease is a time on the clock of the present life. Not while that clock is
 // unknown, or while the executor may have started again.
-bool run_keeper::may_lease(time_point now) const
+bool run_reconciler::may_lease(time_point now) const
 {
     const bool may_be_over = unconfirmed_.what.life.id == worker_.life.id;
     return knows_clock_ && !may_be_over && !is_silent(now);
@@ -111,7 +113,7 @@
 // The processes of a guard are told apart by the holder's admissions. Without
 // one of the present epoch, a process may use fences below those of the one
 // before it; it is refused until the holder has admitted it.
-std::int64_t run_keeper::fence() const noexcept
+std::int64_t run_reconciler::fence() const noexcept
 {
     const std::int64_t process =
         admission_.epoch == epoch_ ? admission_.number : 0;
@@ -120,14 +122,14 @@
            std::min(incarnation_count_, fences_a_level - 1);
 }
 
-bool run_keeper::is_running(const std::string& task, std::int64_t run) const
+bool run_reconciler::is_running(const std::string& task, std::int64_t run) const
 {
     return std::any_of(running_.begin(), running_.end(),
                        [&](const running_task& row)
                        { return row.task == task && row.run == run; });
 }
 
-bool run_keeper::is_ended(const std::string& task, std::int64_t run) const
+bool run_reconciler::is_ended(const std::string& task, std::int64_t run) const
 {
     return std::any_of(ended_.begin(), ended_.end(),
                        [&](const ended_task& row)
@@ -138,7 +140,7 @@
 // The holder
 // ---------------------------------------------------------------------------
 
-bool run_keeper::on_orders(const guard_orders& orders, time_point now)
+bool run_reconciler::on_orders(const guard_orders& orders, time_point now)
 {
     if (orders.epoch < epoch_ || orders.epoch == 0)
     {
@@ -160,7 +162,7 @@
         {
             continue;
         }
-        kept_run& kept = runs_[order.task];
+        tracked_run& kept = runs_[order.task];
         if (order.run < kept.order.run)
         {
             continue;
@@ -195,10 +197,10 @@
 // A stop for a newer run than the one that is kept stops that one: its holder
 // has given it up. Taken for the newer one, the answer to the kept one's start
 // was dropped for its number, its call stayed open for good, and it ran on.
-void run_keeper::take_stop(const stop_order& order, time_point now)
+void run_reconciler::take_stop(const stop_order& order, time_point now)
 {
     const auto [found, is_new] = runs_.try_emplace(order.task);
-    kept_run& kept = found->second;
+    tracked_run& kept = found->second;
     if (order.run < kept.order.run)
     {
         if (is_running(order.task, order.run))
@@ -222,7 +224,7 @@
 }
 
 // The holder repeats these until the worker shows the run no more.
-void run_keeper::stop_beside(std::vector<keeper_action>& out)
+void run_reconciler::stop_beside(std::vector<executor_action>& out)
 {
     for (stop_order& order : std::exchange(stops_beside_, {}))
     {
@@ -231,9 +233,9 @@
     }
 }
 
-void run_keeper::on_answer(const report_answer& answer,
-                           const worker_report& report, time_point sent,
-                           time_point now)
+void run_reconciler::on_answer(const report_answer& answer,
+                               const worker_report& report, time_point sent,
+                               time_point now)
 {
     if (!answer.holds || answer.orders.epoch < epoch_)
     {
@@ -247,7 +249,7 @@
     {
         epoch_ = answer.orders.epoch;
         admission_ = answer.admission;
-        news_ = true; // to be repeated at once
+        report_due_ = true; // to be repeated at once
         return;
     }
     forget_reported_incarnations(report, now);
@@ -272,9 +274,9 @@
 // What to do
 // ---------------------------------------------------------------------------
 
-std::vector<keeper_action> run_keeper::due(time_point now)
+std::vector<executor_action> run_reconciler::due(time_point now)
 {
-    std::vector<keeper_action> out;
+    std::vector<executor_action> out;
     if (worker_.life.empty() || epoch_ == 0)
     {
         return out;
@@ -299,7 +301,7 @@
     return out;
 }
 
-bool run_keeper::is_void(std::int64_t until_ms, time_point now)
+bool run_reconciler::is_void(std::int64_t until_ms, time_point now)
 {
     return until_ms > 0 && vm_clock_ms(now) > until_ms;
 }
@@ -308,7 +310,7 @@
 // order for it can be on its way meanwhile, or come a second time; begun again,
 // the task would run where its holder no longer looks for it. A holder that
 // still counts on the run hears of it again.
-bool run_keeper::was_given_back(const start_order& order)
+bool run_reconciler::was_given_back(const start_order& order)
 {
     const auto found = given_back_.find(order.task);
     if (found == given_back_.end() || found->second.what.run < order.run)
@@ -321,7 +323,7 @@
     if (what.run == order.run && !is_listed)
     {
         refused_.push_back(what);
-        news_ = true;
+        report_due_ = true;
     }
     return true;
 }
@@ -329,7 +331,7 @@
 // Whether a run has ended here. The executor knows so too, unless it has
 // started again since: a second copy of the order began a run there that had
 // ended as done. It is stopped instead, and given back if it is still wanted.
-bool run_keeper::has_ended(const start_order& order) const
+bool run_reconciler::has_ended(const start_order& order) const
 {
     const auto found = over_here_.find(order.task);
     return found != over_here_.end() && order.run <= found->second.run;
@@ -337,7 +339,7 @@
 
 // A draining worker begins nothing more, nor does one in a closed data centre,
 // and no worker what the holder may have given up by now.
-void run_keeper::give_back_unstarted(time_point now)
+void run_reconciler::give_back_unstarted(time_point now)
 {
     std::vector<std::string> draining;
     std::vector<std::string> closed;
@@ -366,8 +368,8 @@
     give_back(too_late, "too_late", now);
 }
 
-void run_keeper::give_back(const std::vector<std::string>& tasks,
-                           const char* why, time_point now)
+void run_reconciler::give_back(const std::vector<std::string>& tasks,
+                               const char* why, time_point now)
 {
     for (const std::string& task : tasks)
     {
@@ -375,8 +377,8 @@
     }
 }
 
-void run_keeper::act_on_pace(const std::string& task, kept_run& run,
-                             std::vector<keeper_action>& out)
+void run_reconciler::act_on_pace(const std::string& task, tracked_run& run,
+                                 std::vector<executor_action>& out)
 {
     const std::int64_t wanted = interference_.pace(run.order.image);
     const bool due = run.at == stage::running && run.order.fills &&
@@ -393,8 +395,9 @@
                               .life = worker_.life});
 }
 
-void run_keeper::act_on_run(const std::string& task, kept_run& run,
-                            time_point now, std::vector<keeper_action>& out)
+void run_reconciler::act_on_run(const std::string& task, tracked_run& run,
+                                time_point now,
+                                std::vector<executor_action>& out)
 {
     if (run.call_open || now < run.next_call)
     {
@@ -415,7 +418,7 @@
         return;
     }
     run.call_open = true;
-    if (now - answered_ <= options_.look_wait + options_.look_retry)
+    if (now - answered_ <= options_.poll_wait + options_.poll_retry)
     {
         run.under_way = run.under_way.value_or(now);
     }
@@ -428,44 +431,45 @@
 // The next life of an executor counts its ends from 1 again. It would forget
 // those up to a number of the former one, which nobody has read: so what is
 // acknowledged goes to the life that has listed it, or nowhere.
-void run_keeper::act_on_worker(time_point now, std::vector<keeper_action>& out)
+void run_reconciler::act_on_worker(time_point now,
+                                   std::vector<executor_action>& out)
 {
-    if (look_open_ || now < next_look_)
+    if (poll_open_ || now < next_look_)
     {
         return;
     }
-    look_open_ = true;
-    look_at_worker look{.acknowledged = acknowledged_,
-                        .wait_ms = to_milliseconds(options_.look_wait),
-                        .fence = fence(),
-                        .life = worker_.life};
+    poll_open_ = true;
+    poll_executor look{.acknowledged = acknowledged_,
+                       .wait_ms = to_milliseconds(options_.poll_wait),
+                       .fence = fence(),
+                       .life = worker_.life};
     const duration left =
         std::min({permit_until_ - now, options_.lease, options_.longest_lease});
     if (left > duration{0} && may_lease(now))
     {
         look.deadline_ms = lease_to(left, now);
     }
-    if (!looked_ || look_failed_)
+    if (!polled_ || poll_failed_)
     {
         look.wait_ms = 0;
         look.acknowledged = 0;
     }
     if (look.acknowledged > 0)
     {
-        look.vouched_at = vouched_at_;
+        look.connected_before = vouched_at_;
     }
     out.emplace_back(std::move(look));
 }
 
-worker_report run_keeper::report(time_point now) const
+worker_report run_reconciler::report(time_point now) const
 {
     worker_report out{.epoch = epoch_,
                       .incarnation = incarnation_,
                       .sent_ms = vm_clock_ms(now),
                       .admission = admission_,
                       .worker = worker_,
-                      .looked = looked_,
-                      .lists_age_ms = to_milliseconds(now - looked_at_),
+                      .looked = polled_,
+                      .lists_age_ms = to_milliseconds(now - polled_at_),
                       .failing_ms =
                           to_milliseconds(now - failing_since_.value_or(now)),
                       .whole = now - whole_told_ >= options_.whole_every,
@@ -490,7 +494,7 @@
     return out;
 }
 
-void run_keeper::list_runs(worker_report& out) const
+void run_reconciler::list_runs(worker_report& out) const
 {
     out.running = running_;
     for (const auto& [task, kept] : runs_)
@@ -509,9 +513,9 @@
     }
 }
 
-bool run_keeper::take_news() noexcept
+bool run_reconciler::take_report_due() noexcept
 {
-    return std::exchange(news_, false);
+    return std::exchange(report_due_, false);
 }
 
 } // namespace springstair
--- a/packages/guard/src/run_keeper_lives.cpp
+++ b/packages/guard/src/run_reconciler_incarnations.cpp
@@ -8,8 +8,8 @@
 namespace springstair
 {
 
-void run_keeper::on_worker(const worker_description& what,
-                           std::int64_t clock_ms, time_point now)
+void run_reconciler::on_worker(const worker_description& what,
+                               std::int64_t clock_ms, time_point now)
 {
     if (worker_.life != what.life)
     {
@@ -17,14 +17,14 @@
         {
             return;
         }
-        if (looked_)
+        if (polled_)
         {
             on_unconfirmed_heartbeat(what, clock_ms, now);
             return;
         }
         begin_incarnation(what.life, now);
     }
-    news_ = news_ || worker_ != what;
+    report_due_ = report_due_ || worker_ != what;
     worker_ = what;
     clock_ms_ = clock_ms;
     clock_at_ = now;
@@ -35,8 +35,9 @@
 // Whether the present life is over is not known yet. If the same executor has
 // started again, calls that were meant for the life before may be taken there,
 // with the longest lease: their times are on another clock.
-void run_keeper::on_unconfirmed_heartbeat(const worker_description& what,
-                                          std::int64_t clock_ms, time_point now)
+void run_reconciler::on_unconfirmed_heartbeat(const worker_description& what,
+                                              std::int64_t clock_ms,
+                                              time_point now)
 {
     if (unconfirmed_.what.life != what.life)
     {
@@ -53,8 +54,8 @@
 
 // A new life has seen no order. It runs nothing, unless it is of the same
 // executor: then it may have taken starts that were meant for the life before.
-void run_keeper::begin_incarnation(const executor_incarnation& next,
-                                   time_point now)
+void run_reconciler::begin_incarnation(const executor_incarnation& next,
+                                       time_point now)
 {
     remember_incarnation(now);
     failing_since_.reset();
@@ -73,13 +74,13 @@
     given_back_.clear();
     over_here_.clear();
     stops_beside_.clear();
-    looked_ = false;
-    looked_at_ = now;
-    look_failed_ = false;
+    polled_ = false;
+    polled_at_ = now;
+    poll_failed_ = false;
     knows_clock_ = false;
     vouched_at_ = {};
     whole_told_ = {}; // the first report of a life has to show what it took
-    look_open_ = false;
+    poll_open_ = false;
     acknowledged_ = 0;
     ++incarnation_count_;
     leased_until_ = {};
@@ -91,12 +92,12 @@
 // A start without an answer may be at the next life of the executor, now or
 // later; its stop is repeated there. Remembered at the former life alone, such
 // a run began beside the one that had taken its place.
-void run_keeper::carry_doubts(time_point now)
+void run_reconciler::carry_doubts(time_point now)
 {
     std::erase_if(runs_,
                   [](const auto& one)
                   {
-                      const kept_run& run = one.second;
+                      const tracked_run& run = one.second;
                       return !run.in_doubt && !run.call_open &&
                              run.at != stage::stopping;
                   });
@@ -114,9 +115,9 @@
 // A look that another life was meant by tells who lives at the address. Only
 // an answer decides between two lives: a heartbeat that was held back can come
 // after its sender's end, and lives have no order.
-void run_keeper::on_unconfirmed_polled(order_result result,
-                                       const std::optional<worker_look>& look,
-                                       time_point now)
+void run_reconciler::on_unconfirmed_polled(
+    order_result result, const std::optional<executor_snapshot>& look,
+    time_point now)
 {
     unconfirmed_.asking = false;
     const executor_incarnation& asked = unconfirmed_.what.life;
@@ -145,15 +146,15 @@
     }
     else
     {
-        unconfirmed_.next_ask = now + options_.look_retry;
+        unconfirmed_.next_ask = now + options_.poll_retry;
     }
 }
 
 // Another life has answered. Until its own heartbeat has told what it can run,
 // it gets nothing to run; until it has told its clock, no lease. A time on the
 // clock of the life before is far ahead on its own.
-void run_keeper::switch_incarnation(const executor_incarnation& who,
-                                    time_point now)
+void run_reconciler::switch_incarnation(const executor_incarnation& who,
+                                        time_point now)
 {
     worker_description next = worker_;
     next.life = who;
@@ -172,20 +173,20 @@
     worker_ = std::move(next);
     answered_ = now;
     unconfirmed_ = {};
-    news_ = true;
+    report_due_ = true;
 }
 
-void run_keeper::on_leave(const executor_incarnation& life)
+void run_reconciler::on_leave(const executor_incarnation& life)
 {
     if (worker_.life.may_be(life))
     {
         worker_.draining = true;
-        news_ = true;
+        report_due_ = true;
     }
 }
 
-void run_keeper::poll_unconfirmed(time_point now,
-                                  std::vector<keeper_action>& out)
+void run_reconciler::poll_unconfirmed(time_point now,
+                                      std::vector<executor_action>& out)
 {
     if (unconfirmed_.what.life.empty() || unconfirmed_.asking ||
         now < unconfirmed_.next_ask)
@@ -194,7 +195,7 @@
     }
     unconfirmed_.asking = true;
     out.emplace_back(
-        look_at_worker{.fence = fence(), .life = unconfirmed_.what.life});
+        poll_executor{.fence = fence(), .life = unconfirmed_.what.life});
 }
 
 // ---------------------------------------------------------------------------
@@ -202,7 +203,8 @@
 // ---------------------------------------------------------------------------
 
 // A run that began here and did not end goes with the life.
-void run_keeper::remember_run(const std::string& task, const kept_run& run)
+void run_reconciler::remember_run(const std::string& task,
+                                  const tracked_run& run)
 {
     const auto begun = run.begun ? run.begun : run.under_way;
     if (!begun || is_ended(task, run.order.run))
@@ -216,7 +218,7 @@
                            .is_sure = run.surely_begun});
 }
 
-void run_keeper::remember_incarnation(time_point now)
+void run_reconciler::remember_incarnation(time_point now)
 {
     for (const auto& [task, kept] : runs_)
     {
@@ -236,7 +238,7 @@
 
 // A start that was taken for one of the life before may have been the next
 // one's: its lists show it, and no crash speaks of it.
-void run_keeper::spare_taken_runs()
+void run_reconciler::spare_taken_runs()
 {
     if (former_.empty() || former_.back().what.life.id != worker_.life.id)
     {
@@ -251,8 +253,8 @@
 
 // A holder has heard a report. It may fall before it has written what it
 // makes of that, so its successor hears the same for a while.
-void run_keeper::forget_reported_incarnations(const worker_report& report,
-                                              time_point now)
+void run_reconciler::forget_reported_incarnations(const worker_report& report,
+                                                  time_point now)
 {
     for (reported_incarnation& one : former_)
     {
--- a/packages/guard/src/run_keeper_results.cpp
+++ b/packages/guard/src/run_reconciler_results.cpp
@@ -22,8 +22,8 @@
 // begin it. What a former process of this guard sent puts it in doubt too: with
 // only the own calls remembered, a worker that was busy for a moment after its
 // guard's restart had its runs given back while they ran, and they ran twice.
-void run_keeper::refuse(const std::string& task, kept_run& run,
-                        const std::string& reason, time_point now)
+void run_reconciler::refuse(const std::string& task, tracked_run& run,
+                            const std::string& reason, time_point now)
 {
     if (run.in_doubt)
     {
@@ -37,7 +37,7 @@
     runs_.erase(task);
 }
 
-void run_keeper::tell_given_back(refused_run what, time_point now)
+void run_reconciler::tell_given_back(refused_run what, time_point now)
 {
     given_back_run& newest = given_back_[what.task];
     if (what.run >= newest.what.run)
@@ -45,24 +45,24 @@
         newest = {.what = what, .at = now};
     }
     refused_.push_back(std::move(what));
-    news_ = true;
+    report_due_ = true;
 }
 
 // The holder hears at once that a worker takes nothing. Until its silence was
 // noticed, 1.2 s, an executor that was down got whatever waited, and each start
 // came back refused: 192 of 313 in two seconds of a day with many crashes.
-void run_keeper::note_health(order_result result)
+void run_reconciler::note_health(order_result result)
 {
     const bool refuses = result == order_result::unhealthy;
     if (refuses || result == order_result::accepted)
     {
-        news_ = news_ || refuses != refuses_;
+        report_due_ = report_due_ || refuses != refuses_;
         refuses_ = refuses;
     }
 }
 
-void run_keeper::on_started(const start_run& what, order_result result,
-                            time_point now)
+void run_reconciler::on_started(const start_run& what, order_result result,
+                                time_point now)
 {
     const std::string& task = what.order.task;
     const auto found = runs_.find(task);
@@ -72,7 +72,7 @@
         return;
     }
     note_health(result);
-    kept_run& kept = found->second;
+    tracked_run& kept = found->second;
     kept.call_open = false;
     if (result == order_result::unanswered)
     {
@@ -108,7 +108,7 @@
         [[fallthrough]];
     case order_result::fenced:
         runs_.erase(found); // a newer holder or life decides
-        news_ = true;
+        report_due_ = true;
         return;
     case order_result::stale:
         // It has ended here, or was stopped: the next look tells.
@@ -126,8 +126,8 @@
     refuse(task, kept, std::string(to_string(result)), now);
 }
 
-void run_keeper::on_stopped(const stop_run& what, order_result result,
-                            time_point now)
+void run_reconciler::on_stopped(const stop_run& what, order_result result,
+                                time_point now)
 {
     const std::string& task = what.order.task;
     const auto found = runs_.find(task);
@@ -136,7 +136,7 @@
     {
         return;
     }
-    kept_run& kept = found->second;
+    tracked_run& kept = found->second;
     kept.call_open = false;
     if (result == order_result::accepted || result == order_result::stale)
     {
@@ -156,10 +156,10 @@
     kept.next_call = now + options_.retry_after;
 }
 
-void run_keeper::on_looked(const executor_incarnation& asked,
-                           order_result result,
-                           const std::optional<worker_look>& look,
-                           time_point sent, time_point now)
+void run_reconciler::on_polled(const executor_incarnation& asked,
+                               order_result result,
+                               const std::optional<executor_snapshot>& look,
+                               time_point sent, time_point now)
 {
     if (!unconfirmed_.what.life.empty() && asked == unconfirmed_.what.life)
     {
@@ -181,9 +181,9 @@
         return;
     }
     note_health(result);
-    look_open_ = false;
+    poll_open_ = false;
     next_look_ = now;
-    if (result == order_result::other_life && !looked_)
+    if (result == order_result::other_life && !polled_)
     {
         worker_ = {}; // its heartbeat was late: it never was there
         return;
@@ -195,20 +195,21 @@
     }
     if (!look)
     {
-        look_failed_ = true;
+        poll_failed_ = true;
         failing_since_ = failing_since_.value_or(now);
-        next_look_ = now + options_.look_retry;
+        next_look_ = now + options_.poll_retry;
         return;
     }
     clock_ms_ = look->clock_ms;
     clock_at_ = now;
     knows_clock_ = true;
     answered_ = now;
-    const bool is_first = !looked_;
-    news_ = news_ || is_first || last_number(look->ended) > last_number(ended_);
-    looked_ = true;
-    looked_at_ = now;
-    look_failed_ = false;
+    const bool is_first = !polled_;
+    report_due_ = report_due_ || is_first ||
+                  last_number(look->ended) > last_number(ended_);
+    polled_ = true;
+    polled_at_ = now;
+    poll_failed_ = false;
     failing_since_.reset();
     vouched_at_ = sent;
     running_ = look->running;
@@ -229,7 +230,7 @@
     interference_.observe(running_, traits, worker_.capacity.cpu_millis, now);
 }
 
-void run_keeper::on_paced(const pace_run& what, order_result result)
+void run_reconciler::on_paced(const pace_run& what, order_result result)
 {
     const auto found = runs_.find(what.task);
     if (found == runs_.end() || found->second.order.run != what.run)
@@ -243,8 +244,8 @@
     }
 }
 
-void run_keeper::note_over(const std::string& task, std::int64_t run,
-                           time_point now)
+void run_reconciler::note_over(const std::string& task, std::int64_t run,
+                               time_point now)
 {
     ended_run& of = over_here_[task];
     of = {.run = std::max(of.run, run), .at = now};
@@ -253,7 +254,7 @@
 // Compares the runs with a look that was sent at a time. A run that it does not
 // show has an acknowledged end, or never began; but nothing can be told of it
 // from a list that may leave its end out.
-void run_keeper::settle(time_point sent, time_point now)
+void run_reconciler::settle(time_point sent, time_point now)
 {
     const bool lists_all_ends = ended_.size() < options_.most_ends_listed;
     for (const ended_task& row : ended_)
--- a/packages/transport/include/springstair/detail/transport/http_client.hpp
+++ b/packages/transport/include/springstair/detail/transport/http_client.hpp
@@ -41,7 +41,7 @@
     /// Only on a connection that was made before then: it reaches the process
     /// that was there at that time, or nobody. One that has started since at
     /// the same address gets it on no account.
-    std::optional<time_point> made_before;
+    std::optional<time_point> connected_before;
     /// Calls open to the peer at once, and so its connections; more wait for
     /// their turn, in order, and end as `not_sent` if it takes longer than
     /// their timeout, which counts anew once they are sent.
--- a/packages/transport/src/open_call.cpp
+++ b/packages/transport/src/open_call.cpp
@@ -65,7 +65,7 @@
                           curl_sockaddr* address)
 {
     auto& current = *static_cast<open_call*>(context);
-    current.is_withheld = current.call.made_before.has_value();
+    current.is_withheld = current.call.connected_before.has_value();
     if (current.is_withheld || !current.may_be_sent())
     {
         return CURL_SOCKET_BAD; // spares the connection, and waiting for it
@@ -201,7 +201,7 @@
 // process that started in between may have taken it.
 bool open_call::may_use(int port)
 {
-    if (!call.made_before && !opened_one)
+    if (!call.connected_before && !opened_one)
     {
         return true; // its age matters to nobody
     }
@@ -215,10 +215,10 @@
         {
             pool->opened(peer, kept, boot_clock::now());
         }
-        is_withheld = call.made_before && since >= *call.made_before;
+        is_withheld = call.connected_before && since >= *call.connected_before;
         return !is_withheld;
     }
-    is_withheld = call.made_before.has_value();
+    is_withheld = call.connected_before.has_value();
     return !is_withheld;
 }
 
--- a/tests/unit/adapter_tests.cpp
+++ b/tests/unit/adapter_tests.cpp
@@ -273,12 +273,12 @@
         }
         CHECK(place.find("born") != std::string::npos);
         CHECK_FALSE(
-            adapter::decode_look(
+            adapter::decode_poll(
                 answered(200, std::string(R"({"clock_ms": 9, "born": )") +
                                   wrong + "}"))
                 .has_value());
     }
-    CHECK(adapter::decode_look(
+    CHECK(adapter::decode_poll(
               answered(200, R"({"clock_ms": 9, "born": 1776000000001})"))
               ->born_ms == 1'776'000'000'001);
     CHECK(adapter::decode_leave(request("POST",
@@ -291,10 +291,10 @@
     "what is acknowledged goes to the life that was looked at, or nowhere")
 {
     const time_point sent{std::chrono::hours(1)};
-    CHECK(adapter::encode(look_at_worker{.acknowledged = 3, .vouched_at = sent},
-                          "a:1")
-              .made_before == sent);
-    CHECK_FALSE(adapter::encode(look_at_worker{}, "a:1").made_before);
+    CHECK(adapter::encode(
+              poll_executor{.acknowledged = 3, .connected_before = sent}, "a:1")
+              .connected_before == sent);
+    CHECK_FALSE(adapter::encode(poll_executor{}, "a:1").connected_before);
 }
 
 TEST_CASE("orders name the life, the fence and the time limit")
@@ -317,7 +317,7 @@
                                            {"fencing_token", 7},
                                            {"checkpoint", "c"}});
     const http_call look =
-        adapter::encode(look_at_worker{.acknowledged = 3, .fence = 7}, "a:1");
+        adapter::encode(poll_executor{.acknowledged = 3, .fence = 7}, "a:1");
     CHECK(json::parse(*look.body) ==
           json{{"fencing_token", 7}, {"last_seen", 3}});
 }
@@ -352,7 +352,7 @@
 
 TEST_CASE("a look's lists, and rubbish in their place")
 {
-    const auto look = adapter::decode_look(answered(200, R"({"clock_ms": 9,
+    const auto look = adapter::decode_poll(answered(200, R"({"clock_ms": 9,
           "running": [["j.0.0.0", 2, "c", 41], ["j.0.0.1", 1, "", 5, 230]],
           "ended": [[58, "j.0.0.2", 1, "done", ""]]})"));
     REQUIRE(look.has_value());
@@ -362,8 +362,8 @@
     CHECK(look->ended.at(0) ==
           ended_task{
               .number = 58, .task = "j.0.0.2", .run = 1, .how = run_end::done});
-    CHECK_FALSE(adapter::decode_look(answered(200, "{}")).has_value());
-    CHECK_FALSE(adapter::decode_look(answered(421, "")).has_value());
+    CHECK_FALSE(adapter::decode_poll(answered(200, "{}")).has_value());
+    CHECK_FALSE(adapter::decode_poll(answered(421, "")).has_value());
 }
 
 TEST_CASE("a question for advice, and what its answer means")
--- a/tests/unit/certain_end_tests.cpp
+++ b/tests/unit/certain_end_tests.cpp
@@ -47,7 +47,7 @@
     void restart()
     {
         incarnation_ += "i";
-        keeper_ = run_keeper({}, incarnation_);
+        keeper_ = run_reconciler({}, incarnation_);
         sequence_ = 0;
     }
 
@@ -77,13 +77,13 @@
     // The guard does what is due, and its executor hears it or not.
     void act()
     {
-        for (const keeper_action& one : keeper_.due(at_.now))
+        for (const executor_action& one : keeper_.due(at_.now))
         {
             if (const auto* start = std::get_if<start_run>(&one))
             {
                 carry_out(*start);
             }
-            else if (const auto* look = std::get_if<look_at_worker>(&one))
+            else if (const auto* look = std::get_if<poll_executor>(&one))
             {
                 carry_out(*look);
             }
@@ -140,7 +140,7 @@
                            at_.now);
     }
 
-    void carry_out(const look_at_worker& what)
+    void carry_out(const poll_executor& what)
     {
         if (hears && what.deadline_ms)
         {
@@ -148,16 +148,16 @@
         }
         if (!hears || !answers)
         {
-            keeper_.on_looked(life(), order_result::unanswered, std::nullopt,
+            keeper_.on_polled(life(), order_result::unanswered, std::nullopt,
                               at_.now, at_.now);
             return;
         }
-        worker_look look{.clock_ms = clock()};
+        executor_snapshot look{.clock_ms = clock()};
         for (const auto& [task, run] : running_)
         {
             look.running.push_back({.task = task, .run = run});
         }
-        keeper_.on_looked(life(), order_result::accepted, look, at_.now,
+        keeper_.on_polled(life(), order_result::accepted, look, at_.now,
                           at_.now);
     }
 
@@ -174,7 +174,7 @@
     std::string name_;
     std::int64_t sequence_ = 0;
     std::string incarnation_ = "i";
-    run_keeper keeper_{{}, incarnation_};
+    run_reconciler keeper_{{}, incarnation_};
     time_point begun_ = at_.now;
     std::int64_t deadline_ = 0;
     std::map<std::string, std::int64_t> running_;
@@ -359,7 +359,7 @@
     void looked(std::size_t others, const std::string& task = {})
     {
         now += seconds(1);
-        worker_look look{.clock_ms = 1000};
+        executor_snapshot look{.clock_ms = 1000};
         for (std::size_t number = 1; number <= others; ++number)
         {
             look.ended.push_back({.number = static_cast<std::int64_t>(number),
@@ -375,19 +375,19 @@
                  .run = 1,
                  .how = run_end::done});
         }
-        keeper.on_looked("w1", order_result::accepted, look, now, now);
+        keeper.on_polled("w1", order_result::accepted, look, now, now);
     }
 
     std::size_t starts_due()
     {
         const auto due = keeper.due(now);
         return static_cast<std::size_t>(std::ranges::count_if(
-            due, [](const keeper_action& one)
+            due, [](const executor_action& one)
             { return std::holds_alternative<start_run>(one); }));
     }
 
     time_point now{std::chrono::hours(1)};
-    run_keeper keeper;
+    run_reconciler keeper;
 };
 
 } // namespace
--- a/tests/unit/closed_data_centre_tests.cpp
+++ b/tests/unit/closed_data_centre_tests.cpp
@@ -87,8 +87,9 @@
 
     void look(std::vector<running_task> running = {})
     {
-        keeper.on_looked("x", order_result::accepted,
-                         worker_look{.running = std::move(running)}, now, now);
+        keeper.on_polled("x", order_result::accepted,
+                         executor_snapshot{.running = std::move(running)}, now,
+                         now);
     }
 
     void order(bool closed, std::vector<start_order> starts)
@@ -104,7 +105,7 @@
     std::vector<Action> due()
     {
         std::vector<Action> out;
-        for (const keeper_action& one : keeper.due(now))
+        for (const executor_action& one : keeper.due(now))
         {
             if (const auto* const found = std::get_if<Action>(&one))
             {
@@ -115,7 +116,7 @@
     }
 
     time_point now{std::chrono::hours(1)};
-    run_keeper keeper;
+    run_reconciler keeper;
 };
 
 } // namespace
--- a/tests/unit/foreign_words_tests.cpp
+++ b/tests/unit/foreign_words_tests.cpp
@@ -182,6 +182,6 @@
         answer.response.body = make_body(body);
         CHECK(adapter::decode_result(answer) == order_result::no_room);
         answer.response.status = 200;
-        CHECK_FALSE(adapter::decode_look(answer).has_value());
+        CHECK_FALSE(adapter::decode_poll(answer).has_value());
     }
 }
--- a/tests/unit/job_world.hpp
+++ b/tests/unit/job_world.hpp
@@ -40,7 +40,7 @@
     struct guard_process
     {
         std::string name;
-        std::shared_ptr<run_keeper> keeper;
+        std::shared_ptr<run_reconciler> keeper;
         std::string incarnation;
         std::int64_t sequence = 0;
         std::int64_t holder = 0; ///< epoch of the one it reports to
@@ -98,8 +98,8 @@
     void hold_back(const worker_report& out,
                    const std::shared_ptr<holder_process>& sent_to);
     void report(std::size_t index);
-    void end_report(std::size_t index, const std::shared_ptr<run_keeper>& of,
-                    duration pause);
+    void end_report(std::size_t index,
+                    const std::shared_ptr<run_reconciler>& of, duration pause);
     // An end that the holder acknowledges is in the store.
     void note_acknowledged(std::size_t index, const executor_incarnation& life,
                            std::int64_t number);
@@ -148,7 +148,7 @@
               [this, index, what, keeper, sent = now_]
               {
                   const order_result result = carry_out(index, what);
-                  std::optional<worker_look> look;
+                  std::optional<executor_snapshot> look;
                   if (result == order_result::accepted)
                   {
                       look = look_of(guards_[index].executor);
@@ -163,10 +163,10 @@
     template <class Order>
     bool has_connection(std::size_t index, const Order& what)
     {
-        if constexpr (std::is_same_v<Order, look_at_worker>)
+        if constexpr (std::is_same_v<Order, poll_executor>)
         {
-            return !what.vouched_at ||
-                   *what.vouched_at >= guards_[index].executor.born;
+            return !what.connected_before ||
+                   *what.connected_before >= guards_[index].executor.born;
         }
         return true;
     }
@@ -175,7 +175,7 @@
     // sender and of newer calls.
     template <class Order>
     void hold_call(std::size_t index, const Order& what,
-                   const std::shared_ptr<run_keeper>& keeper)
+                   const std::shared_ptr<run_reconciler>& keeper)
     {
         later(milliseconds(draw(longest_wait_ms)),
               [this, index, what, to = incarnation_at(index)]
@@ -208,24 +208,24 @@
     template <class Order>
     bool gets_no_answer(std::size_t index, const Order& /*what*/)
     {
-        const bool is_silent = std::is_same_v<Order, look_at_worker> &&
+        const bool is_silent = std::is_same_v<Order, poll_executor> &&
                                now_ < guards_[index].silent_until;
         return chance(faults_.answer_lost) || is_silent;
     }
 
-    void answer(run_keeper& to, const start_run& what, time_point sent,
+    void answer(run_reconciler& to, const start_run& what, time_point sent,
                 order_result result,
-                const std::optional<worker_look>& /*look*/ = {});
-    void answer(run_keeper& to, const stop_run& what, time_point sent,
+                const std::optional<executor_snapshot>& /*look*/ = {});
+    void answer(run_reconciler& to, const stop_run& what, time_point sent,
                 order_result result,
-                const std::optional<worker_look>& /*look*/ = {});
-    void answer(run_keeper& to, const pace_run& what, time_point sent,
+                const std::optional<executor_snapshot>& /*look*/ = {});
+    void answer(run_reconciler& to, const pace_run& what, time_point sent,
                 order_result result,
-                const std::optional<worker_look>& /*look*/ = {});
-    void answer(run_keeper& to, const look_at_worker& what, time_point sent,
+                const std::optional<executor_snapshot>& /*look*/ = {});
+    void answer(run_reconciler& to, const poll_executor& what, time_point sent,
                 order_result result,
-                const std::optional<worker_look>& look = {});
-    worker_look look_of(const fake_executor& at) const;
+                const std::optional<executor_snapshot>& look = {});
+    executor_snapshot look_of(const fake_executor& at) const;
     std::int64_t draw_percent(const fake_executor::at_work& work) const;
     std::optional<order_result> refusal(fake_executor& at,
                                         const executor_incarnation& life,
@@ -239,7 +239,7 @@
     std::int64_t ended_so(const task_name& name, const std::string& how) const;
     order_result carry_out(std::size_t index, const stop_run& what);
     order_result carry_out(std::size_t /*index*/, const pace_run& /*what*/);
-    order_result carry_out(std::size_t index, const look_at_worker& what);
+    order_result carry_out(std::size_t index, const poll_executor& what);
     void end(fake_executor& at, const std::string& task, run_end how);
     void settle(fake_executor& at);
 
--- a/tests/unit/job_world_guards.cpp
+++ b/tests/unit/job_world_guards.cpp
@@ -60,8 +60,9 @@
 {
     guard_process& guard = guards_[index];
     guard.incarnation = std::to_string(++revision_);
-    guard.keeper = std::make_shared<run_keeper>(
-        run_keeper_options{.stop_time = milliseconds(200)}, guard.incarnation);
+    guard.keeper = std::make_shared<run_reconciler>(
+        run_reconciler_options{.stop_time = milliseconds(200)},
+        guard.incarnation);
     guard.began = now_;
     guard.sequence = 0;
     guard.reporting = false;
@@ -81,11 +82,11 @@
         guard.next_heartbeat = now_ + milliseconds(1000);
         beat(index);
     }
-    for (const keeper_action& action : guard.keeper->due(now_))
+    for (const executor_action& action : guard.keeper->due(now_))
     {
         std::visit([&](const auto& one) { order(index, one); }, action);
     }
-    if (guard.keeper->take_news())
+    if (guard.keeper->take_report_due())
     {
         guard.next_report = std::min(guard.next_report, now_ + step);
     }
@@ -185,7 +186,7 @@
 }
 
 void job_world::end_report(std::size_t index,
-                           const std::shared_ptr<run_keeper>& of,
+                           const std::shared_ptr<run_reconciler>& of,
                            duration pause)
 {
     guard_process& guard = guards_[index];
@@ -216,37 +217,38 @@
     }
 }
 
-void job_world::answer(run_keeper& to, const start_run& what,
+void job_world::answer(run_reconciler& to, const start_run& what,
                        time_point /*sent*/, order_result result,
-                       const std::optional<worker_look>& /*look*/)
+                       const std::optional<executor_snapshot>& /*look*/)
 {
     to.on_started(what, result, now_);
 }
 
-void job_world::answer(run_keeper& to, const stop_run& what,
+void job_world::answer(run_reconciler& to, const stop_run& what,
                        time_point /*sent*/, order_result result,
-                       const std::optional<worker_look>& /*look*/)
+                       const std::optional<executor_snapshot>& /*look*/)
 {
     to.on_stopped(what, result, now_);
 }
 
-void job_world::answer(run_keeper& to, const pace_run& what,
+void job_world::answer(run_reconciler& to, const pace_run& what,
                        time_point /*sent*/, order_result result,
-                       const std::optional<worker_look>& /*look*/)
+                       const std::optional<executor_snapshot>& /*look*/)
 {
     to.on_paced(what, result);
 }
 
-void job_world::answer(run_keeper& to, const look_at_worker& what,
+void job_world::answer(run_reconciler& to, const poll_executor& what,
                        time_point sent, order_result result,
-                       const std::optional<worker_look>& look)
+                       const std::optional<executor_snapshot>& look)
 {
-    to.on_looked(what.life, result, look, sent, now_);
+    to.on_polled(what.life, result, look, sent, now_);
 }
 
-worker_look job_world::look_of(const fake_executor& at) const
+executor_snapshot job_world::look_of(const fake_executor& at) const
 {
-    worker_look out{.clock_ms = at.clock(now_), .born_ms = at.life.born_ms};
+    executor_snapshot out{.clock_ms = at.clock(now_),
+                          .born_ms = at.life.born_ms};
     for (const auto& [task, work] : at.running)
     {
         out.running.push_back({.task = task,
@@ -428,7 +430,7 @@
     return order_result::accepted;
 }
 
-order_result job_world::carry_out(std::size_t index, const look_at_worker& what)
+order_result job_world::carry_out(std::size_t index, const poll_executor& what)
 {
     fake_executor& at = guards_[index].executor;
     if (const auto refused = refusal(at, what.life, what.fence))
--- a/tests/unit/kept_connection_tests.cpp
+++ b/tests/unit/kept_connection_tests.cpp
@@ -38,11 +38,11 @@
 };
 
 http_call call_to(std::uint16_t port,
-                  std::optional<time_point> made_before = std::nullopt)
+                  std::optional<time_point> connected_before = std::nullopt)
 {
     return {.url = "http://127.0.0.1:" + std::to_string(port) + "/x",
             .body = make_body("{}"),
-            .made_before = made_before};
+            .connected_before = connected_before};
 }
 
 } // namespace
--- a/tests/unit/late_message_tests.cpp
+++ b/tests/unit/late_message_tests.cpp
@@ -85,7 +85,7 @@
 
 TEST_CASE("a heartbeat of a former life does not replace a live executor")
 {
-    run_keeper keeper;
+    run_reconciler keeper;
     time_point now{std::chrono::hours(1)};
     const worker_description live{.life = "w2", .service = "s"};
     const worker_description former{.life = "w1", .service = "s"};
@@ -93,7 +93,8 @@
     keeper.on_answer({.holds = true, .permit_ms = 4000, .orders = {.epoch = 5}},
                      keeper.report(now), now, now);
     static_cast<void>(keeper.due(now));
-    keeper.on_looked("w2", order_result::accepted, worker_look{}, now, now);
+    keeper.on_polled("w2", order_result::accepted, executor_snapshot{}, now,
+                     now);
     keeper.on_worker(former, 9000, now);
     CHECK(keeper.worker().life == "w2");
     CHECK(keeper.report(now).looked);
@@ -101,34 +102,35 @@
     const auto actions = keeper.due(now + milliseconds(1));
     const auto asks =
         std::count_if(actions.begin(), actions.end(),
-                      [](const keeper_action& one)
+                      [](const executor_action& one)
                       {
                           const auto* const look =
-                              std::get_if<look_at_worker>(&one);
+                              std::get_if<poll_executor>(&one);
                           return look != nullptr && look->life == "w1" &&
                                  !look->deadline_ms && look->acknowledged == 0;
                       });
     CHECK(asks == 1);
     SUBCASE("another life answers")
     {
-        keeper.on_looked("w1", order_result::other_life, {}, now, now);
+        keeper.on_polled("w1", order_result::other_life, {}, now, now);
         CHECK(keeper.worker().life == "w2");
     }
     SUBCASE("nobody answers")
     {
-        keeper.on_looked("w1", order_result::unanswered, {}, now, now);
+        keeper.on_polled("w1", order_result::unanswered, {}, now, now);
         CHECK(keeper.worker().life == "w2");
     }
     SUBCASE("it lives")
     {
-        keeper.on_looked("w1", order_result::accepted, worker_look{}, now, now);
+        keeper.on_polled("w1", order_result::accepted, executor_snapshot{}, now,
+                         now);
         CHECK(keeper.worker().life == "w1");
         CHECK(keeper.report(now).looked);
         // What lived there before is surely past.
         keeper.on_worker(live, 7, now);
-        for (const keeper_action& one : keeper.due(now + milliseconds(1)))
+        for (const executor_action& one : keeper.due(now + milliseconds(1)))
         {
-            const auto* const look = std::get_if<look_at_worker>(&one);
+            const auto* const look = std::get_if<poll_executor>(&one);
             CHECK((look == nullptr || look->life == "w1"));
         }
     }
@@ -136,13 +138,13 @@
 
 TEST_CASE("a life that never answered is forgotten once another one does")
 {
-    run_keeper keeper;
+    run_reconciler keeper;
     time_point now{std::chrono::hours(1)};
     keeper.on_worker({.life = "w1", .service = "s"}, 9000, now);
     keeper.on_answer({.holds = true, .permit_ms = 4000, .orders = {.epoch = 5}},
                      keeper.report(now), now, now);
     static_cast<void>(keeper.due(now));
-    keeper.on_looked("w1", order_result::other_life, {}, now, now);
+    keeper.on_polled("w1", order_result::other_life, {}, now, now);
     CHECK(keeper.worker().life.empty());
     keeper.on_worker({.life = "w2", .service = "s"}, 5, now);
     CHECK(keeper.worker().life == "w2");
--- a/tests/unit/office_load_tests.cpp
+++ b/tests/unit/office_load_tests.cpp
@@ -151,16 +151,17 @@
 
 TEST_CASE("a guard tells each holder what runs, then twice a second")
 {
-    run_keeper keeper;
+    run_reconciler keeper;
     time_point now{std::chrono::hours(1)};
     keeper.on_worker({.life = "w1", .service = "s"}, 1000, now);
     const auto look = [&](std::vector<ended_task> ended)
     {
-        keeper.on_looked("w1", order_result::accepted,
-                         worker_look{.clock_ms = 1000,
-                                     .running = {{.task = "j.0.0.0", .run = 1}},
-                                     .ended = std::move(ended)},
-                         now, now);
+        keeper.on_polled(
+            "w1", order_result::accepted,
+            executor_snapshot{.clock_ms = 1000,
+                              .running = {{.task = "j.0.0.0", .run = 1}},
+                              .ended = std::move(ended)},
+            now, now);
     };
     const auto answer = [&](std::int64_t epoch)
     {
@@ -191,7 +192,7 @@
 
 TEST_CASE("a confirmed start and a shorter list of ends are no news")
 {
-    run_keeper keeper;
+    run_reconciler keeper;
     time_point now{std::chrono::hours(1)};
     keeper.on_worker({.life = "w1", .service = "s"}, 1000, now);
     report_answer out{.holds = true, .permit_ms = 4000};
@@ -200,21 +201,22 @@
     keeper.on_answer(out, keeper.report(now), now, now);
     const auto look = [&](std::vector<ended_task> ended)
     {
-        keeper.on_looked(
+        keeper.on_polled(
             "w1", order_result::accepted,
-            worker_look{.clock_ms = 1000, .ended = std::move(ended)}, now, now);
+            executor_snapshot{.clock_ms = 1000, .ended = std::move(ended)}, now,
+            now);
     };
     const ended_task first{.number = 1, .task = "j.0.0.1", .run = 1};
     const ended_task second{.number = 2, .task = "j.0.0.2", .run = 1};
     look({first});
-    CHECK(keeper.take_news());
+    CHECK(keeper.take_report_due());
     REQUIRE_FALSE(keeper.due(now).empty());
     keeper.on_started(
         {.order = {.task = "j.0.0.0", .run = 1}, .life = keeper.worker().life},
         order_result::accepted, now);
-    CHECK_FALSE(keeper.take_news());
+    CHECK_FALSE(keeper.take_report_due());
     look({});
-    CHECK_FALSE(keeper.take_news());
+    CHECK_FALSE(keeper.take_report_due());
     look({second});
-    CHECK(keeper.take_news());
+    CHECK(keeper.take_report_due());
 }
--- a/tests/unit/restarted_executor_tests.cpp
+++ b/tests/unit/restarted_executor_tests.cpp
@@ -172,12 +172,13 @@
 TEST_CASE("a guard stops at the next life what may have been started there")
 {
     time_point now{std::chrono::hours(1)};
-    run_keeper keeper({}, "guard process");
+    run_reconciler keeper({}, "guard process");
     const worker_description what{.life = {"i-1", 1}, .service = "s"};
     const auto look = [&](std::int64_t born)
     {
-        keeper.on_looked(keeper.worker().life, order_result::accepted,
-                         worker_look{.clock_ms = 5, .born_ms = born}, now, now);
+        keeper.on_polled(keeper.worker().life, order_result::accepted,
+                         executor_snapshot{.clock_ms = 5, .born_ms = born}, now,
+                         now);
     };
     keeper.on_worker(what, 5, now);
     const guard_orders orders{
@@ -199,7 +200,7 @@
     CHECK_FALSE(keeper.report(now).looked);
     now += milliseconds(20);
     std::vector<stop_run> stops;
-    for (const keeper_action& one : keeper.due(now))
+    for (const executor_action& one : keeper.due(now))
     {
         if (const auto* const stop = std::get_if<stop_run>(&one))
         {
@@ -248,12 +249,12 @@
                          now);
     }
 
-    look_at_worker look_due()
+    poll_executor look_due()
     {
         now += milliseconds(20);
-        for (const keeper_action& one : keeper.due(now))
+        for (const executor_action& one : keeper.due(now))
         {
-            if (const auto* const look = std::get_if<look_at_worker>(&one))
+            if (const auto* const look = std::get_if<poll_executor>(&one))
             {
                 return *look;
             }
@@ -262,23 +263,23 @@
         return {};
     }
 
-    void answer(const look_at_worker& to, std::int64_t born)
+    void answer(const poll_executor& to, std::int64_t born)
     {
-        keeper.on_looked(to.life, order_result::accepted,
-                         worker_look{.clock_ms = clock_ms, .born_ms = born},
-                         now, now);
+        keeper.on_polled(
+            to.life, order_result::accepted,
+            executor_snapshot{.clock_ms = clock_ms, .born_ms = born}, now, now);
     }
 
-    void let_fail(const look_at_worker& look)
+    void let_fail(const poll_executor& look)
     {
-        keeper.on_looked(look.life, order_result::unanswered, std::nullopt, now,
+        keeper.on_polled(look.life, order_result::unanswered, std::nullopt, now,
                          now);
     }
 
     static constexpr std::int64_t clock_ms = 5;
     time_point now{std::chrono::hours(1)};
-    const run_keeper_options options;
-    run_keeper keeper{options, "guard process"};
+    const run_reconciler_options options;
+    run_reconciler keeper{options, "guard process"};
 };
 
 } // namespace
@@ -286,10 +287,10 @@
 TEST_CASE("a call for a former life is below the fence of the next one")
 {
     leased_worker at;
-    const look_at_worker held_back = at.look_due();
+    const poll_executor held_back = at.look_due();
     REQUIRE(held_back.deadline_ms.has_value());
     at.answer(held_back, 2); // the next life answers
-    const look_at_worker first = at.look_due();
+    const poll_executor first = at.look_due();
     REQUIRE(first.life == executor_incarnation("i-1", 2));
     CHECK(first.fence > held_back.fence);
     // Until that fence was there, any call of before could still be taken.
@@ -300,7 +301,7 @@
     // A process that comes later is above both, and so is a later holder.
     const auto fence_of = [&](guard_admission admission)
     {
-        run_keeper next(at.options, "another");
+        run_reconciler next(at.options, "another");
         next.on_worker({.life = {"i-1", 2}, .service = "s"}, 5, at.now);
         next.on_answer({.holds = true,
                         .orders = {.epoch = admission.epoch},
@@ -318,10 +319,10 @@
 {
     leased_worker at;
     at.answer(at.look_due(), 2);
-    const look_at_worker first = at.look_due();
+    const poll_executor first = at.look_due();
     CHECK_FALSE(first.deadline_ms.has_value());
     at.answer(first, 2);
-    const look_at_worker second = at.look_due();
+    const poll_executor second = at.look_due();
     REQUIRE(second.deadline_ms.has_value());
     CHECK(*second.deadline_ms <=
           at.clock_ms + 20 + to_milliseconds(at.options.lease));
@@ -332,10 +333,10 @@
 TEST_CASE("a worker that may have started again gets no lease until it answers")
 {
     leased_worker at;
-    const look_at_worker unanswered = at.look_due();
+    const poll_executor unanswered = at.look_due();
     at.beat(2);
     at.let_fail(unanswered);
-    at.now += at.options.look_retry;
+    at.now += at.options.poll_retry;
     CHECK_FALSE(at.look_due().deadline_ms.has_value());
     for (int beats = 0; beats < 10; ++beats)
     {
@@ -350,7 +351,7 @@
 TEST_CASE("a guard takes the orders of a holder that knows of no births")
 {
     const time_point now{std::chrono::hours(1)};
-    run_keeper keeper({}, "guard process");
+    run_reconciler keeper({}, "guard process");
     keeper.on_worker({.life = {"i-1", 1}, .service = "s"}, 5, now);
     guard_orders orders{.epoch = 7,
                         .life = executor_incarnation("i-1"),
@@ -369,7 +370,7 @@
 TEST_CASE("a second copy of the order of an ended run begins nothing")
 {
     time_point now{std::chrono::hours(1)};
-    run_keeper keeper({}, "guard process");
+    run_reconciler keeper({}, "guard process");
     const worker_description what{.life = {"i-1", 1}, .service = "s"};
     keeper.on_worker(what, 5, now);
     guard_orders orders{.epoch = 7,
@@ -382,15 +383,16 @@
     keeper.on_answer(answer, keeper.report(now), now, now);
     const auto look = [&](std::vector<ended_task> ended)
     {
-        keeper.on_looked(
-            what.life, order_result::accepted,
-            worker_look{.clock_ms = 5, .born_ms = 1, .ended = std::move(ended)},
-            now, now);
+        keeper.on_polled(what.life, order_result::accepted,
+                         executor_snapshot{.clock_ms = 5,
+                                           .born_ms = 1,
+                                           .ended = std::move(ended)},
+                         now, now);
     };
     const auto starts_due = [&]
     {
         return std::ranges::count_if(
-            keeper.due(now), [](const keeper_action& one)
+            keeper.due(now), [](const executor_action& one)
             { return std::holds_alternative<start_run>(one); });
     };
     look({{.number = 1, .task = "j.0.0.0", .run = 1, .how = run_end::done}});
--- a/tests/unit/restarted_guard_tests.cpp
+++ b/tests/unit/restarted_guard_tests.cpp
@@ -62,7 +62,7 @@
 {
     std::string guard;
     fake_worker worker;
-    std::unique_ptr<run_keeper> keeper;
+    std::unique_ptr<run_reconciler> keeper;
     std::string incarnation;
     std::int64_t sequence = 0;
     time_point next_report{};
@@ -91,8 +91,8 @@
     {
         guarded_worker& at = workers.at(name);
         at.incarnation = "guard-" + std::to_string(++incarnations_);
-        at.keeper =
-            std::make_unique<run_keeper>(run_keeper_options{}, at.incarnation);
+        at.keeper = std::make_unique<run_reconciler>(run_reconciler_options{},
+                                                     at.incarnation);
         at.sequence = 0;
         at.next_report = now;
         beat(at);
@@ -180,11 +180,11 @@
     void serve(guarded_worker& at)
     {
         beat(at);
-        for (const keeper_action& action : at.keeper->due(now))
+        for (const executor_action& action : at.keeper->due(now))
         {
             std::visit([&](const auto& what) { carry_out(at, what); }, action);
         }
-        if (at.keeper->take_news() || now >= at.next_report)
+        if (at.keeper->take_report_due() || now >= at.next_report)
         {
             at.next_report = now + report_every;
             report(at);
@@ -234,16 +234,16 @@
         at.keeper->on_paced(what, order_result::accepted);
     }
 
-    void carry_out(guarded_worker& at, const look_at_worker& what) const
+    void carry_out(guarded_worker& at, const poll_executor& what) const
     {
-        worker_look look{.clock_ms = to_milliseconds(now - time_point{})};
+        executor_snapshot look{.clock_ms = to_milliseconds(now - time_point{})};
         for (const auto& [task, run] : at.worker.running)
         {
             look.running.push_back({.task = task,
                                     .run = run,
                                     .percent = look.clock_ms / 100 % 100});
         }
-        at.keeper->on_looked(what.life, order_result::accepted, look, now, now);
+        at.keeper->on_polled(what.life, order_result::accepted, look, now, now);
     }
 
     std::int64_t revision_ = 100;
@@ -334,7 +334,7 @@
 TEST_CASE("an order that comes again does not begin a run that was given back")
 {
     const time_point now{std::chrono::hours(1)};
-    run_keeper keeper;
+    run_reconciler keeper;
     keeper.on_worker({.life = "w1", .service = "s"}, 1000, now);
     const guard_orders orders{
         .epoch = 5, .life = "w1", .starts = {{.task = "j.0.0.0", .run = 1}}};
@@ -352,7 +352,7 @@
 
     const time_point later = now + milliseconds(50);
     keeper.on_orders(orders, later);
-    for (const keeper_action& action : keeper.due(later))
+    for (const executor_action& action : keeper.due(later))
     {
         CHECK_FALSE(std::holds_alternative<start_run>(action));
     }
@@ -364,7 +364,7 @@
 TEST_CASE("a run that was given back is remembered beside earlier ones")
 {
     time_point now{std::chrono::hours(1)};
-    run_keeper keeper;
+    run_reconciler keeper;
     keeper.on_worker({.life = "w1", .service = "s"}, 1000, now);
     guard_orders orders{
         .epoch = 5, .life = "w1", .starts = {{.task = "j.0.0.0", .run = 2}}};
@@ -381,11 +381,11 @@
     keeper.on_stopped({.order = earlier, .life = "w1"}, order_result::stale,
                       now);
     now += seconds(1);
-    keeper.on_looked("w1", order_result::accepted,
-                     worker_look{.clock_ms = 2000}, now, now);
+    keeper.on_polled("w1", order_result::accepted,
+                     executor_snapshot{.clock_ms = 2000}, now, now);
     REQUIRE(keeper.report(now).refused.size() == 2);
     keeper.on_orders(orders, now);
-    for (const keeper_action& action : keeper.due(now))
+    for (const executor_action& action : keeper.due(now))
     {
         CHECK_FALSE(std::holds_alternative<start_run>(action));
     }
@@ -394,7 +394,7 @@
 TEST_CASE("an order for a former guard process begins nothing")
 {
     const time_point now{std::chrono::hours(1)};
-    run_keeper keeper({}, "second");
+    run_reconciler keeper({}, "second");
     keeper.on_worker({.life = "w1", .service = "s"}, 1000, now);
     report_answer permit{.holds = true, .permit_ms = 4000};
     permit.orders = {.epoch = 5, .life = "w1", .incarnation = "second"};
@@ -407,9 +407,9 @@
     keeper.on_orders(orders, now);
     const auto due = keeper.due(now);
     CHECK(std::ranges::none_of(
-        due, [](const keeper_action& one)
+        due, [](const executor_action& one)
         { return std::holds_alternative<start_run>(one); }));
     CHECK(
-        std::ranges::any_of(due, [](const keeper_action& one)
+        std::ranges::any_of(due, [](const executor_action& one)
                             { return std::holds_alternative<stop_run>(one); }));
 }
--- a/tests/unit/restarting_executor.hpp
+++ b/tests/unit/restarting_executor.hpp
@@ -245,7 +245,7 @@
 
     time_point now{std::chrono::hours(1)};
     scheduler_core core{scheduler_options{}};
-    run_keeper keeper{{}, "guard process"};
+    run_reconciler keeper{{}, "guard process"};
     restarting_executor executor;
 
 private:
@@ -260,7 +260,7 @@
         {
             keeper.on_orders(one.orders, now);
         }
-        if (keeper.take_news() || now >= next_report_)
+        if (keeper.take_report_due() || now >= next_report_)
         {
             next_report_ = now + milliseconds(400);
             worker_report report = keeper.report(now);
@@ -273,7 +273,7 @@
 
     void serve_guard()
     {
-        for (const keeper_action& action : keeper.due(now))
+        for (const executor_action& action : keeper.due(now))
         {
             std::visit([this](const auto& one) { carry_out(one); }, action);
         }
@@ -303,11 +303,11 @@
         keeper.on_paced(what, springstair::platform::decode_result(call(what)));
     }
 
-    void carry_out(const look_at_worker& what)
+    void carry_out(const poll_executor& what)
     {
         const http_result got = call(what);
-        keeper.on_looked(what.life, springstair::platform::decode_result(got),
-                         springstair::platform::decode_look(got), now, now);
+        keeper.on_polled(what.life, springstair::platform::decode_result(got),
+                         springstair::platform::decode_poll(got), now, now);
     }
 
     int jobs_ = 0;
--- a/tests/unit/role_tests.cpp
+++ b/tests/unit/role_tests.cpp
@@ -300,7 +300,7 @@
                               tasks, actions);
     }
 
-    task_keeper keeper{
+    attempt_tracker keeper{
         {.incarnation = "1", .capacity = {.cpu_millis = 150, .memory_mb = 1}}};
     manual_clock clock;
     worker_actions actions;
@@ -310,7 +310,7 @@
 
 TEST_CASE("a guard starts tasks only when its predecessor's cannot start")
 {
-    task_keeper keeper({.incarnation = "1"});
+    attempt_tracker keeper({.incarnation = "1"});
     manual_clock clock;
     worker_actions actions;
     const auto list = [&]
--- a/tests/unit/run_keeper_tests.cpp
+++ b/tests/unit/run_reconciler_tests.cpp
@@ -52,7 +52,7 @@
     std::vector<Action> due()
     {
         std::vector<Action> out;
-        for (const keeper_action& one : keeper.due(now))
+        for (const executor_action& one : keeper.due(now))
         {
             if (const auto* action = std::get_if<Action>(&one))
             {
@@ -65,10 +65,10 @@
     void looked(std::vector<running_task> running,
                 std::vector<ended_task> ended = {})
     {
-        keeper.on_looked("w1", order_result::accepted,
-                         worker_look{.clock_ms = clock(),
-                                     .running = std::move(running),
-                                     .ended = std::move(ended)},
+        keeper.on_polled("w1", order_result::accepted,
+                         executor_snapshot{.clock_ms = clock(),
+                                           .running = std::move(running),
+                                           .ended = std::move(ended)},
                          now, now);
     }
 
@@ -79,7 +79,7 @@
 
     time_point now{std::chrono::hours(1)};
     time_point begun = now;
-    run_keeper keeper{};
+    run_reconciler keeper{};
 };
 
 } // namespace
@@ -88,15 +88,15 @@
 {
     guard at;
     at.answer({}, 5, 800);
-    const auto looks = at.due<look_at_worker>();
+    const auto looks = at.due<poll_executor>();
     REQUIRE(looks.size() == 1);
     REQUIRE(looks[0].deadline_ms.has_value());
     // The permit of the first answer is the longer one and still holds.
     CHECK(*looks[0].deadline_ms <= at.clock() + 4000);
-    CHECK(looks[0].fence / run_keeper::fences_an_epoch == 5);
+    CHECK(looks[0].fence / run_reconciler::fences_an_epoch == 5);
     at.looked({});
     at.now += seconds(4);
-    const auto later = at.due<look_at_worker>();
+    const auto later = at.due<poll_executor>();
     REQUIRE(later.size() == 1);
     CHECK_FALSE(later[0].deadline_ms.has_value());
 }
@@ -186,13 +186,13 @@
 TEST_CASE("a silent worker gets no longer lease, and lapses surely")
 {
     guard at;
-    const auto looks = at.due<look_at_worker>();
+    const auto looks = at.due<poll_executor>();
     REQUIRE(looks.size() == 1);
-    at.keeper.on_looked("w1", order_result::unanswered, std::nullopt, at.now,
+    at.keeper.on_polled("w1", order_result::unanswered, std::nullopt, at.now,
                         at.now);
     at.now += milliseconds(1500);
     at.answer({});
-    const auto silent = at.due<look_at_worker>();
+    const auto silent = at.due<poll_executor>();
     REQUIRE(silent.size() == 1);
     CHECK_FALSE(silent[0].deadline_ms.has_value());
     CHECK_FALSE(at.keeper.report(at.now).answering);
@@ -235,7 +235,7 @@
     at.looked({{.task = "j.0.0.0", .run = 1}});
     at.keeper.on_worker({.life = "w2", .service = "s"}, 5, at.now);
     CHECK(at.keeper.report(at.now).worker.life == "w1"); // until it answers
-    at.keeper.on_looked("w2", order_result::fenced, {}, at.now, at.now);
+    at.keeper.on_polled("w2", order_result::fenced, {}, at.now, at.now);
     const worker_report report = at.keeper.report(at.now);
     CHECK(report.running.empty());
     CHECK_FALSE(report.looked);
@@ -389,11 +389,11 @@
     }
     SUBCASE("a look")
     {
-        at.keeper.on_looked("w1", order_result::unhealthy, std::nullopt, at.now,
+        at.keeper.on_polled("w1", order_result::unhealthy, std::nullopt, at.now,
                             at.now);
     }
     CHECK_FALSE(at.keeper.report(at.now).answering);
-    CHECK(at.keeper.take_news());
+    CHECK(at.keeper.take_report_due());
     at.looked({});
     CHECK(at.keeper.report(at.now).answering);
 }
@@ -421,8 +421,8 @@
               {{.number = 1, .task = "ended", .run = 1}});
     at.now += milliseconds(100);
     at.keeper.on_worker({.life = "w2", .service = "s"}, 5, at.now);
-    at.keeper.on_looked("w2", order_result::accepted, worker_look{}, at.now,
-                        at.now);
+    at.keeper.on_polled("w2", order_result::accepted, executor_snapshot{},
+                        at.now, at.now);
     const auto former = at.keeper.report(at.now).former;
     REQUIRE(former.size() == 1);
     CHECK(former[0].life == "w1");
--- a/tests/unit/table_keeper_tests.cpp
+++ b/tests/unit/table_synchronizer_tests.cpp
@@ -26,8 +26,8 @@
     {
         for (int index = 0; index < 3; ++index)
         {
-            keepers_.emplace_back(
-                table_keeper_options{.writer = "w" + std::to_string(index)});
+            keepers_.emplace_back(table_synchronizer_options{
+                .writer = "w" + std::to_string(index)});
         }
         seen_.resize(keepers_.size());
     }
@@ -189,7 +189,7 @@
     int faults_;
     manual_clock clock_;
     memory_store store_;
-    std::vector<table_keeper> keepers_;
+    std::vector<table_synchronizer> keepers_;
     std::multimap<time_point, std::function<void()>> due_;
     std::set<edit_number> values_;
     std::map<edit_number, edit_ended> ended_;
--- a/tests/unit/task_world_tests.cpp
+++ b/tests/unit/task_world_tests.cpp
@@ -217,7 +217,7 @@
 
     struct guard_side
     {
-        std::unique_ptr<task_keeper> keeper;
+        std::unique_ptr<attempt_tracker> keeper;
         fake_worker worker;
         std::string incarnation;
         int life = 0;
@@ -346,7 +346,7 @@
         side.paused_until = time_point{};
         side.polling = false;
         side.incarnation = "i" + std::to_string(side.life);
-        side.keeper = std::make_unique<task_keeper>(task_keeper_options{
+        side.keeper = std::make_unique<attempt_tracker>(attempt_tracker_options{
             .incarnation = side.incarnation, .capacity = worker_capacity});
     }
 
--- a/tests/unit/unasked_run_tests.cpp
+++ b/tests/unit/unasked_run_tests.cpp
@@ -91,7 +91,7 @@
 
 TEST_CASE("a guard stops what it never started, also without a permit")
 {
-    run_keeper keeper;
+    run_reconciler keeper;
     time_point now{std::chrono::hours(1)};
     keeper.on_worker({.life = "w1", .service = "s"}, 1000, now);
     report_answer answer{.holds = true, .permit_ms = 0, .orders = {.epoch = 5}};
@@ -103,7 +103,7 @@
         const auto actions = keeper.due(now);
         const auto asked = std::count_if(
             actions.begin(), actions.end(),
-            [](const keeper_action& one)
+            [](const executor_action& one)
             {
                 const auto* const stop = std::get_if<stop_run>(&one);
                 return stop != nullptr &&
@@ -144,16 +144,16 @@
 
     void look_shows(std::vector<running_task> running)
     {
-        keeper.on_looked(
+        keeper.on_polled(
             "w1", order_result::accepted,
-            worker_look{.clock_ms = 1000, .running = std::move(running)}, now,
-            now);
+            executor_snapshot{.clock_ms = 1000, .running = std::move(running)},
+            now, now);
     }
 
     std::set<std::int64_t> stops_due()
     {
         std::set<std::int64_t> runs;
-        for (const keeper_action& one : keeper.due(now))
+        for (const executor_action& one : keeper.due(now))
         {
             if (const auto* const stop = std::get_if<stop_run>(&one))
             {
@@ -164,7 +164,7 @@
     }
 
     time_point now{std::chrono::hours(1)};
-    run_keeper keeper;
+    run_reconciler keeper;
 };
 
 } // namespace
