--- a/packages/daemon/src/job_scheduler.cpp
+++ b/packages/daemon/src/job_scheduler.cpp
@@ -19,7 +19,7 @@
 // if nothing else is on it, 5.4 s on a fifth of that.
 constexpr duration longest_page = std::chrono::milliseconds(6000);
 // A successor's knowledge may be so old; each write is a priced call.
-constexpr duration harms_every = std::chrono::seconds(3);
+constexpr duration interference_save_interval = std::chrono::seconds(3);
 // Below any scrape's interval.
 constexpr duration figures_every = std::chrono::seconds(1);
 // A write is answered within milliseconds; above that, and above the wait for a
@@ -160,22 +160,22 @@
 }
 
 // Written without a condition: a late copy only says a little less.
-void job_scheduler::keep_harms(time_point now)
+void job_scheduler::save_interference(time_point now)
 {
-    if (now < next_harms_)
+    if (now < next_interference_save_)
     {
         return;
     }
-    next_harms_ = now + harms_every;
-    std::vector<pair_harm> harms = core_.known_harms();
-    if (harms == kept_harms_)
+    next_interference_save_ = now + interference_save_interval;
+    std::vector<pair_interference> harms = core_.known_interference();
+    if (harms == saved_interference_)
     {
         return;
     }
-    kept_harms_ = std::move(harms);
-    store_.transact(
-        {.puts = {{.key = harms_key, .value = json(kept_harms_).dump()}}},
-        timeout_.value(), [](const store_result&) {});
+    saved_interference_ = std::move(harms);
+    store_.transact({.puts = {{.key = interference_key,
+                               .value = json(saved_interference_).dump()}}},
+                    timeout_.value(), [](const store_result&) {});
 }
 
 // ---------------------------------------------------------------------------
@@ -302,7 +302,8 @@
     {
         if (!reading_ && now >= next_read_)
         {
-            at_ == stage::reading_harms ? read_harms() : read_page();
+            at_ == stage::loading_interference ? decode_interference()
+                                               : read_page();
         }
         return;
     }
@@ -312,7 +313,7 @@
     }
     core_.tick(now, day_milliseconds());
     write();
-    keep_harms(now);
+    save_interference(now);
     ask_for_advice(now);
     send_orders();
     log_decisions();
--- a/packages/daemon/src/job_scheduler.hpp
+++ b/packages/daemon/src/job_scheduler.hpp
@@ -57,7 +57,7 @@
         idle,
         reading_jobs,
         reading_progress,
-        reading_harms,
+        loading_interference,
         holding
     };
 
@@ -66,8 +66,8 @@
 
     // Reading what is kept.
     void read_page();
-    void read_harms();
-    void keep_harms(time_point now);
+    void decode_interference();
+    void save_interference(time_point now);
     void on_page(const platform::store_result& result);
     void take_item(const platform::store_item& item);
     void adopt_all();
@@ -118,9 +118,9 @@
     time_point first_copy_{};  ///< when it was sent
     time_point next_copy_{};
     adaptive_timeout copy_after_; ///< without an answer to those before
-    time_point next_harms_{};
+    time_point next_interference_save_{};
     time_point next_figures_{};
-    std::vector<pair_harm> kept_harms_;
+    std::vector<pair_interference> saved_interference_;
 };
 
 } // namespace springstair
--- a/packages/daemon/src/job_scheduler_loading.cpp
+++ b/packages/daemon/src/job_scheduler_loading.cpp
@@ -90,14 +90,14 @@
         return;
     }
     at_ = at_ == stage::reading_jobs ? stage::reading_progress
-                                     : stage::reading_harms;
+                                     : stage::loading_interference;
 }
 
 // Harms are a help, not a need: whatever the store says, the office begins.
-void job_scheduler::read_harms()
+void job_scheduler::decode_interference()
 {
     reading_ = true;
-    store_.read(harms_key, timeout_.value(),
+    store_.read(interference_key, timeout_.value(),
                 process_.on_control<store_result>(
                     [this, term = term_](const store_result& result)
                     {
@@ -113,8 +113,9 @@
                                               nullptr, false);
                         if (value.is_array())
                         {
-                            kept_harms_ = value.get<std::vector<pair_harm>>();
-                            core_.adopt_harms(kept_harms_);
+                            saved_interference_ =
+                                value.get<std::vector<pair_interference>>();
+                            core_.adopt_interference(saved_interference_);
                         }
                         adopt_all();
                     }));
--- a/packages/daemon/src/job_store.hpp
+++ b/packages/daemon/src/job_store.hpp
@@ -17,7 +17,7 @@
 inline constexpr const char* progress_prefix = "springstair/progress/";
 
 /// What the holder has learnt of harms between images; a successor's start.
-inline constexpr const char* harms_key = "springstair/harms";
+inline constexpr const char* interference_key = "springstair/harms";
 
 std::string job_key(const std::string& id);
 std::string cancellation_key(const std::string& id);
--- a/packages/guard/include/springstair/detail/guard/interference.hpp
+++ b/packages/guard/include/springstair/detail/guard/interference.hpp
@@ -37,7 +37,7 @@
     double explained = 0.3;
     /// A pair's harm below this is noise (trials on both sites: harmless
     /// pairs come out below 1, harmful ones at 4 and more).
-    double harmful = 1.2;
+    double interfering = 1.2;
     /// Below this pace, in percent, fills stand still: a crawl harms and
     /// hardly helps.
     double least_pace = 10;
@@ -69,13 +69,13 @@
 
 /// @brief Sets the pace of one worker's fills, by image, from the tails of
 /// the tasks that serve there and the harm that is known of pairs of images.
-class interference
+class interference_controller
 {
 public:
-    explicit interference(interference_options options = {});
+    explicit interference_controller(interference_options options = {});
 
     /// @brief The holder's newest knowledge of pairs that are here.
-    void learn(const std::vector<pair_harm>& harms);
+    void learn(const std::vector<pair_interference>& harms);
 
     /// @brief Takes a look's rows into account.
     /// @param traits of the runs that are known, by task
@@ -101,10 +101,10 @@
         std::map<std::string, double> use;      ///< by fills, share of capacity
     };
 
-    [[nodiscard]] double harm_of(const std::string& serving,
-                                 const std::string& filling) const;
-    [[nodiscard]] double known_harm(const std::string& serving,
-                                    const figures& now) const;
+    [[nodiscard]] double interference_of(const std::string& serving,
+                                         const std::string& filling) const;
+    [[nodiscard]] double known_interference_of(const std::string& serving,
+                                               const figures& now) const;
     void slow_for(const std::string& serving, double headroom,
                   const figures& now);
     void slow_known(const std::string& serving, double headroom,
@@ -117,7 +117,7 @@
                                         const figures& now) const;
 
     interference_options options_;
-    std::map<std::string, std::map<std::string, double>> harms_;
+    std::map<std::string, std::map<std::string, double>> known_interference_;
     std::vector<pace_change> changes_;
     std::map<std::string, double> pace_; ///< only images that are slowed
     time_point next_step_{};
--- a/packages/guard/include/springstair/detail/guard/run_reconciler.hpp
+++ b/packages/guard/include/springstair/detail/guard/run_reconciler.hpp
@@ -64,7 +64,7 @@
     /// Former lives that are told of at most: a guard that no holder hears
     /// for a minute, while its executor crashes every few seconds.
     std::size_t max_past_incarnations = 16;
-    interference_options interference;
+    interference_options interference_controller;
 };
 
 /// @brief Whether and why the worker took an order.
@@ -365,7 +365,7 @@
     std::vector<refused_run> refused_; ///< not told to a holder yet
     std::map<std::string, given_back_run> given_back_; ///< newest, by task
     std::map<std::string, ended_run> over_here_;       ///< by task
-    interference interference_;
+    interference_controller interference_;
     time_point whole_told_{}; ///< when the holder last heard what runs
     /// The worker's newest answer was that it does nothing, or nobody takes
     /// calls at its address.
--- a/packages/guard/src/interference.cpp
+++ b/packages/guard/src/interference.cpp
@@ -19,17 +19,20 @@
 
 } // namespace
 
-interference::interference(interference_options options) : options_(options) {}
+interference_controller::interference_controller(interference_options options)
+    : options_(options)
+{
+}
 
-void interference::learn(const std::vector<pair_harm>& harms)
+void interference_controller::learn(const std::vector<pair_interference>& harms)
 {
-    for (const pair_harm& one : harms)
+    for (const pair_interference& one : harms)
     {
-        harms_[one.serving][one.filling] = one.harm;
+        known_interference_[one.serving][one.filling] = one.harm;
     }
 }
 
-std::int64_t interference::pace(const std::string& image) const
+std::int64_t interference_controller::pace(const std::string& image) const
 {
     const auto found = pace_.find(image);
     const double pace = found == pace_.end() ? full_pace : found->second;
@@ -37,7 +40,7 @@
                                      pace_grain);
 }
 
-std::map<std::string, std::int64_t> interference::paces() const
+std::map<std::string, std::int64_t> interference_controller::paces() const
 {
     std::map<std::string, std::int64_t> out;
     for (const auto& [image, pace_now] : pace_)
@@ -47,22 +50,24 @@
     return out;
 }
 
-double interference::harm_of(const std::string& serving,
-                             const std::string& filling) const
+double
+interference_controller::interference_of(const std::string& serving,
+                                         const std::string& filling) const
 {
-    const auto row = harms_.find(serving);
-    if (row == harms_.end())
+    const auto row = known_interference_.find(serving);
+    if (row == known_interference_.end())
     {
         return 0;
     }
     const auto found = row->second.find(filling);
     const bool known = found != row->second.end();
-    return known && found->second >= options_.harmful ? found->second : 0;
+    return known && found->second >= options_.interfering ? found->second : 0;
 }
 
-void interference::observe(const std::vector<running_task>& running,
-                           const std::map<std::string, run_traits>& traits,
-                           std::int64_t capacity, time_point now)
+void interference_controller::observe(
+    const std::vector<running_task>& running,
+    const std::map<std::string, run_traits>& traits, std::int64_t capacity,
+    time_point now)
 {
     if (now < next_step_)
     {
@@ -119,24 +124,25 @@
     }
 }
 
-double interference::known_harm(const std::string& serving,
-                                const figures& now) const
+double
+interference_controller::known_interference_of(const std::string& serving,
+                                               const figures& now) const
 {
     double sum = 0;
     for (const auto& [filling, use] : now.use)
     {
-        sum += harm_of(serving, filling) * use;
+        sum += interference_of(serving, filling) * use;
     }
     return sum;
 }
 
 // Fills that are known to harm are slowed if they explain what is missing;
 // else all fills, but only once a target is missed.
-void interference::slow_for(const std::string& serving, double headroom,
-                            const figures& now)
+void interference_controller::slow_for(const std::string& serving,
+                                       double headroom, const figures& now)
 {
     const double missing = options_.slow_to - headroom;
-    if (known_harm(serving, now) >= options_.explained * missing)
+    if (known_interference_of(serving, now) >= options_.explained * missing)
     {
         slow_known(serving, headroom, now);
     }
@@ -148,13 +154,13 @@
 
 // The fill that harms most for its work goes first, until what is missing is
 // won back: the least work is slowed for it.
-void interference::slow_known(const std::string& serving, double headroom,
-                              const figures& now)
+void interference_controller::slow_known(const std::string& serving,
+                                         double headroom, const figures& now)
 {
     std::vector<std::pair<double, std::string>> worst;
     for (const auto& [filling, use] : now.use)
     {
-        const double harm = harm_of(serving, filling);
+        const double harm = interference_of(serving, filling);
         if (harm > 0 && use > 0)
         {
             worst.emplace_back(harm, filling);
@@ -179,8 +185,8 @@
     }
 }
 
-void interference::slow_all(const std::string& serving, double headroom,
-                            const figures& now)
+void interference_controller::slow_all(const std::string& serving,
+                                       double headroom, const figures& now)
 {
     for (const auto& [filling, use] : now.use)
     {
@@ -189,8 +195,8 @@
     }
 }
 
-void interference::slow(const std::string& filling, double factor,
-                        pace_change why)
+void interference_controller::slow(const std::string& filling, double factor,
+                                   pace_change why)
 {
     const auto [found, fresh] = pace_.try_emplace(filling, full_pace);
     found->second *= factor;
@@ -203,20 +209,21 @@
     changes_.push_back(std::move(why));
 }
 
-std::vector<pace_change> interference::take_changes()
+std::vector<pace_change> interference_controller::take_changes()
 {
     return std::exchange(changes_, {});
 }
 
 // By how much a fill may get faster, in percent of its full pace, at which it
 // uses a share of the worker's processors.
-double interference::bearable_raise(const std::string& filling, double full,
-                                    const figures& now) const
+double interference_controller::bearable_raise(const std::string& filling,
+                                               double full,
+                                               const figures& now) const
 {
     double raise = full_pace;
     for (const auto& [serving, headroom] : now.headroom)
     {
-        const double harm = harm_of(serving, filling);
+        const double harm = interference_of(serving, filling);
         if (harm > 0)
         {
             const double spare = headroom - options_.raise_above;
@@ -232,7 +239,7 @@
 
 // Those that harm least first; what one takes of a headroom is gone for the
 // next, so that together they do not bring a tail over its target.
-void interference::raise(const figures& now)
+void interference_controller::raise(const figures& now)
 {
     std::vector<std::pair<double, std::string>> order;
     for (const auto& [filling, pace_now] : pace_)
@@ -240,7 +247,7 @@
         double most = 0;
         for (const auto& [serving, headroom] : now.headroom)
         {
-            most = std::max(most, harm_of(serving, filling));
+            most = std::max(most, interference_of(serving, filling));
         }
         order.emplace_back(most, filling);
     }
@@ -262,7 +269,8 @@
         const double step = std::min(bearable, full_pace - pace_now);
         for (auto& [serving, headroom] : left.headroom)
         {
-            headroom -= harm_of(serving, filling) * full * step / full_pace;
+            headroom -=
+                interference_of(serving, filling) * full * step / full_pace;
         }
         pace_now += step;
         changes_.push_back({.filling = filling, .pace = pace_now});
--- a/packages/guard/src/run_reconciler_incarnations.cpp
+++ b/packages/guard/src/run_reconciler_incarnations.cpp
@@ -86,7 +86,7 @@
     leased_until_ = {};
     expect_longest_lease(now);
     next_look_ = now;
-    interference_ = interference(options_.interference);
+    interference_ = interference_controller(options_.interference_controller);
 }
 
 // A start without an answer may be at the next life of the executor, now or
--- a/packages/jobs/include/springstair/detail/jobs/worker_messages.hpp
+++ b/packages/jobs/include/springstair/detail/jobs/worker_messages.hpp
@@ -248,7 +248,7 @@
 
 /// @brief How much tasks of one image that fill harm tasks of another that
 /// serve, on the same worker.
-struct pair_harm
+struct pair_interference
 {
     std::string serving;
     std::string filling;
@@ -256,7 +256,7 @@
     /// all of the worker's processors.
     double harm = 0;
 
-    bool operator==(const pair_harm&) const = default;
+    bool operator==(const pair_interference&) const = default;
 };
 
 /// @brief A holder's answer to a report.
@@ -267,7 +267,7 @@
     std::int64_t permit_ms = 0; ///< the worker's lease may last so long,
                                 ///< counted from the report's sending
     guard_orders orders;
-    std::vector<pair_harm> harms; ///< of pairs that run at this worker
+    std::vector<pair_interference> harms; ///< of pairs that run at this worker
     /// To be repeated in the next report. With a number, the report was not
     /// believed: there is no permit and there are no orders.
     guard_admission admission;
@@ -295,8 +295,8 @@
                                                 latency_target_ms, image,
                                                 told_incarnation)
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(stop_order, task, run)
-NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(pair_harm, serving, filling,
-                                                harm)
+NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(pair_interference, serving,
+                                                filling, harm)
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(report_answer, holds, holder,
                                                 permit_ms, orders, harms,
                                                 admission)
--- a/packages/scheduler/include/springstair/detail/scheduler/harm_model.hpp
+++ b/packages/scheduler/include/springstair/detail/scheduler/interference_model.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include <springstair/detail/scheduler/sibling_figures.hpp>
+#include <springstair/detail/scheduler/sibling_headroom.hpp>
 #include <springstair/jobs.hpp>
 
 #include <cstdint>
@@ -13,7 +13,7 @@
 {
 
 /// @brief How the model learns.
-struct harm_options
+struct interference_model_options
 {
     /// What an older sample still weighs when one more comes: those of the
     /// last five thousand count, a minute of 45 tasks of one image.
@@ -36,7 +36,7 @@
     /// Weight of what a predecessor knew, as that of @ref caution.
     double inherited = 0.05;
     /// Harms below this are not worth handing on.
-    double least_harm = 1.2;
+    double min_interference = 1.2;
     /// Rounds of the fit at each sample; it starts from the last result.
     int rounds = 2;
 };
@@ -62,13 +62,13 @@
 /// 160 workers, the mean error of a pair's harm (0 to 8) after 15, 20 and 30 s
 /// is 0.98, 0.78 and 0.52 by siblings, 1.25, 1.03 and 0.86 by changes alone.
 /// Harms are zero or more. A sample costs O(images^2).
-class harm_model
+class interference_model
 {
 public:
-    explicit harm_model(harm_options options = {});
+    explicit interference_model(interference_model_options options = {});
 
     /// @brief Takes in a task's figure and what fills used beside it.
-    void observe(const serving_figure& from, const harm_sample& beside,
+    void observe(const serving_figure& from, const fill_usage& beside,
                  time_point now);
 
     /// @brief Headroom that a pair costs if the fills took a whole worker;
@@ -76,19 +76,19 @@
     [[nodiscard]] double harm(const std::string& serving,
                               const std::string& filling) const;
     /// @brief Every pair that is known to harm, for a successor.
-    [[nodiscard]] std::vector<pair_harm> known() const;
+    [[nodiscard]] std::vector<pair_interference> known() const;
     /// @brief Begins with what a predecessor knew.
-    void adopt(const std::vector<pair_harm>& harms);
+    void adopt(const std::vector<pair_interference>& harms);
 
     /// @brief Headroom that all of these fills cost.
-    [[nodiscard]] double harm_of(const std::string& serving,
-                                 const harm_sample& beside) const;
+    [[nodiscard]] double interference_of(const std::string& serving,
+                                         const fill_usage& beside) const;
 
 private:
     struct past_figure
     {
         time_point at;
-        harm_figure figure;
+        headroom_sample figure;
     };
 
     /// One serving image's sums and harms, by index of the filling image.
@@ -100,21 +100,21 @@
     };
 
     std::optional<std::size_t> index_of(const std::string& filling);
-    std::vector<std::pair<std::size_t, double>> changes(const harm_sample& from,
-                                                        const harm_sample& to);
-    bool compare(const std::string& serving, const harm_figure& with,
-                 const harm_figure& seen);
+    std::vector<std::pair<std::size_t, double>> changes(const fill_usage& from,
+                                                        const fill_usage& to);
+    bool compare(const std::string& serving, const headroom_sample& with,
+                 const headroom_sample& seen);
     void learn(fit& of, double loss,
                const std::vector<std::pair<std::size_t, double>>& changes);
     void resize(fit& of) const;
     void solve(fit& of) const;
     void forget_old(time_point now);
 
-    harm_options options_;
+    interference_model_options options_;
     std::map<std::string, std::size_t> images_;
     std::map<std::string, fit> fits_;
-    std::map<std::string, past_figure> last_;         ///< by task
-    std::map<std::string, sibling_figures> siblings_; ///< by job
+    std::map<std::string, past_figure> last_;          ///< by task
+    std::map<std::string, sibling_headroom> siblings_; ///< by job
     time_point next_cleaning_{};
 };
 
--- a/packages/scheduler/include/springstair/detail/scheduler/placement.hpp
+++ b/packages/scheduler/include/springstair/detail/scheduler/placement.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include <springstair/detail/scheduler/harm_model.hpp>
+#include <springstair/detail/scheduler/interference_model.hpp>
 #include <springstair/detail/scheduler/job_record.hpp>
 #include <springstair/detail/scheduler/worker_ledger.hpp>
 
@@ -55,13 +55,13 @@
     const std::string& service;
     const std::string& group; ///< step_group() of the task
     const std::set<std::string>& avoided;
-    const harm_model& harm;
+    const interference_model& harm;
     time_point now;
     /// The guard of a worker that it has just left; null if there is none.
     const std::string* left = nullptr;
     /// It has waited too long for a worker that bears it: the least harmful
     /// one that has room takes it, and the guard there slows it.
-    bool despite_harm = false;
+    bool ignore_interference = false;
     /// A suspect: it goes where fewest others are unproven, so that a crash
     /// tells most.
     bool apart = false;
--- a/packages/scheduler/include/springstair/detail/scheduler/scheduler_core.hpp
+++ b/packages/scheduler/include/springstair/detail/scheduler/scheduler_core.hpp
@@ -3,7 +3,7 @@
 #include <springstair/detail/scheduler/crash_suspicion.hpp>
 #include <springstair/detail/scheduler/data_centre_book.hpp>
 #include <springstair/detail/scheduler/failure_test.hpp>
-#include <springstair/detail/scheduler/harm_model.hpp>
+#include <springstair/detail/scheduler/interference_model.hpp>
 #include <springstair/detail/scheduler/job_order.hpp>
 #include <springstair/detail/scheduler/job_record.hpp>
 #include <springstair/detail/scheduler/placement.hpp>
@@ -83,7 +83,7 @@
     duration figure_age = std::chrono::milliseconds(450);
     /// A fill of a job that has nothing running waits no longer than this for
     /// a worker whose serving tasks bear it; half of what the platform allows.
-    duration longest_harm_wait = std::chrono::milliseconds(1500);
+    duration max_interference_wait = std::chrono::milliseconds(1500);
     /// Lasting jobs that come within this time of one another are placed
     /// together, the largest tasks first. With the workers kept free it took
     /// what the largest tenth of them is without workers to a third (mean of
@@ -121,7 +121,7 @@
     /// often at most: a line a second for each five that are not served.
     duration tell_gap = std::chrono::seconds(5);
     /// Harm below this is not worth telling a guard.
-    double harm_told = 0.8;
+    double min_reported_interference = 0.8;
 };
 
 /// @brief One job's record to be written.
@@ -194,14 +194,14 @@
     void adopt(job what, const std::optional<job_progress>& kept,
                std::int64_t revision, time_point now, std::int64_t day_ms);
     /// @brief Begins with the harms that an earlier holder knew.
-    void adopt_harms(const std::vector<pair_harm>& harms)
+    void adopt_interference(const std::vector<pair_interference>& harms)
     {
-        harm_.adopt(harms);
+        interference_model_.adopt(harms);
     }
     /// @brief What is known of harms, for a successor.
-    [[nodiscard]] std::vector<pair_harm> known_harms() const
+    [[nodiscard]] std::vector<pair_interference> known_interference() const
     {
-        return harm_.known();
+        return interference_model_.known();
     }
     /// @brief All kept jobs are adopted: workers may report.
     void begin(time_point now);
@@ -382,10 +382,10 @@
     resources room_after_stops(const worker_record& at);
     bool may_give_way(const task_name& name);
     void leave_in_time(worker_record& at, guard_orders& out, time_point now);
-    void learn_harm(worker_record& at, const worker_report& from,
-                    time_point now);
-    [[nodiscard]] std::vector<pair_harm>
-    harms_at(const worker_record& at) const;
+    void learn_interference(worker_record& at, const worker_report& from,
+                            time_point now);
+    [[nodiscard]] std::vector<pair_interference>
+    interference_at(const worker_record& at) const;
     std::int64_t acknowledge(worker_record& at);
     [[nodiscard]] start_order order_for(const job_record& of,
                                         const job_task& task) const;
@@ -521,7 +521,7 @@
     bool committing_ = false;
     time_point last_commit_{};
     worker_map workers_;
-    harm_model harm_;
+    interference_model interference_model_;
     ticket_book advice_;
     vain_queries vain_;         ///< of this pass over the waiting tasks
     time_point last_lasting_{}; ///< when the newest lasting job came
--- a/packages/scheduler/include/springstair/detail/scheduler/vain_queries.hpp
+++ b/packages/scheduler/include/springstair/detail/scheduler/vain_queries.hpp
@@ -54,7 +54,7 @@
     // the moment. Suspects are bound by the trials that are under way.
     static bool is_comparable(const placement_query& query)
     {
-        return query.step.most_per_worker == 0 && !query.despite_harm &&
+        return query.step.most_per_worker == 0 && !query.ignore_interference &&
                !query.apart && query.tickets == nullptr;
     }
 
--- a/packages/scheduler/src/harm_model.cpp
+++ b/packages/scheduler/src/interference_model.cpp
@@ -14,9 +14,13 @@
 
 } // namespace
 
-harm_model::harm_model(harm_options options) : options_(options) {}
+interference_model::interference_model(interference_model_options options)
+    : options_(options)
+{
+}
 
-std::optional<std::size_t> harm_model::index_of(const std::string& filling)
+std::optional<std::size_t>
+interference_model::index_of(const std::string& filling)
 {
     const auto found = images_.find(filling);
     if (found != images_.end())
@@ -33,9 +37,9 @@
 }
 
 std::vector<std::pair<std::size_t, double>>
-harm_model::changes(const harm_sample& from, const harm_sample& to)
+interference_model::changes(const fill_usage& from, const fill_usage& to)
 {
-    harm_sample difference = to;
+    fill_usage difference = to;
     for (const auto& [filling, use] : from)
     {
         difference[filling] -= use;
@@ -52,12 +56,12 @@
     return out;
 }
 
-void harm_model::observe(const serving_figure& from, const harm_sample& beside,
-                         time_point now)
+void interference_model::observe(const serving_figure& from,
+                                 const fill_usage& beside, time_point now)
 {
     forget_old(now);
-    harm_figure seen{.headroom = from.headroom, .beside = beside};
-    sibling_figures& siblings = siblings_[from.job];
+    headroom_sample seen{.headroom = from.headroom, .beside = beside};
+    sibling_headroom& siblings = siblings_[from.job];
     past_figure& before = last_[from.task];
     const auto others = siblings.mean_without(from.task);
     const bool told = others && compare(from.image, *others, seen);
@@ -70,8 +74,9 @@
 }
 
 // Learns from the difference of two figures of one load, if it says anything.
-bool harm_model::compare(const std::string& serving, const harm_figure& with,
-                         const harm_figure& seen)
+bool interference_model::compare(const std::string& serving,
+                                 const headroom_sample& with,
+                                 const headroom_sample& seen)
 {
     if (std::max(with.headroom, seen.headroom) < options_.least_headroom)
     {
@@ -86,7 +91,7 @@
     return true;
 }
 
-void harm_model::learn(
+void interference_model::learn(
     fit& of, double loss,
     const std::vector<std::pair<std::size_t, double>>& changes)
 {
@@ -110,7 +115,7 @@
     solve(of);
 }
 
-void harm_model::resize(fit& of) const
+void interference_model::resize(fit& of) const
 {
     const std::size_t size = images_.size();
     of.products.resize(size);
@@ -122,15 +127,15 @@
     }
 }
 
-std::vector<pair_harm> harm_model::known() const
+std::vector<pair_interference> interference_model::known() const
 {
-    std::vector<pair_harm> out;
+    std::vector<pair_interference> out;
     for (const auto& [serving, of] : fits_)
     {
         for (const auto& [filling, index] : images_)
         {
             const bool fitted = index < of.harms.size();
-            if (fitted && of.harms[index] >= options_.least_harm)
+            if (fitted && of.harms[index] >= options_.min_interference)
             {
                 out.push_back({.serving = serving,
                                .filling = filling,
@@ -141,9 +146,9 @@
     return out;
 }
 
-void harm_model::adopt(const std::vector<pair_harm>& harms)
+void interference_model::adopt(const std::vector<pair_interference>& harms)
 {
-    for (const pair_harm& one : harms)
+    for (const pair_interference& one : harms)
     {
         const auto index = index_of(one.filling);
         if (!index)
@@ -159,7 +164,7 @@
 }
 
 // Coordinate descent on the weighted squares, harms kept at zero or more.
-void harm_model::solve(fit& of) const
+void interference_model::solve(fit& of) const
 {
     const std::size_t size = of.harms.size();
     for (int round = 0; round < options_.rounds; ++round)
@@ -181,7 +186,7 @@
     }
 }
 
-void harm_model::forget_old(time_point now)
+void interference_model::forget_old(time_point now)
 {
     if (now < next_cleaning_)
     {
@@ -194,8 +199,8 @@
                   { return now - entry.second.noted() > cleaning; });
 }
 
-double harm_model::harm(const std::string& serving,
-                        const std::string& filling) const
+double interference_model::harm(const std::string& serving,
+                                const std::string& filling) const
 {
     const auto of = fits_.find(serving);
     const auto image = images_.find(filling);
@@ -204,8 +209,8 @@
     return known ? of->second.harms[image->second] : options_.assumed;
 }
 
-double harm_model::harm_of(const std::string& serving,
-                           const harm_sample& beside) const
+double interference_model::interference_of(const std::string& serving,
+                                           const fill_usage& beside) const
 {
     double sum = 0;
     for (const auto& [filling, use] : beside)
--- a/packages/scheduler/src/placement.cpp
+++ b/packages/scheduler/src/placement.cpp
@@ -15,7 +15,7 @@
 // A fill that costs less headroom than this does not matter.
 constexpr double small_cost = 0.03;
 // Headroom where a fill harms nobody: above any that a tail can have.
-constexpr double no_harm = 10;
+constexpr double no_interference = 10;
 
 bool has_fill_room(const worker_record& at, const placement_query& query,
                    const placement_options& options);
@@ -93,7 +93,7 @@
     const auto asked =
         static_cast<double>(at.fill_cpu + query.step.demand.cpu_millis);
     return asked <= fill_room(at, options) &&
-           headroom_with(at, query, options).value_or(no_harm) >=
+           headroom_with(at, query, options).value_or(no_interference) >=
                options.least_headroom;
 }
 
@@ -103,7 +103,8 @@
 {
     const auto asked =
         static_cast<double>(at.fill_cpu + query.step.demand.cpu_millis);
-    const double headroom = headroom_with(at, query, options).value_or(no_harm);
+    const double headroom =
+        headroom_with(at, query, options).value_or(no_interference);
     return asked / std::max(fill_room(at, options), 1.0) + 1 / headroom;
 }
 
@@ -173,7 +174,7 @@
     return may_run(at, query, options) &&
            reserved_by(query.step)
                .fits(query.step.lasting ? at.room() : at.unclaimed_room()) &&
-           (!query.step.fills || query.despite_harm ||
+           (!query.step.fills || query.ignore_interference ||
             has_fill_room(at, query, options));
 }
 
--- a/packages/scheduler/src/scheduler_learning.cpp
+++ b/packages/scheduler/src/scheduler_learning.cpp
@@ -9,15 +9,16 @@
 
 // Each report shows serving tasks' tails beside the fills that worked at the
 // same time.
-void scheduler_core::learn_harm(worker_record& at, const worker_report& from,
-                                time_point now)
+void scheduler_core::learn_interference(worker_record& at,
+                                        const worker_report& from,
+                                        time_point now)
 {
     if (now - at.learnt < options_.figure_age)
     {
         return;
     }
     at.learnt = now;
-    harm_sample beside;
+    fill_usage beside;
     std::vector<serving_figure> figures;
     for (const running_task& row : from.running)
     {
@@ -47,8 +48,9 @@
     at.headroom_alone.clear();
     for (const serving_figure& one : figures)
     {
-        harm_.observe(one, beside, now);
-        const double alone = one.headroom + harm_.harm_of(one.image, beside);
+        interference_model_.observe(one, beside, now);
+        const double alone = one.headroom + interference_model_.interference_of(
+                                                one.image, beside);
         const auto [found, fresh] =
             at.headroom_alone.try_emplace(one.image, alone);
         found->second = std::min(found->second, alone);
@@ -56,15 +58,16 @@
     at.filling = std::move(beside);
 }
 
-std::vector<pair_harm> scheduler_core::harms_at(const worker_record& at) const
+std::vector<pair_interference>
+scheduler_core::interference_at(const worker_record& at) const
 {
-    std::vector<pair_harm> out;
+    std::vector<pair_interference> out;
     for (const auto& [serving, alone] : at.headroom_alone)
     {
         for (const auto& [filling, use] : at.filling)
         {
-            const double harm = harm_.harm(serving, filling);
-            if (harm >= options_.harm_told)
+            const double harm = interference_model_.harm(serving, filling);
+            if (harm >= options_.min_reported_interference)
             {
                 out.push_back(
                     {.serving = serving, .filling = filling, .harm = harm});
--- a/packages/scheduler/src/scheduler_moves.cpp
+++ b/packages/scheduler/src/scheduler_moves.cpp
@@ -60,7 +60,7 @@
                        .service = table_.queue(of.what().queue)->service,
                        .group = group,
                        .avoided = here,
-                       .harm = harm_,
+                       .harm = interference_model_,
                        .now = now},
                       options_.placement);
     return other != nullptr && other != &at;
--- a/packages/scheduler/src/scheduler_placing.cpp
+++ b/packages/scheduler/src/scheduler_placing.cpp
@@ -196,12 +196,13 @@
             .service = queue.service,
             .group = group,
             .avoided = task.avoided,
-            .harm = harm_,
+            .harm = interference_model_,
             .now = now,
             .left = task.left && now < task.left->until ? &task.left->guard
                                                         : nullptr,
-            .despite_harm = !of.has_runs() &&
-                            now - task.ready_since > options_.longest_harm_wait,
+            .ignore_interference =
+                !of.has_runs() &&
+                now - task.ready_since > options_.max_interference_wait,
             .apart = task.suspicion >= suspected_at,
             .tickets = queue.advice ? &tickets : nullptr};
         if (task.suspicion >= tried_at)
@@ -426,7 +427,7 @@
                                 .service = queue.service,
                                 .group = group,
                                 .avoided = member.avoided,
-                                .harm = harm_,
+                                .harm = interference_model_,
                                 .now = now,
                                 .tickets = tickets};
     const bool fits_one =
@@ -464,7 +465,7 @@
                                .service = queue.service,
                                .group = group,
                                .avoided = tasks[index].avoided,
-                               .harm = harm_,
+                               .harm = interference_model_,
                                .now = now,
                                .tickets = tickets},
                               options_.placement);
--- a/packages/scheduler/src/scheduler_reports.cpp
+++ b/packages/scheduler/src/scheduler_reports.cpp
@@ -72,8 +72,8 @@
         {
             note_running(at, from, answer.orders, now);
             stop_unwanted_starts(at, from, answer.orders);
-            learn_harm(at, from, now);
-            answer.harms = harms_at(at);
+            learn_interference(at, from, now);
+            answer.harms = interference_at(at);
             repeat_missing(at, from, answer.orders, now);
             move_slowed(at, from, answer.orders, now);
         }
--- a/packages/scheduler/src/sibling_figures.cpp
+++ b/packages/scheduler/src/sibling_headroom.cpp
@@ -14,8 +14,8 @@
 
 } // namespace
 
-void sibling_figures::note(const std::string& task, harm_figure figure,
-                           time_point now)
+void sibling_headroom::note(const std::string& task, headroom_sample figure,
+                            time_point now)
 {
     noted_ = now;
     forget_old(now);
@@ -28,8 +28,8 @@
     add(found->second.figure, 1);
 }
 
-std::optional<harm_figure>
-sibling_figures::mean_without(const std::string& task) const
+std::optional<headroom_sample>
+sibling_headroom::mean_without(const std::string& task) const
 {
     const auto own = of_.find(task);
     const std::size_t others = of_.size() - (own == of_.end() ? 0 : 1);
@@ -37,7 +37,7 @@
     {
         return std::nullopt;
     }
-    harm_figure mean{.headroom = headroom_, .beside = beside_};
+    headroom_sample mean{.headroom = headroom_, .beside = beside_};
     if (own != of_.end())
     {
         mean.headroom -= own->second.figure.headroom;
@@ -55,7 +55,7 @@
     return mean;
 }
 
-void sibling_figures::add(const harm_figure& figure, double sign)
+void sibling_headroom::add(const headroom_sample& figure, double sign)
 {
     headroom_ += sign * figure.headroom;
     for (const auto& [filling, use] : figure.beside)
@@ -64,7 +64,7 @@
     }
 }
 
-void sibling_figures::forget_old(time_point now)
+void sibling_headroom::forget_old(time_point now)
 {
     if (now < next_cleaning_)
     {
--- a/tests/unit/harm_model_tests.cpp
+++ b/tests/unit/interference_model_tests.cpp
@@ -22,7 +22,7 @@
 
 TEST_CASE("harmful pairs stand out from harmless ones in rough figures")
 {
-    harm_model model;
+    interference_model model;
     std::mt19937 random(5);
     std::uniform_real_distribution<double> use(0, 0.4);
     std::normal_distribution<double> noise(0, 0.15);
@@ -30,7 +30,7 @@
     for (int count = 0; count < 400; ++count)
     {
         now += std::chrono::milliseconds(500);
-        harm_sample beside;
+        fill_usage beside;
         for (const char* image : {"a", "b", "c", "d"})
         {
             if (random() % 2 == 0)
@@ -50,7 +50,7 @@
     {
         CHECK(model.harm("s", image) < 1);
     }
-    CHECK(model.harm_of("s", {{"b", 0.2}}) > 0.8);
+    CHECK(model.interference_of("s", {{"b", 0.2}}) > 0.8);
 }
 
 // Contention by harm, where fills run for seconds beside tasks of a job whose
@@ -58,7 +58,7 @@
 // use are rare there, and the swing is as large as the harm.
 TEST_CASE("harm is learnt from what siblings lack beside different fills")
 {
-    harm_model model;
+    interference_model model;
     std::mt19937 random(7);
     std::normal_distribution<double> noise(0, 0.3);
     time_point now{std::chrono::hours(1)};
@@ -70,7 +70,7 @@
         for (int task = 0; task < tasks; ++task)
         {
             // Each worker keeps its fills for the whole time.
-            harm_sample beside;
+            fill_usage beside;
             beside[task % 3 == 0 ? "bad" : "good"] = 0.1;
             const double cost = task % 3 == 0 ? 0.6 : 0;
             model.observe({.task = std::to_string(task),
@@ -86,7 +86,7 @@
 
 TEST_CASE("siblings' mean leaves the task and old figures out")
 {
-    sibling_figures of;
+    sibling_headroom of;
     time_point now{std::chrono::hours(1)};
     of.note("a", {.headroom = 1, .beside = {{"f", 0.4}}}, now);
     of.note("b", {.headroom = 2, .beside = {{"f", 0.2}}}, now);
@@ -109,12 +109,12 @@
 
 TEST_CASE("a successor begins with what its predecessor knew")
 {
-    harm_model first;
+    interference_model first;
     first.adopt({{.serving = "s", .filling = "f", .harm = 6}});
     const auto known = first.known();
     REQUIRE(known.size() == 1);
     CHECK(known[0].harm > 3);
-    harm_model second;
+    interference_model second;
     second.adopt(known);
     CHECK(second.harm("s", "f") > 1.5);
     CHECK(second.harm("s", "g") == 1); // assumed
@@ -122,7 +122,7 @@
 
 TEST_CASE("of what was never seen nothing is known")
 {
-    harm_model model;
+    interference_model model;
     const time_point now{std::chrono::hours(1)};
     CHECK(model.harm("s", "f") == 1); // assumed
     model.observe(figure_of("task", 2), {}, now);
@@ -132,7 +132,7 @@
 
 TEST_CASE("figures far apart and saturated ones teach nothing")
 {
-    harm_model model;
+    interference_model model;
     time_point now{std::chrono::hours(1)};
     for (int count = 0; count < 20; ++count)
     {
@@ -152,7 +152,7 @@
 
 TEST_CASE("images beyond the bound are taken as any other unknown one")
 {
-    harm_model model({.most_images = 2});
+    interference_model model({.most_images = 2});
     time_point now{std::chrono::hours(1)};
     for (int count = 0; count < 50; ++count)
     {
@@ -165,7 +165,7 @@
 
 TEST_CASE("a fill goes where the tails bear it")
 {
-    harm_model model;
+    interference_model model;
     model.adopt({{.serving = "s", .filling = "bad", .harm = 9}});
     const time_point now{std::chrono::hours(1)};
     worker_map workers;
--- a/tests/unit/run_reconciler_tests.cpp
+++ b/tests/unit/run_reconciler_tests.cpp
@@ -275,7 +275,7 @@
 
 TEST_CASE("fills are slowed while a tail is high, known ones first")
 {
-    interference control;
+    interference_controller control;
     control.learn({{.serving = "s", .filling = "bad", .harm = 4}});
     const std::map<std::string, run_traits> traits{
         {"serve", {.latency_target_ms = 10, .image = "s"}},
@@ -309,7 +309,7 @@
 
 TEST_CASE("the fill that harms most for its work is slowed first")
 {
-    interference control;
+    interference_controller control;
     control.learn({{.serving = "s", .filling = "worse", .harm = 6},
                    {.serving = "s", .filling = "bad", .harm = 2}});
     const time_point now{std::chrono::hours(1)};
@@ -324,7 +324,7 @@
 
 TEST_CASE("fills that get faster together leave the tail its headroom")
 {
-    interference control;
+    interference_controller control;
     control.learn({{.serving = "s", .filling = "worse", .harm = 6},
                    {.serving = "s", .filling = "bad", .harm = 4}});
     time_point now{std::chrono::hours(1)};
@@ -357,7 +357,7 @@
 
 TEST_CASE("without knowledge all fills are slowed, and stopped in time")
 {
-    interference control;
+    interference_controller control;
     const std::map<std::string, run_traits> traits{
         {"serve", {.latency_target_ms = 10, .image = "s"}},
         {"one", {.fills = true, .image = "f"}}};
--- a/tests/unit/scheduler_tests.cpp
+++ b/tests/unit/scheduler_tests.cpp
@@ -145,12 +145,12 @@
 
 TEST_CASE("searches that found nothing cover those that ask for as much")
 {
-    const harm_model harm;
+    const interference_model harm;
     const std::set<std::string> avoided;
     const std::string service = "s";
     const std::string group = "j.0.0";
     const auto asks = [&](const job_step& step,
-                          bool despite_harm = false) -> placement_query
+                          bool ignore_interference = false) -> placement_query
     {
         return {.step = step,
                 .service = service,
@@ -158,7 +158,7 @@
                 .avoided = avoided,
                 .harm = harm,
                 .now = {},
-                .despite_harm = despite_harm};
+                .ignore_interference = ignore_interference};
     };
     const job_step small = step_of(1, 500);
     const job_step middle = step_of(1, 1000);
@@ -185,7 +185,7 @@
 TEST_CASE("a fill waits for a worker that bears it, but not for ever")
 {
     holder at;
-    at.core.adopt_harms({{.serving = "s", .filling = "f", .harm = 40}});
+    at.core.adopt_interference({{.serving = "s", .filling = "f", .harm = 40}});
     at.say("g1");
     at.submit({serving_step()});
     at.turn();
@@ -205,7 +205,7 @@
 TEST_CASE("the wait of a step begins when the steps before it are done")
 {
     holder at;
-    at.core.adopt_harms({{.serving = "s", .filling = "f", .harm = 40}});
+    at.core.adopt_interference({{.serving = "s", .filling = "f", .harm = 40}});
     at.say("g1");
     at.submit({serving_step()});
     job_step fill = fill_step(1);
