--- a/packages/daemon/src/job_scheduler.cpp
+++ b/packages/daemon/src/job_scheduler.cpp
@@ -335,7 +335,7 @@
 }
 
 void job_scheduler::show_service(const std::string& of,
-                                 const service_account& account)
+                                 const availability_counts& account)
 {
     metrics& to = process_.numbers;
     to.set(of + "_tasks", static_cast<double>(account.tasks));
--- a/packages/daemon/src/job_scheduler.hpp
+++ b/packages/daemon/src/job_scheduler.hpp
@@ -92,7 +92,8 @@
     void ask_for_advice(time_point now);
     void send_orders();
     void log_decisions();
-    void show_service(const std::string& of, const service_account& account);
+    void show_service(const std::string& of,
+                      const availability_counts& account);
     void count_figures(time_point now);
 
     job_process& process_;
--- a/packages/guard/include/springstair/detail/guard/run_reconciler.hpp
+++ b/packages/guard/include/springstair/detail/guard/run_reconciler.hpp
@@ -203,7 +203,7 @@
     [[nodiscard]] std::int64_t fence() const noexcept;
     /// @brief Fences of one epoch; those of the next epoch follow.
     static constexpr std::int64_t fences_an_epoch = std::int64_t{1} << 24;
-    [[nodiscard]] time_point permit_until() const noexcept
+    [[nodiscard]] time_point lease_granted_until() const noexcept
     {
         return permit_until_;
     }
--- a/packages/jobs/include/springstair/detail/jobs/job.hpp
+++ b/packages/jobs/include/springstair/detail/jobs/job.hpp
@@ -71,7 +71,7 @@
     }
 
     /// @brief The longest chain of dependent steps, by the caller's guesses.
-    [[nodiscard]] std::int64_t chain_ms() const;
+    [[nodiscard]] std::int64_t critical_path_ms() const;
 };
 
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(job, id, queue, payload, steps,
--- a/packages/jobs/src/job.cpp
+++ b/packages/jobs/src/job.cpp
@@ -81,7 +81,7 @@
     return out;
 }
 
-std::int64_t job::chain_ms() const
+std::int64_t job::critical_path_ms() const
 {
     std::vector<std::int64_t> ends; // of each step
     std::int64_t longest = 0;
--- a/packages/scheduler/include/springstair/detail/scheduler/service_account.hpp
+++ b/packages/scheduler/include/springstair/detail/scheduler/availability_counts.hpp
@@ -7,7 +7,7 @@
 
 /// @brief How the tasks of lasting jobs were at some moments, counted in
 /// tasks; several samples add up.
-struct service_account
+struct availability_counts
 {
     std::int64_t tasks = 0;
     std::int64_t at_work = 0;     ///< as its worker shows it
@@ -15,8 +15,8 @@
     std::int64_t unplaced = 0;    ///< at no worker
     std::int64_t reserved_millis = 0; ///< processors that all of them reserve
 
-    bool operator==(const service_account&) const = default;
-    service_account& operator+=(const service_account& other) noexcept;
+    bool operator==(const availability_counts&) const = default;
+    availability_counts& operator+=(const availability_counts& other) noexcept;
 
     /// @brief Whether every task was at work and within its target.
     [[nodiscard]] bool is_whole() const noexcept
@@ -26,6 +26,6 @@
 };
 
 /// @brief One sample of a job's lasting tasks; none if it has none.
-service_account sample_service(const job_record& of);
+availability_counts sample_service(const job_record& of);
 
 } // namespace springstair
--- a/packages/scheduler/include/springstair/detail/scheduler/data_centre_book.hpp
+++ b/packages/scheduler/include/springstair/detail/scheduler/closure_tracker.hpp
@@ -39,10 +39,10 @@
 
 /// @brief Which data centres are closed to new runs, and until when starts
 /// may be decided by that.
-class data_centre_book
+class closure_tracker
 {
 public:
-    explicit data_centre_book(closing_options options = {});
+    explicit closure_tracker(closing_options options = {});
 
     /// @brief Takes over what is known. Older knowledge changes nothing.
     closing_change take(const closed_data_centres& known);
--- a/packages/scheduler/include/springstair/detail/scheduler/crash_suspicion.hpp
+++ b/packages/scheduler/include/springstair/detail/scheduler/crash_suspicion.hpp
@@ -52,7 +52,7 @@
     /// been under it. What hides them, lost answers, may pass.
     duration unnamed_pause = std::chrono::seconds(3);
     /// A suspect does not return to the worker that it left for so long.
-    duration no_return = std::chrono::seconds(10);
+    duration return_backoff = std::chrono::seconds(10);
 };
 
 /// @brief What else went when an executor crashed.
@@ -64,13 +64,13 @@
 
 /// @brief Suspicion from which on a task is a suspect: one crash right after
 /// its start.
-inline constexpr std::int64_t suspected_at = 2;
+inline constexpr std::int64_t suspect_threshold = 2;
 /// @brief Suspicion from which on a suspect runs apart: two of them.
-inline constexpr std::int64_t tried_at = 4;
+inline constexpr std::int64_t isolation_threshold = 4;
 /// @brief Suspicion from which on a crash that nothing else there can have
 /// caused gives the task up, if two crashes are known to have been under it:
 /// the third crash, where it ran apart. Executors crash by themselves, too.
-inline constexpr std::int64_t named_at = 6;
+inline constexpr std::int64_t blame_threshold = 6;
 /// @brief More suspicion than three crashes add: from here on two crashes that
 /// were surely under a task give it up, whatever ran beside it.
 inline constexpr std::int64_t four_crashes = 7;
@@ -101,8 +101,8 @@
 [[nodiscard]] constexpr duration
 proof_time(std::int64_t suspicion, const suspicion_options& options) noexcept
 {
-    return suspicion >= suspected_at ? options.surely_proven_after
-                                     : options.proven_after;
+    return suspicion >= suspect_threshold ? options.surely_proven_after
+                                          : options.proven_after;
 }
 
 /// @brief Whether a run is among the likely causes of the loss.
@@ -125,7 +125,7 @@
 is_unproven_suspect(const lost_run_facts& of,
                     const suspicion_options& options) noexcept
 {
-    return of.suspicion >= suspected_at && is_unproven(of, options);
+    return of.suspicion >= suspect_threshold && is_unproven(of, options);
 }
 
 /// @brief What a loss adds to the suspicion of the run's task. A crash has one
@@ -134,7 +134,7 @@
 added_suspicion(const lost_run_facts& of,
                 const suspicion_options& options) noexcept
 {
-    const bool suspect = of.suspicion >= suspected_at;
+    const bool suspect = of.suspicion >= suspect_threshold;
     const bool alone = of.scope == crash_scope::executor && !of.beside_suspect;
     if (is_likely_cause(of, options))
     {
@@ -173,7 +173,7 @@
     }
     const bool alone = of.is_sole && of.is_sure;
     const bool thrice = of.crashes >= naming_crashes;
-    const bool named = of.suspicion >= named_at && (alone || thrice);
+    const bool named = of.suspicion >= blame_threshold && (alone || thrice);
     return named || (alone && thrice) || of.suspicion >= four_crashes;
 }
 
--- a/packages/scheduler/include/springstair/detail/scheduler/run_over.hpp
+++ b/packages/scheduler/include/springstair/detail/scheduler/end_proof.hpp
@@ -14,12 +14,12 @@
 /// present run is acknowledged without a look. So a run is closed on certainty
 /// alone, and these are all the ways to have it. That a report is believed and
 /// speaks of the run's own guard and life is asked before.
-class run_over
+class end_proof
 {
 public:
     /// @brief Its worker lists its end. A worker begins no run that is not
     /// above one that has ended there.
-    static run_over listed(const ended_task& end)
+    static end_proof listed(const ended_task& end)
     {
         return {end.how, end.checkpoint, {}};
     }
@@ -27,7 +27,7 @@
     /// copy of the start may be under way, the worker was told never to begin
     /// it, and a later look did not show it. Not so if the same report shows
     /// the run, or another copy of its order.
-    static run_over given_back()
+    static end_proof given_back()
     {
         return {run_end::refused, {}, {}};
     }
@@ -35,12 +35,12 @@
     /// the life before died with it. Not so of a run that the next life of the
     /// same executor shows, and of one whose start may still reach it: starts
     /// name the executor by its id alone.
-    static run_over incarnation_ended()
+    static end_proof incarnation_ended()
     {
         return {run_end::lost, {}, "its executor began another life"};
     }
     /// @brief The same for a run that an earlier holder placed.
-    static run_over past_incarnation_ended()
+    static end_proof past_incarnation_ended()
     {
         return {run_end::lost,
                 {},
@@ -49,19 +49,19 @@
     /// @brief A guard says that every lease it asked for has run out. It holds
     /// for runs that were seen at work only: an order that was not carried out
     /// yet may wait in the guard.
-    static run_over lapsed()
+    static end_proof lapsed()
     {
         return {run_end::lost, {}, "it is silent and its lease has run out"};
     }
     /// @brief The last permit for its worker has run out, with a slow clock and
     /// delays: leases, and starts of all orders, end with it.
-    static run_over permits_ended()
+    static end_proof lease_bound_passed()
     {
         return {run_end::lost, {}, "its lease has surely run out"};
     }
     /// @brief The permits of earlier holders have run out, and this one has
     /// given none beyond them: its guard has not looked at its worker since.
-    static run_over not_heard_of()
+    static end_proof guard_never_reported()
     {
         return {run_end::lost, {}, "its guard has not come to this holder"};
     }
@@ -81,10 +81,10 @@
         return why_;
     }
 
-    bool operator==(const run_over&) const = default;
+    bool operator==(const end_proof&) const = default;
 
 private:
-    run_over(run_end how, std::string checkpoint, std::string why)
+    end_proof(run_end how, std::string checkpoint, std::string why)
         : how_(how), checkpoint_(std::move(checkpoint)), why_(std::move(why))
     {
     }
--- a/packages/scheduler/include/springstair/detail/scheduler/failure_test.hpp
+++ b/packages/scheduler/include/springstair/detail/scheduler/fault_detector.hpp
@@ -7,16 +7,16 @@
 {
 
 /// @brief Bounds of the test for executors that fail what they start.
-struct failure_test_options
+struct fault_detector_options
 {
     /// Share of its runs that a sick executor is taken to fail. One that fails
     /// all is found sooner, one that fails a fifth later or not at all: there,
     /// to go on costs less than to do without it.
-    double sick_share = 0.5;
+    double faulty_share = 0.5;
     /// Logarithm of how much likelier "sick" than "sound" must have become:
     /// 3,000 to 1. At 5% of failures by themselves that is four in a row, at
     /// 0.5% two.
-    double evidence = 8;
+    double fault_threshold = 8;
     /// An executor that comes back is believed half of that, so that a single
     /// failure, one run in twenty at 5%, does not put it out again.
     double evidence_at_return = 4;
@@ -39,40 +39,40 @@
 /// likelier it is of a sick one than of the fleet, down to zero at least. A
 /// streak of failures, tried before, came up by chance once in 8,000 runs at 5%
 /// of failures, and kept executors out that were long sound again.
-class failure_test
+class fault_detector
 {
 public:
-    explicit failure_test(failure_test_options options = {})
+    explicit fault_detector(fault_detector_options options = {})
         : options_(options), ends_(options.assumed_ends),
           failures_(options.assumed_ends * options.assumed_share)
     {
     }
 
     /// @brief An executor's doubt after one more end of a run there.
-    [[nodiscard]] double doubt_after(double doubt, bool failed)
+    [[nodiscard]] double fault_score_after(double fault_score, bool failed)
     {
         const double sound = share();
         const double weight =
-            failed ? std::log(options_.sick_share / sound)
-                   : std::log((1 - options_.sick_share) / (1 - sound));
+            failed ? std::log(options_.faulty_share / sound)
+                   : std::log((1 - options_.faulty_share) / (1 - sound));
         // Whoever is in doubt does not say what is usual: a sick executor is
         // free again at once and gets more runs than others.
-        if (doubt < options_.evidence_at_return)
+        if (fault_score < options_.evidence_at_return)
         {
             ends_ = ends_ * options_.memory + 1;
             failures_ = failures_ * options_.memory + (failed ? 1 : 0);
         }
-        return std::max(0.0, doubt + weight);
+        return std::max(0.0, fault_score + weight);
     }
 
     /// @brief Whether so much doubt says that an executor is sick.
-    [[nodiscard]] bool is_sick(double doubt) const noexcept
+    [[nodiscard]] bool is_faulty(double fault_score) const noexcept
     {
-        return doubt >= options_.evidence;
+        return fault_score >= options_.fault_threshold;
     }
 
     /// @brief The doubt of one that was put out for a while.
-    [[nodiscard]] double doubt_at_return() const noexcept
+    [[nodiscard]] double fault_score_at_return() const noexcept
     {
         return options_.evidence_at_return;
     }
@@ -85,7 +85,7 @@
     }
 
 private:
-    failure_test_options options_;
+    fault_detector_options options_;
     double ends_;
     double failures_;
 };
--- a/packages/scheduler/include/springstair/detail/scheduler/vain_queries.hpp
+++ b/packages/scheduler/include/springstair/detail/scheduler/infeasible_queries.hpp
@@ -16,7 +16,7 @@
 /// Within a pass room only shrinks, so a task that asks for as much as one
 /// that found nothing, or more, finds nothing either. Hundreds of waiting
 /// tasks of a few images then cost a few searches.
-class vain_queries
+class infeasible_queries
 {
 public:
     /// @brief A pass begins: room may have grown.
--- a/packages/scheduler/include/springstair/detail/scheduler/job_record.hpp
+++ b/packages/scheduler/include/springstair/detail/scheduler/job_record.hpp
@@ -19,28 +19,28 @@
     std::string guard;
     executor_incarnation life; ///< of the executor
     std::string ticket; ///< of the advice that let it run there; or empty
-    std::int64_t placed_in = 0;   ///< the job's change that recorded it
-    bool ordered = false;         ///< a start was sent in this office
-    std::string told_incarnation; ///< guard process of that; see start_order
-    bool seen = false;            ///< a report showed it running
-    time_point last_seen{};       ///< by the newest report that showed it
-    time_point ordered_at{};      ///< or when this holder adopted it
-    bool stopping = false;        ///< it is to end; a stop is repeated
-    std::int64_t percent = -1;    ///< progress in the newest report
-    time_point moved_at{};        ///< when that progress last changed
-    std::int64_t repeats = 0;     ///< of its order, since a report showed it
-    bool over_target = false;     ///< its tail, by the newest report
+    std::int64_t placed_in = 0;    ///< the job's change that recorded it
+    bool ordered = false;          ///< a start was sent in this office
+    std::string told_incarnation;  ///< guard process of that; see start_order
+    bool seen = false;             ///< a report showed it running
+    time_point last_seen{};        ///< by the newest report that showed it
+    time_point ordered_at{};       ///< or when this holder adopted it
+    bool stopping = false;         ///< it is to end; a stop is repeated
+    std::int64_t percent = -1;     ///< progress in the newest report
+    time_point last_progress_at{}; ///< when that progress last changed
+    std::int64_t repeats = 0;      ///< of its order, since a report showed it
+    bool over_target = false;      ///< its tail, by the newest report
 
     bool operator==(const task_run&) const = default;
 };
 
 /// @brief A worker that a task has just left, to run elsewhere.
-struct left_worker
+struct departed_worker
 {
     std::string guard;
     time_point until; ///< no return earlier if any other worker takes it
 
-    bool operator==(const left_worker&) const = default;
+    bool operator==(const departed_worker&) const = default;
 };
 
 /// @brief One task of a job.
@@ -55,10 +55,10 @@
     std::int64_t losses = 0; ///< executors that went with a start, sure or not
     std::optional<task_run> run;
     std::string checkpoint;
-    std::set<std::string> avoided;   ///< guards where it failed or stood still
-    std::optional<left_worker> left; ///< by its newest move
-    time_point not_before{};         ///< no start earlier; after a refusal
-    time_point ready_since{};        ///< since when its turn has come
+    std::set<std::string> avoided; ///< guards where it failed or stood still
+    std::optional<departed_worker> left; ///< by its newest move
+    time_point not_before{};             ///< no start earlier; after a refusal
+    time_point ready_since{};            ///< since when its turn has come
 
     /// @brief Whether it is at no worker and not done.
     [[nodiscard]] bool is_waiting() const noexcept
@@ -125,24 +125,24 @@
     std::int64_t kept = 0;     ///< the newest change that the store has
     std::int64_t revision = 0; ///< of the stored progress; 0: none
     /// Whether a start or a caller waits for the newest change to be kept.
-    bool pressing = false;
+    bool urgent_commit = false;
     /// Changes of other jobs, by their id, that the store must have no later
     /// than this record: ends whose room its placements use.
     std::map<std::string, std::int64_t> needs;
-    time_point unkept_since{}; ///< of the oldest change to be written
+    time_point uncommitted_since{}; ///< of the oldest change to be written
     job_state shown = job_state::pending;  ///< what callers may see
     job_state sent = job_state::pending;   ///< what the store may have
     std::int64_t order = 0;                ///< in which jobs were accepted
     time_point accepted{};                 ///< when this holder learnt of it
     std::optional<time_point> first_start; ///< when a task was first placed
     bool begun = false;                    ///< some task was seen running
-    std::int64_t chain_ms = 0; ///< its longest chain, by the guesses
+    std::int64_t critical_path_ms = 0; ///< its longest chain, by the guesses
 
 private:
     job what_;
     job_state state_ = job_state::pending;
     std::vector<std::size_t> first_of_step_; ///< offsets within a round
-    std::size_t tasks_a_round_ = 0;
+    std::size_t tasks_per_round_ = 0;
     std::vector<job_task> tasks_;
 };
 
--- a/packages/scheduler/include/springstair/detail/scheduler/placement.hpp
+++ b/packages/scheduler/include/springstair/detail/scheduler/placement.hpp
@@ -29,7 +29,7 @@
     double least_headroom = 1.3;
     /// No fill begins where its image is slowed below this pace, in percent:
     /// it would stand still there, hold memory and move again. With
-    /// scheduler_options::no_return it buys heavy work 0.04 of its worth
+    /// scheduler_options::return_backoff it buys heavy work 0.04 of its worth
     /// (mean of 40 played days).
     std::int64_t least_pace = 50;
     /// Headroom without fills where no figure is known yet: the middle of
@@ -98,7 +98,8 @@
 /// @brief The worker to keep free for a task that no worker can take now:
 /// of those that will have room once shorter runs have ended, the one that
 /// has most room already. Null if there is none, or all of them are claimed.
-worker_record* choose_claim(worker_map& workers, const placement_query& query,
-                            const placement_options& options);
+worker_record* choose_reservation(worker_map& workers,
+                                  const placement_query& query,
+                                  const placement_options& options);
 
 } // namespace springstair
--- a/packages/scheduler/include/springstair/detail/scheduler/scheduler_core.hpp
+++ b/packages/scheduler/include/springstair/detail/scheduler/scheduler_core.hpp
@@ -1,16 +1,16 @@
 #pragma once
 
+#include <springstair/detail/scheduler/availability_counts.hpp>
+#include <springstair/detail/scheduler/closure_tracker.hpp>
 #include <springstair/detail/scheduler/crash_suspicion.hpp>
-#include <springstair/detail/scheduler/data_centre_book.hpp>
-#include <springstair/detail/scheduler/failure_test.hpp>
+#include <springstair/detail/scheduler/end_proof.hpp>
+#include <springstair/detail/scheduler/fault_detector.hpp>
+#include <springstair/detail/scheduler/infeasible_queries.hpp>
 #include <springstair/detail/scheduler/interference_model.hpp>
 #include <springstair/detail/scheduler/job_order.hpp>
 #include <springstair/detail/scheduler/job_record.hpp>
 #include <springstair/detail/scheduler/placement.hpp>
-#include <springstair/detail/scheduler/run_over.hpp>
-#include <springstair/detail/scheduler/service_account.hpp>
-#include <springstair/detail/scheduler/ticket_book.hpp>
-#include <springstair/detail/scheduler/vain_queries.hpp>
+#include <springstair/detail/scheduler/ticket_cache.hpp>
 #include <springstair/detail/scheduler/wait_report.hpp>
 #include <springstair/detail/scheduler/worker_ledger.hpp>
 
@@ -31,10 +31,10 @@
     order_options order;
     suspicion_options suspicion;
     closing_options closing;
-    failure_test_options failures;
+    fault_detector_options failures;
     /// How long a worker's lease may last on one answer to its guard. Above
     /// a guard's restart and a frozen VM; below the platform's most.
-    duration permit = std::chrono::seconds(4);
+    duration lease_grant = std::chrono::seconds(4);
     /// No permit ends later than this after the office was last verified. A
     /// successor waits as long for workers it cannot reach. Above the longest
     /// outage of the store that tasks should survive, plus a permit.
@@ -50,28 +50,28 @@
     /// Delays of messages and timers, on top of a lease.
     duration lease_slack = std::chrono::milliseconds(300);
     /// Least time between two writes: bounds the calls to the store.
-    duration commit_gap = std::chrono::milliseconds(20);
+    duration min_commit_interval = std::chrono::milliseconds(20);
     /// Ends that nothing waits for are written with others of their job: each
     /// write carries the whole record. Their workers hear that they may forget
     /// them so much later. Writes took 43 ms of processor time a second at 160
     /// workers and 440 starts a second without it, 20 ms with it.
-    duration gather_ends = std::chrono::milliseconds(60);
+    duration end_batch_delay = std::chrono::milliseconds(60);
     /// Jobs a write: each takes a condition and a put of the store's 32
     /// entries, and the office's own condition one.
-    std::size_t jobs_a_commit = 15;
+    std::size_t jobs_per_commit = 15;
     /// A start or stop that shows no effect is repeated after so long: two
     /// reports of a guard.
-    duration repeat_order = std::chrono::milliseconds(1000);
+    duration order_retry_interval = std::chrono::milliseconds(1000);
     /// A refused task is tried again after so long; the ledger was wrong and
     /// a report corrects it in the meantime.
-    duration refused_pause = std::chrono::milliseconds(300);
+    duration refused_backoff = std::chrono::milliseconds(300);
     /// Without a change of jobs or room, waiting tasks are looked through so
     /// often: figures of workers and clocks move slowly beside it.
-    duration placing_gap = std::chrono::milliseconds(100);
+    duration placement_interval = std::chrono::milliseconds(100);
     /// How long a worker that fails what it starts gets nothing at first;
     /// doubled each time until it is sound, up to the most.
-    duration eject_for = std::chrono::seconds(2);
-    duration eject_most = std::chrono::seconds(10);
+    duration min_ejection = std::chrono::seconds(2);
+    duration max_ejection = std::chrono::seconds(10);
     /// A run whose progress stands still for so long is moved elsewhere.
     duration stuck_after = std::chrono::milliseconds(2000);
     /// The same for a run that fills, which may rightly be starved longer.
@@ -80,7 +80,7 @@
     duration leave_margin = std::chrono::milliseconds(1500);
     /// Figures of a worker are learnt from so often: each is an average of
     /// the half second before.
-    duration figure_age = std::chrono::milliseconds(450);
+    duration sample_interval = std::chrono::milliseconds(450);
     /// A fill of a job that has nothing running waits no longer than this for
     /// a worker whose serving tasks bear it; half of what the platform allows.
     duration max_interference_wait = std::chrono::milliseconds(1500);
@@ -88,38 +88,38 @@
     /// together, the largest tasks first. With the workers kept free it took
     /// what the largest tenth of them is without workers to a third (mean of
     /// 10 played days of 62 workers); a lasting job runs for a minute or more.
-    duration gather_lasting = std::chrono::milliseconds(100);
+    duration lasting_batch_window = std::chrono::milliseconds(100);
     /// A lasting job waits no longer than this for others.
-    duration longest_gathering = std::chrono::milliseconds(300);
+    duration max_lasting_batch_wait = std::chrono::milliseconds(300);
     /// Workers that are kept free at once for tasks that wait. A search of
     /// all workers for each; more would slow a pass at thousands of them.
-    std::size_t most_claims = 32;
+    std::size_t max_reservations = 32;
     /// The same as a share of all workers: the others stay with the work that
     /// passes, which starts within two seconds.
-    double claimed_share = 0.1;
+    double reserved_share = 0.1;
     /// A fill that is slowed below this pace, in percent, moves to a worker
     /// that bears it, if it can be resumed there.
-    std::int64_t move_below = 50;
+    std::int64_t relocate_below_pace = 50;
     /// It does not return for so long: what slowed it there, a load that
     /// swings over some ten seconds, is hardly gone before.
-    duration no_return = std::chrono::milliseconds(4000);
+    duration return_backoff = std::chrono::milliseconds(4000);
     /// A step that only some workers may run, all full of lasting runs, waits
     /// for so long before one of those moves; half of what the platform allows.
-    duration longest_blocked = std::chrono::milliseconds(1500);
+    duration max_blocked_time = std::chrono::milliseconds(1500);
     /// How often a way is looked for, for one step, and at how many workers:
     /// each is a search of all workers.
-    duration way_gap = std::chrono::milliseconds(500);
-    std::size_t most_ways = 16;
+    duration preemption_interval = std::chrono::milliseconds(500);
+    std::size_t max_preemption_searches = 16;
     /// Runs that move at one report: figures follow only half a second later.
-    std::size_t most_moves = 3;
+    std::size_t max_relocations_per_report = 3;
     /// A task that waits longer than this has its reason logged: waits below
     /// are the turns of reports and passes.
-    duration long_wait = std::chrono::milliseconds(500);
+    duration wait_log_threshold = std::chrono::milliseconds(500);
     /// How often lasting tasks are looked at: guards report twice a second.
-    duration service_sample = std::chrono::seconds(1);
+    duration availability_sample_interval = std::chrono::seconds(1);
     /// The wait of a step, and the service of a lasting job, are told so
     /// often at most: a line a second for each five that are not served.
-    duration tell_gap = std::chrono::seconds(5);
+    duration min_log_interval = std::chrono::seconds(5);
     /// Harm below this is not worth telling a guard.
     double min_reported_interference = 0.8;
 };
@@ -172,9 +172,9 @@
     std::int64_t failed_runs = 0;
     std::int64_t jobs_open = 0;
     std::int64_t workers = 0;
-    service_account lasting; ///< at the newest sample
+    availability_counts lasting; ///< at the newest sample
     /// Of it, the tenth of the lasting jobs that reserves most processors.
-    service_account largest_lasting;
+    availability_counts largest_lasting;
     std::int64_t closed_data_centres = 0;
     std::int64_t runs_in_closed = 0; ///< that may still be at work there
 };
@@ -192,7 +192,7 @@
     void begin_term(std::int64_t epoch, time_point now);
     /// @brief Adds a job that an earlier holder kept, before begin().
     void adopt(job what, const std::optional<job_progress>& kept,
-               std::int64_t revision, time_point now, std::int64_t day_ms);
+               std::int64_t revision, time_point now, std::int64_t unix_ms);
     /// @brief Begins with the harms that an earlier holder knew.
     void adopt_interference(const std::vector<pair_interference>& harms)
     {
@@ -220,8 +220,8 @@
     report_answer report(const worker_report& from, time_point now,
                          time_point verified);
 
-    /// @brief Time passes. @param day_ms time of day since 1970
-    void tick(time_point now, std::int64_t day_ms);
+    /// @brief Time passes. @param unix_ms time of day since 1970
+    void tick(time_point now, std::int64_t unix_ms);
 
     /// @brief What to write next; none while one is under way or it is too
     /// soon. The caller answers with committed(), and calls tick() before, so
@@ -271,7 +271,7 @@
     // Writing (scheduler_writing.cpp).
 
     // Ends of a job's runs at one worker that the store may not have yet.
-    struct unkept_end
+    struct uncommitted_end
     {
         std::int64_t change = 0; ///< of the job, with the newest of them
         resources room;          ///< that they free
@@ -284,9 +284,9 @@
                                std::int64_t change) const;
     void note_freed(const std::string& guard, const job_record& of,
                     const job_step& step);
-    const std::map<std::string, unkept_end>&
-    unkept_ends(const std::string& guard);
-    const std::map<std::string, unkept_end>&
+    const std::map<std::string, uncommitted_end>&
+    find_uncommitted_ends(const std::string& guard);
+    const std::map<std::string, uncommitted_end>&
     ends_needed(const worker_record& at, const job_step& step);
     void use_room(job_record& of, const job_step& step,
                   const worker_record& at);
@@ -299,9 +299,9 @@
     // write gains nothing: with one for each report, placing took 219 ms of
     // processor time a second at 160 workers and 440 starts a second, with one
     // for each write 37 ms (bench/office).
-    void place_if_due(time_point now, std::int64_t day_ms);
-    void place(time_point now, std::int64_t day_ms);
-    bool place_job(job_record& of, time_point now, std::int64_t day_ms);
+    void place_if_due(time_point now, std::int64_t unix_ms);
+    void place(time_point now, std::int64_t unix_ms);
+    bool place_job(job_record& of, time_point now, std::int64_t unix_ms);
     bool place_step(job_record& of, const queue_row& queue, std::int64_t round,
                     std::int64_t step, time_point now);
     bool place_gang(job_record& of, const queue_row& queue, std::int64_t round,
@@ -311,42 +311,42 @@
                                              const task_position& first,
                                              const ticket_map* tickets,
                                              time_point now);
-    void tell_gang_wait(job_record& of, const queue_row& queue,
-                        const task_position& first, const ticket_map* tickets,
-                        time_point now);
+    void log_gang_wait(job_record& of, const queue_row& queue,
+                       const task_position& first, const ticket_map* tickets,
+                       time_point now);
     ticket_map tickets_for(const job_step& step, const std::string& group,
                            const queue_row& queue, time_point now);
     void put(job_record& of, job_task& task, worker_record& at,
              std::int64_t number, const ticket_map& tickets, time_point now);
 
-    [[nodiscard]] bool gathers(const job_record& of, const job_step& step,
-                               time_point now) const;
-    bool try_apart(placement_query query, job_record& of, job_task& task,
-                   const ticket_map& tickets);
-    worker_record* kept_worker(const placement_query& query,
-                               time_point ready_since);
-    bool is_kept_rightly(const worker_record& at, time_point now);
-    void claim_room(const placement_query& query, std::int64_t tasks);
+    [[nodiscard]] bool is_batching(const job_record& of, const job_step& step,
+                                   time_point now) const;
+    bool place_isolated(placement_query query, job_record& of, job_task& task,
+                        const ticket_map& tickets);
+    worker_record* isolation_worker(const placement_query& query,
+                                    time_point ready_since);
+    bool is_isolation_valid(const worker_record& at, time_point now);
+    void reserve_workers(const placement_query& query, std::int64_t tasks);
     void begin_pass();
 
     // Closed data centres (scheduler_closing.cpp).
-    void tell_closure(const std::string& data_centre, time_point now);
+    void log_closure(const std::string& data_centre, time_point now);
     bool may_start(time_point now);
     [[nodiscard]] std::int64_t starts_until_ms(const worker_record& at) const;
     [[nodiscard]] std::int64_t runs_in(const std::string& data_centre) const;
 
     // What is told of waits and service (scheduler_sight.cpp).
-    void tell_wait(const placement_query& query, const job_record& of,
-                   const job_task& first,
-                   std::optional<wait_cause> known = std::nullopt);
+    void log_wait(const placement_query& query, const job_record& of,
+                  const job_task& first,
+                  std::optional<wait_cause> known = std::nullopt);
     void watch_service(time_point now);
     void sample_jobs();
-    void tell_service();
+    void log_service();
 
     // Reports (scheduler_reports.cpp).
     worker_record& worker_of(const worker_report& from, time_point now);
-    bool believes(worker_record& at, const worker_report& from,
-                  report_answer& answer);
+    bool is_admitted(worker_record& at, const worker_report& from,
+                     report_answer& answer);
     [[nodiscard]] static bool lists_running(const worker_report& from,
                                             const std::string& task,
                                             std::int64_t run);
@@ -366,8 +366,8 @@
                               const worker_report& from, guard_orders& out);
     void note_progress(worker_record& at, task_run& run, const job_step& step,
                        const running_task& row, time_point now);
-    void tell_missing(const worker_record& at, const worker_report& from,
-                      task_run& run, const std::string& task);
+    void log_missing_run(const worker_record& at, const worker_report& from,
+                         task_run& run, const std::string& task);
     void repeat_missing(worker_record& at, const worker_report& from,
                         guard_orders& out, time_point now);
     void move_slowed(worker_record& at, const worker_report& from,
@@ -377,11 +377,12 @@
                               time_point now);
     void move(const task_name& name, const worker_record& at, std::int64_t pace,
               guard_orders& out, time_point now);
-    void make_way(const placement_query& query, const job_record& of,
-                  const job_task& task);
+    void preempt_lasting(const placement_query& query, const job_record& of,
+                         const job_task& task);
     resources room_after_stops(const worker_record& at);
-    bool may_give_way(const task_name& name);
-    void leave_in_time(worker_record& at, guard_orders& out, time_point now);
+    bool is_preemptible(const task_name& name);
+    void drain_leaving_worker(worker_record& at, guard_orders& out,
+                              time_point now);
     void learn_interference(worker_record& at, const worker_report& from,
                             time_point now);
     [[nodiscard]] std::vector<pair_interference>
@@ -393,12 +394,13 @@
     // Leases (scheduler_leases.cpp).
     [[nodiscard]] bool is_end_given_up(const worker_record& at,
                                        const ended_task& end);
-    void await_lapse(worker_record& at, const worker_report& from,
-                     bool knows_incarnation);
+    void check_lease_must_expire(worker_record& at, const worker_report& from,
+                                 bool knows_incarnation);
     void extend_lease(worker_record& at, const worker_report& from,
-                      duration permit, time_point now) const;
-    [[nodiscard]] duration permit_for(const worker_report& from, time_point now,
-                                      time_point verified) const;
+                      duration lease_grant, time_point now) const;
+    [[nodiscard]] duration lease_grant_for(const worker_report& from,
+                                           time_point now,
+                                           time_point verified) const;
 
     // Lost runs (scheduler_losses.cpp).
 
@@ -413,7 +415,7 @@
     };
 
     // What had not proved itself where an executor crashed.
-    struct crash_company
+    struct unproven_neighbours
     {
         std::int64_t unproven = 0;
         std::int64_t suspects = 0; ///< of them
@@ -443,23 +445,23 @@
                              time_point now);
     std::map<task_name, std::int64_t>
     unwitnessed_runs(const runs_after_restart& runs, const worker_report& from);
-    void adopt_awaited(worker_record& at, const worker_report& from,
-                       time_point now);
+    void adopt_inherited(worker_record& at, const worker_report& from,
+                         time_point now);
     void adopt_run(worker_record& at, const task_name& name, time_point now);
     static void watch_suspect(worker_record& at, const job_task& task,
                               const task_name& name);
     void lose_lapsed(worker_record& at, const worker_report& from,
                      time_point now);
     void lose_worker(worker_record& at, const std::set<task_name>& runs,
-                     const run_over& over, time_point now);
-    void lose_runs(const std::set<task_name>& lost, const run_over& over,
+                     const end_proof& over, time_point now);
+    void lose_runs(const std::set<task_name>& lost, const end_proof& over,
                    time_point now);
     [[nodiscard]] static duration shown_at_work(const task_run& run);
     void judge_crashes(worker_record& at, const worker_report& from,
                        time_point now);
     void judge_crash(worker_record& at, const past_incarnation& over,
                      time_point now);
-    crash_company company_in(const past_incarnation& over);
+    unproven_neighbours unproven_neighbours_in(const past_incarnation& over);
     static time_point end_of(const past_incarnation& over,
                              const worker_record& at, const worker_report& from,
                              time_point now);
@@ -471,16 +473,17 @@
                         const task_name& name);
 
     // Ends (scheduler_ends.cpp).
-    void close_run(job_record& of, job_task& task, const run_over& over,
+    void close_run(job_record& of, job_task& task, const end_proof& over,
                    time_point now);
     void close_gang(job_record& of, const task_position& at, run_end how,
                     time_point now);
     void count_failure(job_record& of, job_task& task, const task_run& run,
                        time_point now);
-    static bool speaks_of_worker(const worker_record& at, const job_record& of,
-                                 const task_run& run, run_end how);
-    void judge_worker(worker_record& at, const job_record& of,
-                      const task_run& run, run_end how, time_point now);
+    static bool is_evidence_of_fault(const worker_record& at,
+                                     const job_record& of, const task_run& run,
+                                     run_end how);
+    void update_fault_score(worker_record& at, const job_record& of,
+                            const task_run& run, run_end how, time_point now);
     void finish(job_record& of, job_state state, time_point now,
                 std::vector<event_field> why);
     void fail(job_record& of, const job_task& task, time_point now,
@@ -501,46 +504,50 @@
         job_task* task = nullptr;
     };
     known_task known(const std::string& name);
-    [[nodiscard]] static bool is_present(const job_task* task, std::int64_t run,
-                                         const worker_record& at);
+    [[nodiscard]] static bool is_current_run(const job_task* task,
+                                             std::int64_t run,
+                                             const worker_record& at);
 
     scheduler_options options_;
     queue_table table_;
-    data_centre_book data_centres_;
-    failure_test failures_;
+    closure_tracker data_centres_;
+    fault_detector failures_;
     bool withheld_ = false; ///< starts, for want of news of data centres
     std::int64_t epoch_ = 0;
     bool begun_ = false;
     time_point term_started_at_{};
     std::map<std::string, std::unique_ptr<job_record>> jobs_;
-    std::set<std::string> wanting_;  ///< jobs that may have tasks to place
+    std::set<std::string>
+        placeable_jobs_;             ///< jobs that may have tasks to place
     std::vector<std::string> dirty_; ///< jobs to write, oldest change first
     std::set<std::string> is_dirty_;
     /// By the guard of the worker whose room they free, and by their job.
-    std::map<std::string, std::map<std::string, unkept_end>> freed_;
+    std::map<std::string, std::map<std::string, uncommitted_end>> freed_;
     bool committing_ = false;
     time_point last_commit_{};
     worker_map workers_;
     interference_model interference_model_;
-    ticket_book advice_;
-    vain_queries vain_;         ///< of this pass over the waiting tasks
-    time_point last_lasting_{}; ///< when the newest lasting job came
-    time_point next_way_{};     ///< when lasting runs may give way again
-    std::size_t claims_ = 0;    ///< workers that this pass keeps free
-    std::size_t trials_ = 0;    ///< workers up that are closed for suspects
-    bool may_place_ = true;     ///< jobs or room changed since the last pass
+    ticket_cache advice_;
+    infeasible_queries
+        infeasible_queries_;          ///< of this pass over the waiting tasks
+    time_point last_lasting_{};       ///< when the newest lasting job came
+    time_point next_preemption_at_{}; ///< when lasting runs may give way again
+    std::size_t reservations_ = 0;    ///< workers that this pass keeps free
+    std::size_t isolated_workers_ =
+        0;                  ///< workers up that are closed for suspects
+    bool may_place_ = true; ///< jobs or room changed since the last pass
     time_point last_pass_{};
     std::int64_t next_due_ms_ = 0; ///< time of day of the next round
     /// Runs that an earlier holder placed, by guard, until it reports.
-    std::map<std::string, std::set<task_name>> awaited_;
+    std::map<std::string, std::set<task_name>> inherited_runs_;
     std::map<std::string, guard_orders> outbox_;
     std::vector<decision> decisions_;
     std::vector<finished_job> finished_;
     wait_log waits_;
     /// Of lasting jobs, by their id, since it was last told.
-    std::map<std::string, service_account> service_;
+    std::map<std::string, availability_counts> service_;
     time_point next_sample_{};
-    time_point next_telling_{};
+    time_point next_service_log_{};
     std::int64_t accepted_jobs_ = 0;
     scheduler_figures counts_;
 };
--- a/packages/scheduler/include/springstair/detail/scheduler/ticket_book.hpp
+++ b/packages/scheduler/include/springstair/detail/scheduler/ticket_cache.hpp
@@ -27,10 +27,10 @@
 /// @brief What the holder knows of who may run steps of queues with advice.
 ///
 /// The service takes one question at a time, so one is out at a time.
-class ticket_book
+class ticket_cache
 {
 public:
-    explicit ticket_book(ticket_options options = {}) : options_(options) {}
+    explicit ticket_cache(ticket_options options = {}) : options_(options) {}
 
     /// @brief The tickets of a step that still hold.
     ticket_map tickets(const std::string& step, time_point now) const;
--- a/packages/scheduler/include/springstair/detail/scheduler/worker_ledger.hpp
+++ b/packages/scheduler/include/springstair/detail/scheduler/worker_ledger.hpp
@@ -38,11 +38,11 @@
     /// Of the unproven, those that are suspected of crashing executors.
     std::set<task_name> suspects;
     /// Of those, the suspect for which nothing else is started there.
-    std::optional<task_name> on_trial;
+    std::optional<task_name> isolated_suspect;
     /// The suspect that waits for the others there to prove themselves, and
     /// until when: nothing else is started meanwhile.
     std::optional<task_name> kept_for;
-    time_point kept_until{};
+    time_point reserved_until{};
     /// Former lives that its guard still tells of and that were judged.
     std::set<executor_incarnation> judged_incarnations;
     /// The guard process that told of its executor's life last: of what goes
@@ -60,7 +60,7 @@
     bool answering = true;     ///< its guard hears from it
     bool closed = false;       ///< its data centre takes no new runs
     /// Its lease has to run out before anything listed there is acknowledged.
-    bool has_to_lapse = false;
+    bool lease_must_expire = false;
     /// Its guard's clock reads at least so much more than ours.
     std::int64_t clock_ahead_ms = 0;
     time_point reported{}; ///< when its last report came
@@ -70,8 +70,8 @@
     time_point lease_ends{};       ///< by then its lease has surely run out
     std::int64_t noted = 0;        ///< ends up to here are applied
     std::int64_t acknowledged = 0; ///< ends up to here are kept
-    std::deque<noted_end> unkept;
-    double doubt = 0;       ///< that it is sound; see failure_test
+    std::deque<noted_end> uncommitted_ends;
+    double fault_score = 0; ///< that it is sound; see fault_detector
     std::string failed_job; ///< the last job that failed here
     time_point ejected_until{};
     std::int64_t ejections = 0;
@@ -91,9 +91,9 @@
     /// @brief What is left, by the ledger.
     [[nodiscard]] resources room() const noexcept;
     /// @brief What is left for others than the task that has a claim.
-    [[nodiscard]] resources unclaimed_room() const noexcept;
+    [[nodiscard]] resources unreserved_capacity() const noexcept;
     /// @brief What would be left if all runs but lasting ones had ended.
-    [[nodiscard]] resources room_in_time() const noexcept;
+    [[nodiscard]] resources eventual_capacity() const noexcept;
 };
 
 /// @brief What a run takes from a worker's room: a run that fills reserves
@@ -108,7 +108,7 @@
 
 /// @brief A run has shown that it does not crash its executor at its start,
 /// or is gone: what was closed for it is open again.
-void end_trial(worker_record& at, const task_name& task);
+void end_isolation(worker_record& at, const task_name& task);
 
 /// @brief The text that groups the runs of one step of one round.
 std::string step_group(const std::string& job, const task_position& at);
--- a/packages/scheduler/src/service_account.cpp
+++ b/packages/scheduler/src/availability_counts.cpp
@@ -3,8 +3,8 @@
 namespace springstair
 {
 
-service_account&
-service_account::operator+=(const service_account& other) noexcept
+availability_counts&
+availability_counts::operator+=(const availability_counts& other) noexcept
 {
     tasks += other.tasks;
     at_work += other.at_work;
@@ -14,9 +14,9 @@
     return *this;
 }
 
-service_account sample_service(const job_record& of)
+availability_counts sample_service(const job_record& of)
 {
-    service_account sample;
+    availability_counts sample;
     for (const job_task& task : of.tasks())
     {
         const job_step& step = of.step_at(of.position_of(task));
--- a/packages/scheduler/src/data_centre_book.cpp
+++ b/packages/scheduler/src/closure_tracker.cpp
@@ -19,11 +19,9 @@
 
 } // namespace
 
-data_centre_book::data_centre_book(closing_options options) : options_(options)
-{
-}
+closure_tracker::closure_tracker(closing_options options) : options_(options) {}
 
-closing_change data_centre_book::take(const closed_data_centres& known)
+closing_change closure_tracker::take(const closed_data_centres& known)
 {
     if (known.known_at <= known_.known_at)
     {
@@ -35,12 +33,12 @@
     return change;
 }
 
-bool data_centre_book::is_closed(const std::string& data_centre) const
+bool closure_tracker::is_closed(const std::string& data_centre) const
 {
     return known_.names.contains(data_centre);
 }
 
-time_point data_centre_book::starts_until() const noexcept
+time_point closure_tracker::starts_until() const noexcept
 {
     if (options_.close_within == duration{0})
     {
--- a/packages/scheduler/src/job_order.cpp
+++ b/packages/scheduler/src/job_order.cpp
@@ -20,7 +20,7 @@
                 .objective = of.accepted,
                 .order = of.order};
     }
-    const auto chain = std::chrono::milliseconds(of.chain_ms);
+    const auto chain = std::chrono::milliseconds(of.critical_path_ms);
     const duration objective =
         from_seconds(to_seconds(chain) * queue->stretch) +
         std::chrono::milliseconds(queue->target_ms);
--- a/packages/scheduler/src/job_record.cpp
+++ b/packages/scheduler/src/job_record.cpp
@@ -7,13 +7,13 @@
 
 job_record::job_record(job what) : what_(std::move(what))
 {
-    chain_ms = what_.chain_ms();
+    critical_path_ms = what_.critical_path_ms();
     for (const job_step& step : what_.steps)
     {
-        first_of_step_.push_back(tasks_a_round_);
-        tasks_a_round_ += static_cast<std::size_t>(step.count);
+        first_of_step_.push_back(tasks_per_round_);
+        tasks_per_round_ += static_cast<std::size_t>(step.count);
     }
-    tasks_.resize(tasks_a_round_ * static_cast<std::size_t>(what_.rounds()));
+    tasks_.resize(tasks_per_round_ * static_cast<std::size_t>(what_.rounds()));
 }
 
 void job_record::enter(job_state next) noexcept
@@ -43,8 +43,9 @@
                                                std::int64_t step) const
 {
     const auto number = static_cast<std::size_t>(step);
-    const std::size_t first = static_cast<std::size_t>(round) * tasks_a_round_ +
-                              first_of_step_[number];
+    const std::size_t first =
+        static_cast<std::size_t>(round) * tasks_per_round_ +
+        first_of_step_[number];
     return std::span(tasks_).subspan(
         first, static_cast<std::size_t>(what_.steps[number].count));
 }
@@ -59,12 +60,12 @@
 task_position job_record::position_of(const job_task& task) const
 {
     const auto number = static_cast<std::size_t>(&task - tasks_.data());
-    const std::size_t in_round = number % tasks_a_round_;
+    const std::size_t in_round = number % tasks_per_round_;
     const auto after = std::upper_bound(first_of_step_.begin(),
                                         first_of_step_.end(), in_round);
     const auto step =
         static_cast<std::size_t>(after - first_of_step_.begin()) - 1;
-    return {.round = static_cast<std::int64_t>(number / tasks_a_round_),
+    return {.round = static_cast<std::int64_t>(number / tasks_per_round_),
             .step = static_cast<std::int64_t>(step),
             .index =
                 static_cast<std::int64_t>(in_round - first_of_step_[step])};
--- a/packages/scheduler/src/placement.cpp
+++ b/packages/scheduler/src/placement.cpp
@@ -173,7 +173,8 @@
 {
     return may_run(at, query, options) &&
            reserved_by(query.step)
-               .fits(query.step.lasting ? at.room() : at.unclaimed_room()) &&
+               .fits(query.step.lasting ? at.room()
+                                        : at.unreserved_capacity()) &&
            (!query.step.fills || query.ignore_interference ||
             has_fill_room(at, query, options));
 }
@@ -190,7 +191,7 @@
 {
     return at.what.service == service && !at.what.life.empty() &&
            !at.what.draining && at.answering && !at.closed &&
-           !at.has_to_lapse && !at.on_trial &&
+           !at.lease_must_expire && !at.isolated_suspect &&
            now - at.reported < options.report_age && now >= at.ejected_until;
 }
 
@@ -226,15 +227,16 @@
     return best;
 }
 
-worker_record* choose_claim(worker_map& workers, const placement_query& query,
-                            const placement_options& options)
+worker_record* choose_reservation(worker_map& workers,
+                                  const placement_query& query,
+                                  const placement_options& options)
 {
     const resources asked = reserved_by(query.step);
     worker_record* best = nullptr;
     for (auto& [name, at] : workers)
     {
         const bool will_do = at.claimed == resources{} &&
-                             asked.fits(at.room_in_time()) &&
+                             asked.fits(at.eventual_capacity()) &&
                              may_run(at, query, options);
         if (will_do &&
             (best == nullptr || at.room().cpu_millis > best->room().cpu_millis))
--- a/packages/scheduler/src/scheduler_closing.cpp
+++ b/packages/scheduler/src/scheduler_closing.cpp
@@ -23,11 +23,11 @@
     }
     for (const std::string& data_centre : change.closed)
     {
-        tell_closure(data_centre, now);
+        log_closure(data_centre, now);
     }
     for (const std::string& data_centre : change.opened)
     {
-        tell_closure(data_centre, now);
+        log_closure(data_centre, now);
     }
 }
 
@@ -72,8 +72,7 @@
     return static_cast<std::int64_t>(runs);
 }
 
-void scheduler_core::tell_closure(const std::string& data_centre,
-                                  time_point now)
+void scheduler_core::log_closure(const std::string& data_centre, time_point now)
 {
     const duration age = now - data_centres_.known_at();
     note(event_id::closure_in_force,
--- a/packages/scheduler/src/scheduler_core.cpp
+++ b/packages/scheduler/src/scheduler_core.cpp
@@ -24,7 +24,7 @@
 void scheduler_core::begin_term(std::int64_t epoch, time_point now)
 {
     const queue_table table = table_;
-    const data_centre_book data_centres = data_centres_;
+    const closure_tracker data_centres = data_centres_;
     *this = scheduler_core(options_);
     table_ = table;
     data_centres_ = data_centres;
@@ -34,11 +34,11 @@
 
 void scheduler_core::adopt(job what, const std::optional<job_progress>& kept,
                            std::int64_t revision, time_point now,
-                           std::int64_t day_ms)
+                           std::int64_t unix_ms)
 {
     const std::string id = what.id;
     const std::int64_t age =
-        std::clamp<std::int64_t>(day_ms - what.accepted_ms, 0, longest_age_ms);
+        std::clamp<std::int64_t>(unix_ms - what.accepted_ms, 0, longest_age_ms);
     accept(std::move(what), now - std::chrono::milliseconds(age));
     job_record& of = *job_of(id);
     if (!kept)
@@ -51,7 +51,7 @@
     {
         if (task.run)
         {
-            awaited_[task.run->guard].insert(
+            inherited_runs_[task.run->guard].insert(
                 {of.what().id, of.position_of(task)});
         }
     }
@@ -67,7 +67,7 @@
     }
     for (const std::string& data_centre : data_centres_.closed())
     {
-        tell_closure(data_centre, now);
+        log_closure(data_centre, now);
     }
 }
 
@@ -98,7 +98,7 @@
                                {"queue", of.what().queue},
                                {"tasks", std::to_string(of.tasks().size())}});
     may_place_ = true;
-    wanting_.insert(of.what().id);
+    placeable_jobs_.insert(of.what().id);
     if (of.what().steps.front().lasting)
     {
         last_lasting_ = std::max(last_lasting_, now);
@@ -132,8 +132,8 @@
 }
 
 // Whether a run that a worker tells of is the newest of its task.
-bool scheduler_core::is_present(const job_task* task, std::int64_t run,
-                                const worker_record& at)
+bool scheduler_core::is_current_run(const job_task* task, std::int64_t run,
+                                    const worker_record& at)
 {
     return task != nullptr && task->run && task->run->number == run &&
            task->run->guard == at.guard && task->run->life == at.what.life;
@@ -149,10 +149,10 @@
 {
     const std::string& id = of.what().id;
     may_place_ = true;
-    wanting_.insert(id);
+    placeable_jobs_.insert(id);
     if (of.change > of.kept && is_dirty_.insert(id).second)
     {
-        of.unkept_since = now;
+        of.uncommitted_since = now;
         dirty_.push_back(id);
     }
 }
@@ -255,7 +255,7 @@
 // Time
 // ---------------------------------------------------------------------------
 
-void scheduler_core::tick(time_point now, std::int64_t day_ms)
+void scheduler_core::tick(time_point now, std::int64_t unix_ms)
 {
     if (!begun_)
     {
@@ -265,21 +265,21 @@
     {
         if (now >= at.lease_ends && !at.held.empty())
         {
-            lose_worker(at, at.held, run_over::permits_ended(), now);
+            lose_worker(at, at.held, end_proof::lease_bound_passed(), now);
         }
     }
     const duration reach = options_.lease_horizon +
                            from_seconds(to_seconds(options_.lease_horizon) *
                                         options_.clock_drift) +
                            options_.lease_slack;
-    if (!awaited_.empty() && now - term_started_at_ > reach)
+    if (!inherited_runs_.empty() && now - term_started_at_ > reach)
     {
-        for (const auto& [guard, tasks] : std::exchange(awaited_, {}))
+        for (const auto& [guard, tasks] : std::exchange(inherited_runs_, {}))
         {
-            lose_runs(tasks, run_over::not_heard_of(), now);
+            lose_runs(tasks, end_proof::guard_never_reported(), now);
         }
     }
-    place_if_due(now, day_ms);
+    place_if_due(now, unix_ms);
     watch_service(now);
 }
 
--- a/packages/scheduler/src/scheduler_sight.cpp
+++ b/packages/scheduler/src/scheduler_diagnostics.cpp
@@ -18,13 +18,13 @@
 
 } // namespace
 
-void scheduler_core::tell_wait(const placement_query& query,
-                               const job_record& of, const job_task& first,
-                               std::optional<wait_cause> known)
+void scheduler_core::log_wait(const placement_query& query,
+                              const job_record& of, const job_task& first,
+                              std::optional<wait_cause> known)
 {
     const duration waited = query.now - first.ready_since;
-    if (waited < options_.long_wait ||
-        !waits_.is_due(query.group, query.now, options_.tell_gap))
+    if (waited < options_.wait_log_threshold ||
+        !waits_.is_due(query.group, query.now, options_.min_log_interval))
     {
         return;
     }
@@ -52,34 +52,35 @@
     {
         return;
     }
-    next_sample_ = now + options_.service_sample;
+    next_sample_ = now + options_.availability_sample_interval;
     sample_jobs();
-    if (now >= next_telling_)
+    if (now >= next_service_log_)
     {
-        next_telling_ = now + options_.tell_gap;
-        tell_service();
+        next_service_log_ = now + options_.min_log_interval;
+        log_service();
     }
 }
 
 void scheduler_core::sample_jobs()
 {
-    std::vector<service_account> samples;
+    std::vector<availability_counts> samples;
     for (const auto& [id, of] : jobs_)
     {
         if (is_final(of->state()))
         {
             continue;
         }
-        const service_account sample = sample_service(*of);
+        const availability_counts sample = sample_service(*of);
         if (sample.tasks > 0)
         {
             service_[id] += sample;
             samples.push_back(sample);
         }
     }
-    std::sort(samples.begin(), samples.end(),
-              [](const service_account& left, const service_account& right)
-              { return left.reserved_millis > right.reserved_millis; });
+    std::sort(
+        samples.begin(), samples.end(),
+        [](const availability_counts& left, const availability_counts& right)
+        { return left.reserved_millis > right.reserved_millis; });
     const std::size_t tenth = (samples.size() + 9) / 10;
     counts_.lasting = {};
     counts_.largest_lasting = {};
@@ -87,11 +88,11 @@
     {
         counts_.lasting += samples[rank];
         counts_.largest_lasting +=
-            rank < tenth ? samples[rank] : service_account{};
+            rank < tenth ? samples[rank] : availability_counts{};
     }
 }
 
-void scheduler_core::tell_service()
+void scheduler_core::log_service()
 {
     for (const auto& [id, account] : std::exchange(service_, {}))
     {
--- a/packages/scheduler/src/scheduler_ends.cpp
+++ b/packages/scheduler/src/scheduler_ends.cpp
@@ -35,7 +35,7 @@
 } // namespace
 
 void scheduler_core::close_run(job_record& of, job_task& task,
-                               const run_over& over, time_point now)
+                               const end_proof& over, time_point now)
 {
     const run_end how = over.how();
     const task_run run = *task.run;
@@ -45,7 +45,7 @@
     if (at != workers_.end())
     {
         release(at->second, step, {of.what().id, where});
-        judge_worker(at->second, of, run, how, now);
+        update_fault_score(at->second, of, run, how, now);
     }
     task.run.reset();
     task.ready_since = now;
@@ -146,9 +146,9 @@
 // Whether an end says something of the worker. A task that has failed on
 // several workers says nothing about any of them, nor does a job that fails
 // again; what began before the worker was put out has been judged by that.
-bool scheduler_core::speaks_of_worker(const worker_record& at,
-                                      const job_record& of, const task_run& run,
-                                      run_end how)
+bool scheduler_core::is_evidence_of_fault(const worker_record& at,
+                                          const job_record& of,
+                                          const task_run& run, run_end how)
 {
     if (run.ordered_at < at.ejected_until)
     {
@@ -165,29 +165,29 @@
 }
 
 // A worker that fails what it starts gets no work for a while.
-void scheduler_core::judge_worker(worker_record& at, const job_record& of,
-                                  const task_run& run, run_end how,
-                                  time_point now)
+void scheduler_core::update_fault_score(worker_record& at, const job_record& of,
+                                        const task_run& run, run_end how,
+                                        time_point now)
 {
-    if (!speaks_of_worker(at, of, run, how))
+    if (!is_evidence_of_fault(at, of, run, how))
     {
         return;
     }
     const bool failed = how == run_end::failed;
-    at.doubt = failures_.doubt_after(at.doubt, failed);
+    at.fault_score = failures_.fault_score_after(at.fault_score, failed);
     at.failed_job = failed ? of.what().id : at.failed_job;
-    if (at.doubt == 0)
+    if (at.fault_score == 0)
     {
         at.ejections = 0;
         at.failed_job.clear();
     }
-    if (!failures_.is_sick(at.doubt))
+    if (!failures_.is_faulty(at.fault_score))
     {
         return;
     }
     const duration pause = std::min(
-        options_.eject_most,
-        options_.eject_for *
+        options_.max_ejection,
+        options_.min_ejection *
             (std::int64_t{1} << std::min<std::int64_t>(at.ejections, 4)));
     at.ejected_until = now + pause;
     ++at.ejections;
@@ -197,7 +197,7 @@
           {"for_ms", std::to_string(to_milliseconds(pause))},
           {"fleet_fails_percent", std::to_string(static_cast<int>(
                                       full_percent * failures_.share()))}});
-    at.doubt = failures_.doubt_at_return();
+    at.fault_score = failures_.fault_score_at_return();
 }
 
 void scheduler_core::finish(job_record& of, job_state state, time_point now,
@@ -205,7 +205,7 @@
 {
     const duration age = now - of.accepted;
     of.enter(state);
-    of.pressing = true;
+    of.urgent_commit = true;
     forget_advice(of);
     finished_.push_back(
         {.queue = of.what().queue,
--- a/packages/scheduler/src/scheduler_learning.cpp
+++ b/packages/scheduler/src/scheduler_learning.cpp
@@ -13,7 +13,7 @@
                                         const worker_report& from,
                                         time_point now)
 {
-    if (now - at.learnt < options_.figure_age)
+    if (now - at.learnt < options_.sample_interval)
     {
         return;
     }
--- a/packages/scheduler/src/scheduler_leases.cpp
+++ b/packages/scheduler/src/scheduler_leases.cpp
@@ -11,14 +11,16 @@
 // at its worker may extend runs that nobody has seen: not beyond the time for
 // which a new holder waits for them, counted from its own begin, since permits
 // of earlier holders end by then.
-duration scheduler_core::permit_for(const worker_report& from, time_point now,
-                                    time_point verified) const
+duration scheduler_core::lease_grant_for(const worker_report& from,
+                                         time_point now,
+                                         time_point verified) const
 {
-    const bool is_awaited = !from.looked && awaited_.contains(from.guard);
+    const bool is_awaited =
+        !from.looked && inherited_runs_.contains(from.guard);
     const time_point reached =
         is_awaited ? std::min(verified, term_started_at_) : verified;
     return std::clamp(reached + options_.lease_horizon - now, duration{0},
-                      options_.permit);
+                      options_.lease_grant);
 }
 
 // Whether an end as done is that of a run which was given up: another one takes
@@ -42,18 +44,19 @@
 // one, of which a guard that is cut off cannot tell. Acknowledged within it,
 // its end as done would count, beside the run that has taken its place. So the
 // worker gets no lease until that one is over; nothing else of ours is there.
-void scheduler_core::await_lapse(worker_record& at, const worker_report& from,
-                                 bool knows_incarnation)
+void scheduler_core::check_lease_must_expire(worker_record& at,
+                                             const worker_report& from,
+                                             bool knows_incarnation)
 {
-    const bool awaited_before = at.has_to_lapse;
+    const bool awaited_before = at.lease_must_expire;
     // What was noted once is on its way to be acknowledged.
     const std::int64_t noted = at.what.life == from.worker.life ? at.noted : 0;
     const auto end = std::ranges::find_if(
         from.ended, [&](const ended_task& one)
         { return one.number > noted && is_end_given_up(at, one); });
-    at.has_to_lapse = knows_incarnation && from.looked && from.lease_ms > 0 &&
-                      end != from.ended.end();
-    if (at.has_to_lapse && !awaited_before)
+    at.lease_must_expire = knows_incarnation && from.looked &&
+                           from.lease_ms > 0 && end != from.ended.end();
+    if (at.lease_must_expire && !awaited_before)
     {
         note(event_id::lease_awaited,
              {{"guard", at.guard},
@@ -65,13 +68,13 @@
 }
 
 void scheduler_core::extend_lease(worker_record& at, const worker_report& from,
-                                  duration permit, time_point now) const
+                                  duration lease_grant, time_point now) const
 {
-    at.starts_until_ms =
-        std::max(at.starts_until_ms, from.sent_ms + to_milliseconds(permit));
+    at.starts_until_ms = std::max(at.starts_until_ms,
+                                  from.sent_ms + to_milliseconds(lease_grant));
     at.clock_ahead_ms = from.sent_ms - to_milliseconds(now - time_point{});
     const duration drifted =
-        from_seconds(to_seconds(permit) * (1 + options_.clock_drift));
+        from_seconds(to_seconds(lease_grant) * (1 + options_.clock_drift));
     // What an earlier holder permitted may still be in force.
     const duration before = std::chrono::milliseconds(from.lease_ms);
     const duration longest = std::max(drifted, before);
--- a/packages/scheduler/src/scheduler_losses.cpp
+++ b/packages/scheduler/src/scheduler_losses.cpp
@@ -36,15 +36,15 @@
     {
         suspects.erase(name);
     }
-    lose_worker(at, runs.over, run_over::incarnation_ended(), now);
+    lose_worker(at, runs.over, end_proof::incarnation_ended(), now);
     outbox_.erase(at.guard); // meant for the life before
     follow_restart(at, runs, from.worker.life, now);
     suspect_unwitnessed(at, suspects, now);
     at.went = at.lost;
     at.noted = 0;
     at.acknowledged = 0;
-    at.unkept.clear();
-    at.doubt = 0;
+    at.uncommitted_ends.clear();
+    at.fault_score = 0;
     at.ejections = 0;
     at.ejected_until = {};
 }
@@ -110,9 +110,9 @@
     task_run& run = *of.find(name.at)->run;
     run.life = life;
     run.seen = false;
-    run.moved_at = now;
+    run.last_progress_at = now;
     ++of.change;
-    of.pressing = true;
+    of.urgent_commit = true;
     want(of, now);
 }
 
@@ -226,13 +226,13 @@
     }
     if (!seen.empty())
     {
-        lose_worker(at, seen, run_over::lapsed(), now);
+        lose_worker(at, seen, end_proof::lapsed(), now);
     }
 }
 
 void scheduler_core::lose_worker(worker_record& at,
                                  const std::set<task_name>& runs,
-                                 const run_over& over, time_point now)
+                                 const end_proof& over, time_point now)
 {
     note(event_id::worker_lost,
          {{"guard", at.guard},
@@ -245,16 +245,16 @@
 
 // Runs of an earlier holder: those of this life are entered into the ledger,
 // those of another are gone, unless this one has taken them or may.
-void scheduler_core::adopt_awaited(worker_record& at, const worker_report& from,
-                                   time_point now)
+void scheduler_core::adopt_inherited(worker_record& at,
+                                     const worker_report& from, time_point now)
 {
-    const auto found = awaited_.find(at.guard);
-    if (found == awaited_.end())
+    const auto found = inherited_runs_.find(at.guard);
+    if (found == inherited_runs_.end())
     {
         return;
     }
     const std::set<task_name> tasks = std::move(found->second);
-    awaited_.erase(found);
+    inherited_runs_.erase(found);
     std::set<task_name> former;
     for (const task_name& name : tasks)
     {
@@ -278,7 +278,7 @@
         }
     }
     follow_restart(at, runs, at.what.life, now);
-    lose_runs(runs.over, run_over::past_incarnation_ended(), now);
+    lose_runs(runs.over, end_proof::past_incarnation_ended(), now);
     suspect_unwitnessed(at, suspects, now);
 }
 
@@ -311,7 +311,7 @@
 {
     job_record& of = *job_of(name.job);
     task_run& run = *of.find(name.at)->run;
-    run.moved_at = now;
+    run.last_progress_at = now;
     run.ordered_at = now;
     run.stopping = is_final(of.state());
     reserve(at, of.step_at(name.at), name);
@@ -323,13 +323,13 @@
 void scheduler_core::watch_suspect(worker_record& at, const job_task& task,
                                    const task_name& name)
 {
-    if (task.suspicion >= suspected_at)
+    if (task.suspicion >= suspect_threshold)
     {
         at.suspects.insert(name);
     }
-    if (task.suspicion >= tried_at)
+    if (task.suspicion >= isolation_threshold)
     {
-        at.on_trial = name;
+        at.isolated_suspect = name;
     }
 }
 
@@ -339,7 +339,7 @@
 }
 
 void scheduler_core::lose_runs(const std::set<task_name>& lost,
-                               const run_over& over, time_point now)
+                               const end_proof& over, time_point now)
 {
     for (const task_name& name : lost)
     {
@@ -388,7 +388,7 @@
     const crash_scope scope =
         went_with_its_rack(at, now) ? crash_scope::rack : crash_scope::executor;
     std::map<task_name, crash_count> counts;
-    const crash_company company = company_in(over);
+    const unproven_neighbours company = unproven_neighbours_in(over);
     for (const begun_run& begun : over.begun)
     {
         const auto [of, task] = known(begun.task);
@@ -421,10 +421,10 @@
 }
 
 // Who may have caused a crash, those of jobs that have ended among them.
-scheduler_core::crash_company
-scheduler_core::company_in(const past_incarnation& over)
+scheduler_core::unproven_neighbours
+scheduler_core::unproven_neighbours_in(const past_incarnation& over)
 {
-    crash_company company;
+    unproven_neighbours company;
     for (const begun_run& begun : over.begun)
     {
         const job_task* const task = known(begun.task).task;
@@ -457,10 +457,11 @@
           {"sole", count.is_sole ? "yes" : "no"},
           {"crashes", std::to_string(task.crashes)},
           {"suspicion", std::to_string(task.suspicion)}});
-    if (task.suspicion >= suspected_at)
+    if (task.suspicion >= suspect_threshold)
     {
-        task.left = left_worker{.guard = at.guard,
-                                .until = now + options_.suspicion.no_return};
+        task.left =
+            departed_worker{.guard = at.guard,
+                            .until = now + options_.suspicion.return_backoff};
     }
     if (task.suspicion >= four_crashes)
     {
@@ -489,8 +490,8 @@
     if (at_work >= proof_time(task.suspicion, options_.suspicion) &&
         at.unproven.contains(name))
     {
-        may_place_ = may_place_ || at.on_trial == name;
-        end_trial(at, name);
+        may_place_ = may_place_ || at.isolated_suspect == name;
+        end_isolation(at, name);
     }
     if (at_work >= options_.suspicion.sound_after)
     {
--- a/packages/scheduler/src/scheduler_moves.cpp
+++ b/packages/scheduler/src/scheduler_moves.cpp
@@ -13,13 +13,13 @@
     std::size_t moves = 0;
     for (const auto& [image, pace] : from.paces)
     {
-        if (pace >= options_.move_below)
+        if (pace >= options_.relocate_below_pace)
         {
             continue;
         }
         for (const task_name& name : at.held)
         {
-            if (moves >= options_.most_moves)
+            if (moves >= options_.max_relocations_per_report)
             {
                 return;
             }
@@ -71,8 +71,8 @@
 {
     job_task& task = *job_of(name.job)->find(name.at);
     order_stop(*task.run, name.text(), out);
-    task.left =
-        left_worker{.guard = at.guard, .until = now + options_.no_return};
+    task.left = departed_worker{.guard = at.guard,
+                                .until = now + options_.return_backoff};
     note(event_id::run_moved, {{"task", name.text()},
                                {"run", std::to_string(task.run->number)},
                                {"guard", at.guard},
@@ -82,18 +82,18 @@
 // A step that may run on few workers waits for as long as lasting runs fill
 // them, though others have room. Where shorter runs will free none in time, one
 // lasting run after the other goes elsewhere.
-void scheduler_core::make_way(const placement_query& query,
-                              const job_record& of, const job_task& task)
+void scheduler_core::preempt_lasting(const placement_query& query,
+                                     const job_record& of, const job_task& task)
 {
     const bool is_choosy =
         query.tickets != nullptr || !query.step.label.empty();
     if (!is_choosy || query.step.lasting || of.has_runs() ||
-        query.now - task.ready_since < options_.longest_blocked ||
-        query.now < next_way_)
+        query.now - task.ready_since < options_.max_blocked_time ||
+        query.now < next_preemption_at_)
     {
         return;
     }
-    next_way_ = query.now + options_.way_gap;
+    next_preemption_at_ = query.now + options_.preemption_interval;
     const resources asked = reserved_by(query.step);
     std::vector<worker_record*> blocked;
     for (auto& [guard, at] : workers_)
@@ -111,12 +111,12 @@
             blocked.push_back(&at);
         }
     }
-    blocked.resize(std::min(blocked.size(), options_.most_ways));
+    blocked.resize(std::min(blocked.size(), options_.max_preemption_searches));
     for (worker_record* const at : blocked)
     {
         const auto leaves =
             std::ranges::find_if(at->held, [&](const task_name& name)
-                                 { return may_give_way(name); });
+                                 { return is_preemptible(name); });
         if (leaves != at->held.end() &&
             is_welcome_elsewhere(*leaves, *at, query.now))
         {
@@ -130,7 +130,7 @@
 // have ended.
 resources scheduler_core::room_after_stops(const worker_record& at)
 {
-    resources room = at.room_in_time();
+    resources room = at.eventual_capacity();
     for (const task_name& name : at.held)
     {
         job_record& of = *job_of(name.job);
@@ -145,7 +145,7 @@
 
 // Whether a lasting run may be stopped to run elsewhere: its step misses no
 // more tasks than it may.
-bool scheduler_core::may_give_way(const task_name& name)
+bool scheduler_core::is_preemptible(const task_name& name)
 {
     job_record& of = *job_of(name.job);
     const job_step& step = of.step_at(name.at);
@@ -164,8 +164,8 @@
 
 // A worker that leaves takes down what runs there: what lasts moves at once,
 // the rest when little time remains.
-void scheduler_core::leave_in_time(worker_record& at, guard_orders& out,
-                                   time_point /*now*/)
+void scheduler_core::drain_leaving_worker(worker_record& at, guard_orders& out,
+                                          time_point /*now*/)
 {
     if (!at.what.draining || at.what.leaves_ms == 0)
     {
--- a/packages/scheduler/src/scheduler_placing.cpp
+++ b/packages/scheduler/src/scheduler_placing.cpp
@@ -11,18 +11,18 @@
 namespace
 {
 
-std::int64_t rounds_due(const job& what, std::int64_t day_ms)
+std::int64_t rounds_due(const job& what, std::int64_t unix_ms)
 {
     const job_schedule& schedule = what.schedule;
     if (schedule.count == 0)
     {
         return 1;
     }
-    if (day_ms < schedule.first_due_ms)
+    if (unix_ms < schedule.first_due_ms)
     {
         return 0;
     }
-    const std::int64_t since = day_ms - schedule.first_due_ms;
+    const std::int64_t since = unix_ms - schedule.first_due_ms;
     const std::int64_t due = schedule.interval_ms <= 0
                                  ? schedule.count
                                  : since / schedule.interval_ms + 1;
@@ -37,12 +37,12 @@
 
 } // namespace
 
-void scheduler_core::place_if_due(time_point now, std::int64_t day_ms)
+void scheduler_core::place_if_due(time_point now, std::int64_t unix_ms)
 {
-    const bool due = may_place_ || day_ms >= next_due_ms_ ||
-                     now - last_pass_ >= options_.placing_gap;
-    if (!due || !may_write(now) || now - last_pass_ < options_.commit_gap ||
-        !may_start(now))
+    const bool due = may_place_ || unix_ms >= next_due_ms_ ||
+                     now - last_pass_ >= options_.placement_interval;
+    if (!due || !may_write(now) ||
+        now - last_pass_ < options_.min_commit_interval || !may_start(now))
     {
         return;
     }
@@ -50,29 +50,30 @@
     next_due_ms_ = std::numeric_limits<std::int64_t>::max();
     last_pass_ = now;
     begin_pass();
-    place(now, day_ms);
+    place(now, unix_ms);
 }
 
 void scheduler_core::begin_pass()
 {
-    vain_.clear();
-    claims_ = 0;
-    trials_ = 0;
+    infeasible_queries_.clear();
+    reservations_ = 0;
+    isolated_workers_ = 0;
     for (auto& [guard, at] : workers_)
     {
         at.claimed = {};
-        if (at.kept_for && !is_kept_rightly(at, last_pass_))
+        if (at.kept_for && !is_isolation_valid(at, last_pass_))
         {
             at.kept_for.reset();
         }
-        trials_ += (at.on_trial || at.kept_for) && at.answering ? 1 : 0;
+        isolated_workers_ +=
+            (at.isolated_suspect || at.kept_for) && at.answering ? 1 : 0;
     }
 }
 
-void scheduler_core::place(time_point now, std::int64_t day_ms)
+void scheduler_core::place(time_point now, std::int64_t unix_ms)
 {
     std::vector<std::pair<job_rank, job_record*>> order;
-    for (const std::string& id : wanting_)
+    for (const std::string& id : placeable_jobs_)
     {
         job_record& of = *job_of(id);
         order.emplace_back(
@@ -82,16 +83,16 @@
     std::sort(order.begin(), order.end());
     for (const auto& [rank, of] : order)
     {
-        if (!place_job(*of, now, day_ms))
+        if (!place_job(*of, now, unix_ms))
         {
-            wanting_.erase(of->what().id);
+            placeable_jobs_.erase(of->what().id);
         }
     }
 }
 
 // Gives whether the job may have more to place later.
 bool scheduler_core::place_job(job_record& of, time_point now,
-                               std::int64_t day_ms)
+                               std::int64_t unix_ms)
 {
     if (is_final(of.state()))
     {
@@ -102,7 +103,7 @@
     {
         return true;
     }
-    const std::int64_t due = rounds_due(of.what(), day_ms);
+    const std::int64_t due = rounds_due(of.what(), unix_ms);
     bool more = due < of.what().rounds();
     if (more)
     {
@@ -184,7 +185,7 @@
         {
             continue;
         }
-        const bool gathering = gathers(of, what, now);
+        const bool gathering = is_batching(of, what, now);
         may_place_ = may_place_ || gathering; // it ends with time alone
         if (gathering || now < task.not_before)
         {
@@ -203,24 +204,24 @@
             .ignore_interference =
                 !of.has_runs() &&
                 now - task.ready_since > options_.max_interference_wait,
-            .apart = task.suspicion >= suspected_at,
+            .apart = task.suspicion >= suspect_threshold,
             .tickets = queue.advice ? &tickets : nullptr};
-        if (task.suspicion >= tried_at)
+        if (task.suspicion >= isolation_threshold)
         {
-            left = !try_apart(query, of, task, tickets) || left;
+            left = !place_isolated(query, of, task, tickets) || left;
             continue;
         }
         worker_record* const at =
-            vain_.covers(query)
+            infeasible_queries_.covers(query)
                 ? nullptr
                 : choose_worker(workers_, query, options_.placement);
         if (at == nullptr)
         {
-            vain_.note(query);
-            tell_wait(query, of, task);
-            make_way(query, of, task);
-            claim_room(query,
-                       std::ranges::count_if(tasks, &job_task::is_waiting));
+            infeasible_queries_.note(query);
+            log_wait(query, of, task);
+            preempt_lasting(query, of, task);
+            reserve_workers(
+                query, std::ranges::count_if(tasks, &job_task::is_waiting));
             return true; // its siblings ask for the same
         }
         if (!can_be_written(of.what().id, what, {at}))
@@ -233,30 +234,31 @@
 }
 
 // Whether tasks of a lasting job wait for others that come with it.
-bool scheduler_core::gathers(const job_record& of, const job_step& step,
-                             time_point now) const
+bool scheduler_core::is_batching(const job_record& of, const job_step& step,
+                                 time_point now) const
 {
-    return step.lasting && now - last_lasting_ < options_.gather_lasting &&
-           now - of.accepted < options_.longest_gathering;
+    return step.lasting &&
+           now - last_lasting_ < options_.lasting_batch_window &&
+           now - of.accepted < options_.max_lasting_batch_wait;
 }
 
 // Starts a suspect where nothing else is started until it has proved itself. A
 // crash names it only if the others there have: so a worker is kept for it, and
 // takes nothing new, until they have.
-bool scheduler_core::try_apart(placement_query query, job_record& of,
-                               job_task& task, const ticket_map& tickets)
+bool scheduler_core::place_isolated(placement_query query, job_record& of,
+                                    job_task& task, const ticket_map& tickets)
 {
     const task_name name{of.what().id, of.position_of(task)};
     query.suspect = &name;
-    worker_record* const at = kept_worker(query, task.ready_since);
+    worker_record* const at = isolation_worker(query, task.ready_since);
     const bool is_ready = at != nullptr && at->unproven.empty() &&
                           can_take(*at, query, options_.placement) &&
                           can_be_written(of.what().id, query.step, {at});
     if (!is_ready)
     {
-        tell_wait(query, of, task,
-                  at == nullptr ? std::nullopt
-                                : std::optional(wait_cause::trials));
+        log_wait(query, of, task,
+                 at == nullptr ? std::nullopt
+                               : std::optional(wait_cause::trials));
         return false;
     }
     at->kept_for.reset();
@@ -266,8 +268,8 @@
 
 // The worker that is kept for a suspect, or may be from now on: it has room, or
 // will have once shorter runs have ended.
-worker_record* scheduler_core::kept_worker(const placement_query& query,
-                                           time_point ready_since)
+worker_record* scheduler_core::isolation_worker(const placement_query& query,
+                                                time_point ready_since)
 {
     for (auto& [guard, at] : workers_)
     {
@@ -280,53 +282,55 @@
     const auto most = std::max<std::size_t>(
         1, static_cast<std::size_t>(options.closed_share *
                                     static_cast<double>(workers_.size())));
-    if (trials_ >= most && query.now - ready_since < options.share_bound_for)
+    if (isolated_workers_ >= most &&
+        query.now - ready_since < options.share_bound_for)
     {
         return nullptr;
     }
     worker_record* at = choose_worker(workers_, query, options_.placement);
-    at = at == nullptr ? choose_claim(workers_, query, options_.placement) : at;
+    at = at == nullptr ? choose_reservation(workers_, query, options_.placement)
+                       : at;
     if (at != nullptr)
     {
         at->kept_for = *query.suspect;
-        at->kept_until = query.now + options.kept_for;
-        ++trials_;
+        at->reserved_until = query.now + options.kept_for;
+        ++isolated_workers_;
     }
     return at;
 }
 
 // Whether a worker is still kept for a suspect that waits.
-bool scheduler_core::is_kept_rightly(const worker_record& at, time_point now)
+bool scheduler_core::is_isolation_valid(const worker_record& at, time_point now)
 {
     job_record* const of = job_of(at.kept_for->job);
-    return now < at.kept_until && at.answering && of != nullptr &&
+    return now < at.reserved_until && at.answering && of != nullptr &&
            !is_final(of->state()) && of->find(at.kept_for->at)->is_waiting();
 }
 
 // Keeps workers free for tasks that no worker can take now. Those behind them
 // would else take each piece of room before it is large enough.
-void scheduler_core::claim_room(const placement_query& query,
-                                std::int64_t tasks)
+void scheduler_core::reserve_workers(const placement_query& query,
+                                     std::int64_t tasks)
 {
     if (query.step.fills)
     {
         return;
     }
     const auto bound = std::min(
-        options_.most_claims,
-        static_cast<std::size_t>(options_.claimed_share *
+        options_.max_reservations,
+        static_cast<std::size_t>(options_.reserved_share *
                                  static_cast<double>(workers_.size())) +
             1);
-    for (; tasks > 0 && claims_ < bound; --tasks)
+    for (; tasks > 0 && reservations_ < bound; --tasks)
     {
         worker_record* const at =
-            choose_claim(workers_, query, options_.placement);
+            choose_reservation(workers_, query, options_.placement);
         if (at == nullptr)
         {
             return;
         }
         at->claimed = reserved_by(query.step);
-        ++claims_;
+        ++reservations_;
     }
 }
 
@@ -345,13 +349,13 @@
                         .ticket = ticket == tickets.end() ? std::string()
                                                           : ticket->second,
                         .placed_in = of.change,
-                        .moved_at = now};
+                        .last_progress_at = now};
     const task_name name{of.what().id, where};
     reserve(at, of.step_at(where), name);
     watch_suspect(at, task, name);
     of.enter(job_state::running);
     of.first_start = of.first_start.value_or(now);
-    of.pressing = true;
+    of.urgent_commit = true;
     want(of, now);
     ++counts_.starts;
     note(event_id::run_placed,
@@ -397,8 +401,7 @@
         gang_workers(of, queue, first, queue.advice ? &tickets : nullptr, now);
     if (chosen.empty())
     {
-        tell_gang_wait(of, queue, first, queue.advice ? &tickets : nullptr,
-                       now);
+        log_gang_wait(of, queue, first, queue.advice ? &tickets : nullptr, now);
         return true;
     }
     if (!can_be_written(of.what().id, of.step_at(first), chosen))
@@ -417,9 +420,9 @@
     return false;
 }
 
-void scheduler_core::tell_gang_wait(job_record& of, const queue_row& queue,
-                                    const task_position& first,
-                                    const ticket_map* tickets, time_point now)
+void scheduler_core::log_gang_wait(job_record& of, const queue_row& queue,
+                                   const task_position& first,
+                                   const ticket_map* tickets, time_point now)
 {
     const job_task& member = *of.find(first);
     const std::string group = step_group(of.what().id, first);
@@ -432,8 +435,8 @@
                                 .tickets = tickets};
     const bool fits_one =
         choose_worker(workers_, query, options_.placement) != nullptr;
-    tell_wait(query, of, member,
-              fits_one ? std::optional(wait_cause::gang) : std::nullopt);
+    log_wait(query, of, member,
+             fits_one ? std::optional(wait_cause::gang) : std::nullopt);
 }
 
 // One worker a member, chosen on a copy of the ledger; empty if they do not
--- a/packages/scheduler/src/scheduler_reports.cpp
+++ b/packages/scheduler/src/scheduler_reports.cpp
@@ -20,7 +20,7 @@
     answer.orders.epoch = epoch_;
     answer.orders.life = at.what.life;
     answer.orders.acknowledged = at.acknowledged;
-    if (!believes(at, from, answer))
+    if (!is_admitted(at, from, answer))
     {
         return answer;
     }
@@ -39,19 +39,19 @@
         !from.worker.life.empty() &&
         ((from.looked && from.whole) || from.worker.life == at.what.life);
     const bool has_lapsed = knows_incarnation && from.lapsed;
-    await_lapse(at, from, knows_incarnation);
-    const duration permit = has_lapsed || at.has_to_lapse
-                                ? duration{0}
-                                : permit_for(from, now, verified);
-    answer.permit_ms = to_milliseconds(permit);
-    extend_lease(at, from, permit, now);
+    check_lease_must_expire(at, from, knows_incarnation);
+    const duration lease_grant = has_lapsed || at.lease_must_expire
+                                     ? duration{0}
+                                     : lease_grant_for(from, now, verified);
+    answer.permit_ms = to_milliseconds(lease_grant);
+    extend_lease(at, from, lease_grant, now);
     if (knows_incarnation)
     {
         on_executor_restart(at, from, now);
         at.what = from.worker;
         at.witness = from.incarnation;
         at.closed = data_centres_.is_closed(at.what.data_centre);
-        adopt_awaited(at, from, now);
+        adopt_inherited(at, from, now);
         judge_crashes(at, from, now);
     }
     at.lost = now - std::chrono::milliseconds(from.failing_ms);
@@ -63,7 +63,7 @@
     }
     else if (from.looked && from.worker.life == at.what.life)
     {
-        if (!at.has_to_lapse)
+        if (!at.lease_must_expire)
         {
             note_ends(at, from, now);
         }
@@ -77,7 +77,7 @@
             repeat_missing(at, from, answer.orders, now);
             move_slowed(at, from, answer.orders, now);
         }
-        leave_in_time(at, answer.orders, now);
+        drain_leaving_worker(at, answer.orders, now);
     }
     answer.orders.life = at.what.life;
     answer.orders.incarnation = at.incarnation;
@@ -89,8 +89,8 @@
 
 // Whether a report is the newest word of a guard: a later one of the present
 // incarnation, or one of another that has repeated its admission.
-bool scheduler_core::believes(worker_record& at, const worker_report& from,
-                              report_answer& answer)
+bool scheduler_core::is_admitted(worker_record& at, const worker_report& from,
+                                 report_answer& answer)
 {
     if (at.incarnation == from.incarnation)
     {
@@ -141,7 +141,7 @@
         }
         at.noted = end.number;
         const auto [of, task] = known(end.task);
-        const bool current = is_present(task, end.run, at);
+        const bool current = is_current_run(task, end.run, at);
         note(event_id::run_ended, {{"task", end.task},
                                    {"run", std::to_string(end.run)},
                                    {"guard", at.guard},
@@ -149,17 +149,17 @@
                                    {"current", current ? "yes" : "no"}});
         if (current)
         {
-            close_run(*of, *task, run_over::listed(end), now);
+            close_run(*of, *task, end_proof::listed(end), now);
         }
         if (of != nullptr)
         {
-            at.unkept.push_back({.number = end.number,
-                                 .job = of->what().id,
-                                 .change = of->change});
+            at.uncommitted_ends.push_back({.number = end.number,
+                                           .job = of->what().id,
+                                           .change = of->change});
         }
         else
         {
-            at.unkept.push_back({.number = end.number});
+            at.uncommitted_ends.push_back({.number = end.number});
         }
     }
 }
@@ -195,7 +195,7 @@
     for (const refused_run& refusal : from.refused)
     {
         const auto [of, task] = known(refusal.task);
-        const bool current = is_present(task, refusal.run, at);
+        const bool current = is_current_run(task, refusal.run, at);
         if (!current || report_shows(from, refusal))
         {
             continue;
@@ -211,8 +211,8 @@
             advice_.refused(step_group(of->what().id, of->position_of(*task)),
                             at.what.life);
         }
-        task->not_before = now + options_.refused_pause;
-        close_run(*of, *task, run_over::given_back(), now);
+        task->not_before = now + options_.refused_backoff;
+        close_run(*of, *task, end_proof::given_back(), now);
     }
 }
 
@@ -222,7 +222,7 @@
     for (const running_task& row : from.running)
     {
         const auto [of, task] = known(row.task);
-        const bool current = is_present(task, row.run, at);
+        const bool current = is_current_run(task, row.run, at);
         if (!current)
         {
             out.stops.push_back({.task = row.task, .run = row.run});
@@ -288,7 +288,7 @@
             continue; // it is stopped once it is seen
         }
         const bool is_awaited =
-            task->run && is_present(task, task->run->number, at);
+            task->run && is_current_run(task, task->run->number, at);
         if (!is_awaited)
         {
             out.stops.push_back({.task = name, .run = task->runs});
@@ -309,15 +309,16 @@
     if (row.percent != run.percent || at_work)
     {
         run.percent = row.percent;
-        run.moved_at = now;
+        run.last_progress_at = now;
         return;
     }
     const duration bound =
         step.fills ? options_.stuck_fill_after : options_.stuck_after;
     const auto pace = at.paces.find(step.image);
     const bool slowed = step.fills && pace != at.paces.end() &&
-                        pace->second < options_.move_below;
-    if (now - run.moved_at <= bound || run.stopping || step.gang || slowed)
+                        pace->second < options_.relocate_below_pace;
+    if (now - run.last_progress_at <= bound || run.stopping || step.gang ||
+        slowed)
     {
         return;
     }
@@ -327,7 +328,8 @@
           {"run", std::to_string(row.run)},
           {"guard", at.guard},
           {"percent", std::to_string(row.percent)},
-          {"still_ms", std::to_string(to_milliseconds(now - run.moved_at))}});
+          {"still_ms",
+           std::to_string(to_milliseconds(now - run.last_progress_at))}});
     if (const auto name = task_name::parse(row.task))
     {
         job_of(name->job)->find(name->at)->avoided.insert(at.guard);
@@ -352,15 +354,15 @@
         job_task& task = *of.find(name.at);
         task_run& run = *task.run;
         const std::string text = name.text();
-        const bool due = run.ordered && run.placed_in <= of.kept &&
-                         !there.contains(text) &&
-                         now - run.moved_at > options_.repeat_order;
+        const bool due =
+            run.ordered && run.placed_in <= of.kept && !there.contains(text) &&
+            now - run.last_progress_at > options_.order_retry_interval;
         if (!due)
         {
             continue;
         }
-        run.moved_at = now;
-        tell_missing(at, from, run, text);
+        run.last_progress_at = now;
+        log_missing_run(at, from, run, text);
         if (run.stopping || at.closed)
         {
             order_stop(run, text, out);
@@ -373,9 +375,9 @@
 }
 
 // The first repeat is of an order that was lost; more of them need a reason.
-void scheduler_core::tell_missing(const worker_record& at,
-                                  const worker_report& from, task_run& run,
-                                  const std::string& task)
+void scheduler_core::log_missing_run(const worker_record& at,
+                                     const worker_report& from, task_run& run,
+                                     const std::string& task)
 {
     if (++run.repeats < 2)
     {
@@ -397,16 +399,16 @@
 
 std::int64_t scheduler_core::acknowledge(worker_record& at)
 {
-    while (!at.unkept.empty())
+    while (!at.uncommitted_ends.empty())
     {
-        const noted_end& oldest = at.unkept.front();
+        const noted_end& oldest = at.uncommitted_ends.front();
         const job_record* const of = job_of(oldest.job);
         if (of != nullptr && of->kept < oldest.change)
         {
             break;
         }
         at.acknowledged = oldest.number;
-        at.unkept.pop_front();
+        at.uncommitted_ends.pop_front();
     }
     return at.acknowledged;
 }
--- a/packages/scheduler/src/scheduler_writing.cpp
+++ b/packages/scheduler/src/scheduler_writing.cpp
@@ -18,7 +18,7 @@
 void scheduler_core::note_freed(const std::string& guard, const job_record& of,
                                 const job_step& step)
 {
-    unkept_end& end = freed_[guard][of.what().id];
+    uncommitted_end& end = freed_[guard][of.what().id];
     end.change = of.change;
     end.room += reserved_by(step);
 }
@@ -30,8 +30,8 @@
 }
 
 // Ends at a worker that the store may not have yet, by their job.
-const std::map<std::string, scheduler_core::unkept_end>&
-scheduler_core::unkept_ends(const std::string& guard)
+const std::map<std::string, scheduler_core::uncommitted_end>&
+scheduler_core::find_uncommitted_ends(const std::string& guard)
 {
     auto& ends = freed_[guard];
     std::erase_if(ends, [this](const auto& one)
@@ -41,11 +41,11 @@
 
 // Of these, the ones that a run of a step needs the store to have: all, if it
 // has no room at the worker without them.
-const std::map<std::string, scheduler_core::unkept_end>&
+const std::map<std::string, scheduler_core::uncommitted_end>&
 scheduler_core::ends_needed(const worker_record& at, const job_step& step)
 {
-    static const std::map<std::string, unkept_end> none;
-    const auto& ends = unkept_ends(at.guard);
+    static const std::map<std::string, uncommitted_end> none;
+    const auto& ends = find_uncommitted_ends(at.guard);
     resources room = at.room();
     for (const auto& [job, end] : ends)
     {
@@ -101,20 +101,21 @@
     for (const worker_record* const at : chosen)
     {
         // Members of a gang that share a worker use more of its room than one.
-        const auto& ends = chosen.size() == 1 ? ends_needed(*at, step)
-                                              : unkept_ends(at->guard);
+        const auto& ends = chosen.size() == 1
+                               ? ends_needed(*at, step)
+                               : find_uncommitted_ends(at->guard);
         for (const auto& [job, end] : ends)
         {
             found.merge(written_with(job));
         }
     }
-    if (found.size() <= options_.jobs_a_commit)
+    if (found.size() <= options_.jobs_per_commit)
     {
         return true;
     }
     for (const std::string& job : found)
     {
-        job_of(job)->pressing = true;
+        job_of(job)->urgent_commit = true;
     }
     return false;
 }
@@ -125,12 +126,13 @@
 
 bool scheduler_core::may_write(time_point now) const noexcept
 {
-    return !committing_ && now - last_commit_ >= options_.commit_gap;
+    return !committing_ && now - last_commit_ >= options_.min_commit_interval;
 }
 
 bool scheduler_core::is_due(const job_record& of, time_point now) const
 {
-    return of.pressing || now - of.unkept_since >= options_.gather_ends;
+    return of.urgent_commit ||
+           now - of.uncommitted_since >= options_.end_batch_delay;
 }
 
 // The jobs of the next write, those that wait longest first.
@@ -139,7 +141,7 @@
     std::set<std::string> jobs;
     for (const std::string& id : dirty_)
     {
-        if (jobs.size() >= options_.jobs_a_commit)
+        if (jobs.size() >= options_.jobs_per_commit)
         {
             break;
         }
@@ -150,7 +152,7 @@
         std::set<std::string> with = written_with(id);
         std::erase_if(with, [&](const std::string& one)
                       { return jobs.contains(one); });
-        if (jobs.size() + with.size() <= options_.jobs_a_commit)
+        if (jobs.size() + with.size() <= options_.jobs_per_commit)
         {
             jobs.merge(with);
         }
@@ -174,7 +176,7 @@
     {
         job_record& of = *job_of(id);
         is_dirty_.erase(id);
-        of.pressing = false;
+        of.urgent_commit = false;
         of.sent = of.state();
         of.needs.clear();
         batch.push_back({.job = id,
@@ -214,7 +216,7 @@
             task.run->ordered = true;
             task.run->told_incarnation = at->second.incarnation;
             task.run->ordered_at = now;
-            task.run->moved_at = now;
+            task.run->last_progress_at = now;
             guard_orders& out = outbox_[task.run->guard];
             if (at->second.closed)
             {
--- a/packages/scheduler/src/ticket_book.cpp
+++ b/packages/scheduler/src/ticket_cache.cpp
@@ -5,7 +5,7 @@
 namespace springstair
 {
 
-ticket_map ticket_book::tickets(const std::string& step, time_point now) const
+ticket_map ticket_cache::tickets(const std::string& step, time_point now) const
 {
     ticket_map out;
     const auto found = steps_.find(step);
@@ -23,9 +23,9 @@
     return out;
 }
 
-void ticket_book::want(const std::string& step,
-                       const std::vector<executor_incarnation>& lives,
-                       time_point now)
+void ticket_cache::want(const std::string& step,
+                        const std::vector<executor_incarnation>& lives,
+                        time_point now)
 {
     step_record& of = steps_[step];
     const bool waits = !of.wanted.empty() || (out_ && out_->step == step);
@@ -47,7 +47,7 @@
     }
 }
 
-std::optional<advice_question> ticket_book::next_question(time_point now)
+std::optional<advice_question> ticket_cache::next_question(time_point now)
 {
     if (out_)
     {
@@ -75,8 +75,8 @@
     return out_;
 }
 
-void ticket_book::answered(const std::optional<advice_answer>& answer,
-                           time_point now)
+void ticket_cache::answered(const std::optional<advice_answer>& answer,
+                            time_point now)
 {
     const advice_question question = out_.value();
     out_.reset();
@@ -104,8 +104,8 @@
     }
 }
 
-void ticket_book::refused(const std::string& step,
-                          const executor_incarnation& life)
+void ticket_cache::refused(const std::string& step,
+                           const executor_incarnation& life)
 {
     const auto found = steps_.find(step);
     if (found != steps_.end())
@@ -115,7 +115,7 @@
     }
 }
 
-void ticket_book::forget(const std::string& step)
+void ticket_cache::forget(const std::string& step)
 {
     steps_.erase(step);
 }
--- a/packages/scheduler/src/wait_report.cpp
+++ b/packages/scheduler/src/wait_report.cpp
@@ -20,7 +20,7 @@
     {
         return wait_cause::size;
     }
-    if (!asked.fits(at.room_in_time()))
+    if (!asked.fits(at.eventual_capacity()))
     {
         return wait_cause::lasting;
     }
@@ -86,8 +86,8 @@
         ++found.workers;
         found.cause = std::max(found.cause, last_test(at, query));
         found.free_millis = std::max(found.free_millis, at.room().cpu_millis);
-        found.free_in_time_millis =
-            std::max(found.free_in_time_millis, at.room_in_time().cpu_millis);
+        found.free_in_time_millis = std::max(found.free_in_time_millis,
+                                             at.eventual_capacity().cpu_millis);
     }
     return found;
 }
--- a/packages/scheduler/src/worker_ledger.cpp
+++ b/packages/scheduler/src/worker_ledger.cpp
@@ -12,7 +12,7 @@
     return left;
 }
 
-resources worker_record::unclaimed_room() const noexcept
+resources worker_record::unreserved_capacity() const noexcept
 {
     const resources left = room();
     return {.cpu_millis =
@@ -23,7 +23,7 @@
                 0, left.accelerators - claimed.accelerators)};
 }
 
-resources worker_record::room_in_time() const noexcept
+resources worker_record::eventual_capacity() const noexcept
 {
     resources left = what.capacity;
     left -= settled;
@@ -93,7 +93,7 @@
     if (at.held.erase(task) > 0)
     {
         at.used -= reserved_by(step);
-        end_trial(at, task);
+        end_isolation(at, task);
         if (step.lasting)
         {
             at.settled -= reserved_by(step);
@@ -102,13 +102,13 @@
     }
 }
 
-void end_trial(worker_record& at, const task_name& task)
+void end_isolation(worker_record& at, const task_name& task)
 {
     at.unproven.erase(task);
     at.suspects.erase(task);
-    if (at.on_trial == task)
+    if (at.isolated_suspect == task)
     {
-        at.on_trial.reset();
+        at.isolated_suspect.reset();
     }
 }
 
--- a/tests/unit/adapter_tests.cpp
+++ b/tests/unit/adapter_tests.cpp
@@ -519,7 +519,7 @@
                        {.count = 1, .estimate_ms = 50, .after = {0}},
                        {.count = 1, .estimate_ms = 120}}};
     CHECK(check_job(what).empty());
-    CHECK(what.chain_ms() == 150);
+    CHECK(what.critical_path_ms() == 150);
     CHECK(json(what).get<job>() == what);
     what.payload = std::string(5000, 'p');
     what.steps[0].count = 100'000;
--- a/tests/unit/closed_data_centre_tests.cpp
+++ b/tests/unit/closed_data_centre_tests.cpp
@@ -20,7 +20,8 @@
 
 scheduler_options closing_holder()
 {
-    return {.closing = {.close_within = bound}, .gather_lasting = duration{0}};
+    return {.closing = {.close_within = bound},
+            .lasting_batch_window = duration{0}};
 }
 
 struct two_data_centres : holder
--- a/tests/unit/failure_test_tests.cpp
+++ b/tests/unit/fault_detector_tests.cpp
@@ -28,13 +28,13 @@
         int found = 0;
         for (int number = 0; number < ends; ++number)
         {
-            double& doubt =
+            double& fault_score =
                 doubts[static_cast<std::size_t>(number) % doubts.size()];
-            doubt = test.doubt_after(doubt, fails(share));
-            if (test.is_sick(doubt))
+            fault_score = test.fault_score_after(fault_score, fails(share));
+            if (test.is_faulty(fault_score))
             {
                 ++found;
-                doubt = test.doubt_at_return();
+                fault_score = test.fault_score_at_return();
             }
         }
         return found;
@@ -43,11 +43,11 @@
     // Ends until one executor is found sick, beside the others.
     int ends_to_find(double own_share, double share)
     {
-        double doubt = 0;
+        double fault_score = 0;
         for (int ends = 1; ends <= 200; ++ends)
         {
-            doubt = test.doubt_after(doubt, fails(own_share));
-            if (test.is_sick(doubt))
+            fault_score = test.fault_score_after(fault_score, fails(own_share));
+            if (test.is_faulty(fault_score))
             {
                 return ends;
             }
@@ -62,7 +62,7 @@
     }
 
     std::mt19937 random{7};
-    failure_test test;
+    fault_detector test;
     std::vector<double> doubts = std::vector<double>(fleet_size);
 };
 
@@ -107,11 +107,11 @@
 {
     tested_fleet fleet;
     fleet.run(2000, 0.05);
-    double doubt = fleet.test.doubt_at_return();
-    doubt = fleet.test.doubt_after(doubt, true);
-    CHECK(!fleet.test.is_sick(doubt));
-    doubt = fleet.test.doubt_after(doubt, true);
-    CHECK(fleet.test.is_sick(doubt));
+    double fault_score = fleet.test.fault_score_at_return();
+    fault_score = fleet.test.fault_score_after(fault_score, true);
+    CHECK(!fleet.test.is_faulty(fault_score));
+    fault_score = fleet.test.fault_score_after(fault_score, true);
+    CHECK(fleet.test.is_faulty(fault_score));
 }
 
 TEST_CASE("failures that were under way do not keep a worker out longer")
--- a/tests/unit/freed_room_tests.cpp
+++ b/tests/unit/freed_room_tests.cpp
@@ -48,7 +48,7 @@
         }
         at_.now += milliseconds(25);
         at_.verified = at_.now;
-        at_.core.tick(at_.now, at_.day_ms);
+        at_.core.tick(at_.now, at_.unix_ms);
         write();
     }
 
@@ -143,7 +143,7 @@
         }
     }
 
-    holder at_{{.jobs_a_commit = 2, .gather_lasting = duration{0}}};
+    holder at_{{.jobs_per_commit = 2, .lasting_batch_window = duration{0}}};
     std::mt19937 random_;
     bool submits_ = true;
     std::size_t most_queued_ = 0;
@@ -203,7 +203,7 @@
     const std::string second = at.submit({step_of(1, half_a_worker)}).id;
     at.now += milliseconds(25);
     at.verified = at.now;
-    at.core.tick(at.now, at.day_ms);
+    at.core.tick(at.now, at.unix_ms);
     const auto batch = at.core.next_commit(at.now);
     REQUIRE(batch.has_value());
     REQUIRE(writes(*batch, second));
--- a/tests/unit/holder_by_hand.hpp
+++ b/tests/unit/holder_by_hand.hpp
@@ -54,7 +54,8 @@
 {
 public:
     // Most cases place what lasts at once, to show something else.
-    explicit holder(scheduler_options options = {.gather_lasting = duration{0}})
+    explicit holder(
+        scheduler_options options = {.lasting_batch_window = duration{0}})
         : core(options)
     {
         core.begin_term(7, now);
@@ -105,7 +106,7 @@
                            ? std::nullopt
                            : std::optional(decode_progress(kept->second.text)),
                        kept == records.end() ? 0 : kept->second.revision, now,
-                       day_ms);
+                       unix_ms);
         }
         core.begin(now);
     }
@@ -147,7 +148,7 @@
     {
         now += length;
         verified = now;
-        core.tick(now, day_ms);
+        core.tick(now, unix_ms);
         write();
     }
 
@@ -209,7 +210,7 @@
 
     time_point now{std::chrono::hours(1)};
     time_point verified = now;
-    std::int64_t day_ms = 0;
+    std::int64_t unix_ms = 0;
     std::int64_t revision = 100;
     scheduler_core core;
     std::map<std::string, worker_report> reports;
--- a/tests/unit/restarted_guard_tests.cpp
+++ b/tests/unit/restarted_guard_tests.cpp
@@ -338,9 +338,9 @@
     keeper.on_worker({.life = "w1", .service = "s"}, 1000, now);
     const guard_orders orders{
         .epoch = 5, .life = "w1", .starts = {{.task = "j.0.0.0", .run = 1}}};
-    report_answer permit{.holds = true, .permit_ms = 4000};
-    permit.orders = {.epoch = 5, .life = "w1"};
-    keeper.on_answer(permit, keeper.report(now), now, now);
+    report_answer lease_grant{.holds = true, .permit_ms = 4000};
+    lease_grant.orders = {.epoch = 5, .life = "w1"};
+    keeper.on_answer(lease_grant, keeper.report(now), now, now);
     keeper.on_orders(orders, now);
     keeper.due(now);
     keeper.on_started(
@@ -348,7 +348,7 @@
         order_result::no_room, now);
     const worker_report told = keeper.report(now);
     REQUIRE(told.refused.size() == 1);
-    keeper.on_answer(permit, told, now, now);
+    keeper.on_answer(lease_grant, told, now, now);
 
     const time_point later = now + milliseconds(50);
     keeper.on_orders(orders, later);
@@ -368,9 +368,9 @@
     keeper.on_worker({.life = "w1", .service = "s"}, 1000, now);
     guard_orders orders{
         .epoch = 5, .life = "w1", .starts = {{.task = "j.0.0.0", .run = 2}}};
-    report_answer permit{.holds = true, .permit_ms = 4000};
-    permit.orders = {.epoch = 5, .life = "w1"};
-    keeper.on_answer(permit, keeper.report(now), now, now);
+    report_answer lease_grant{.holds = true, .permit_ms = 4000};
+    lease_grant.orders = {.epoch = 5, .life = "w1"};
+    keeper.on_answer(lease_grant, keeper.report(now), now, now);
     keeper.on_orders(orders, now);
     keeper.due(now);
     keeper.on_started({.order = orders.starts[0], .life = "w1"},
@@ -396,9 +396,9 @@
     const time_point now{std::chrono::hours(1)};
     run_reconciler keeper({}, "second");
     keeper.on_worker({.life = "w1", .service = "s"}, 1000, now);
-    report_answer permit{.holds = true, .permit_ms = 4000};
-    permit.orders = {.epoch = 5, .life = "w1", .incarnation = "second"};
-    keeper.on_answer(permit, keeper.report(now), now, now);
+    report_answer lease_grant{.holds = true, .permit_ms = 4000};
+    lease_grant.orders = {.epoch = 5, .life = "w1", .incarnation = "second"};
+    keeper.on_answer(lease_grant, keeper.report(now), now, now);
     guard_orders orders{.epoch = 5,
                         .life = "w1",
                         .incarnation = "first",
--- a/tests/unit/run_reconciler_tests.cpp
+++ b/tests/unit/run_reconciler_tests.cpp
@@ -177,10 +177,10 @@
 {
     guard at;
     at.keeper.on_orders({.epoch = 9, .life = "w1"}, at.now);
-    const time_point before = at.keeper.permit_until();
+    const time_point before = at.keeper.lease_granted_until();
     at.now += seconds(1);
     at.answer({}, 5);
-    CHECK(at.keeper.permit_until() == before);
+    CHECK(at.keeper.lease_granted_until() == before);
 }
 
 TEST_CASE("a silent worker gets no longer lease, and lapses surely")
--- a/tests/unit/scheduler_sight_tests.cpp
+++ b/tests/unit/scheduler_diagnostics_tests.cpp
@@ -142,11 +142,11 @@
     at.say("g1");
     at.turn(seconds(1));
     CHECK(at.core.figures().lasting ==
-          service_account{.tasks = 4,
-                          .at_work = 2,
-                          .over_target = 1,
-                          .unplaced = 2,
-                          .reserved_millis = 8000});
+          availability_counts{.tasks = 4,
+                              .at_work = 2,
+                              .over_target = 1,
+                              .unplaced = 2,
+                              .reserved_millis = 8000});
     lines_of(at, event_id::job_service);
     at.say("g1");
     at.turn(seconds(4));
--- a/tests/unit/scheduler_tests.cpp
+++ b/tests/unit/scheduler_tests.cpp
@@ -169,7 +169,7 @@
     elsewhere.label = "b";
     job_step bounded = large;
     bounded.most_per_worker = 1;
-    vain_queries vain;
+    infeasible_queries vain;
     vain.note(asks(middle));
     CHECK(vain.covers(asks(middle)));
     CHECK(vain.covers(asks(large)));
@@ -375,7 +375,7 @@
 {
     holder at;
     at.say("g1");
-    at.day_ms = 1'000'000;
+    at.unix_ms = 1'000'000;
     job what{.id = "timed",
              .queue = "q",
              .steps = {step_of(1)},
@@ -384,11 +384,11 @@
     at.core.accept(what, at.now);
     at.turn();
     CHECK(at.started.empty());
-    at.day_ms = 1'000'500;
+    at.unix_ms = 1'000'500;
     at.turn();
     CHECK(at.runs("timed.0.0.0"));
     CHECK_FALSE(at.runs("timed.1.0.0"));
-    at.day_ms = 1'001'500;
+    at.unix_ms = 1'001'500;
     at.turn();
     CHECK(at.runs("timed.1.0.0"));
 }
@@ -405,7 +405,7 @@
     const std::string first = at.where[task];
     const std::string second = first == "g1" ? "g2" : "g1";
     const report_answer answer = at.say(first);
-    CHECK(answer.permit_ms == to_milliseconds(options.permit));
+    CHECK(answer.permit_ms == to_milliseconds(options.lease_grant));
     const time_point given = at.now;
     while (at.where[task] == first)
     {
@@ -413,7 +413,7 @@
         at.say(second);
         REQUIRE(at.now - given < seconds(10));
     }
-    CHECK(at.now - given > options.permit * 102 / 100);
+    CHECK(at.now - given > options.lease_grant * 102 / 100);
     CHECK(at.started[task].run == 2);
 }
 
--- a/tests/unit/ticket_tests.cpp
+++ b/tests/unit/ticket_tests.cpp
@@ -18,7 +18,7 @@
 
 TEST_CASE("one question is out at a time, about those not asked about")
 {
-    ticket_book book;
+    ticket_cache book;
     time_point now{std::chrono::hours(1)};
     book.want("j.0.0", three, now);
     book.want("k.0.0", {"a"}, now);
@@ -41,7 +41,7 @@
 
 TEST_CASE("tickets end before their time, from the question on")
 {
-    ticket_book book;
+    ticket_cache book;
     time_point now{std::chrono::hours(1)};
     book.want("j.0.0", three, now);
     REQUIRE(book.next_question(now).has_value());
@@ -59,7 +59,7 @@
 
 TEST_CASE("a question without an answer is asked again, after a pause")
 {
-    ticket_book book;
+    ticket_cache book;
     time_point now{std::chrono::hours(1)};
     book.want("j.0.0", three, now);
     REQUIRE(book.next_question(now).has_value());
@@ -73,7 +73,7 @@
 
 TEST_CASE("a ticket that a worker does not take is asked for again")
 {
-    ticket_book book;
+    ticket_cache book;
     const time_point now{std::chrono::hours(1)};
     book.want("j.0.0", three, now);
     REQUIRE(book.next_question(now).has_value());
@@ -88,7 +88,7 @@
 
 TEST_CASE("an answer for a step that needs none any more changes nothing")
 {
-    ticket_book book;
+    ticket_cache book;
     const time_point now{std::chrono::hours(1)};
     book.want("j.0.0", three, now);
     REQUIRE(book.next_question(now).has_value());
@@ -103,7 +103,7 @@
 // that ask again whenever their tickets are over, its turn never came.
 TEST_CASE("the question that has waited longest is asked first")
 {
-    ticket_book book;
+    ticket_cache book;
     time_point now{std::chrono::hours(1)};
     book.want("z.0.0", {"a"}, now);
     now += std::chrono::milliseconds(10);
