--- a/packages/daemon/src/entry_control.cpp
+++ b/packages/daemon/src/entry_control.cpp
@@ -17,7 +17,7 @@
 constexpr std::string_view tasks_path = "/v1/tasks";
 constexpr duration vms_every = std::chrono::seconds(2);
 constexpr duration exchange_every = std::chrono::milliseconds(250);
-constexpr duration shortest_farewell = std::chrono::milliseconds(500);
+constexpr duration min_drain_time = std::chrono::milliseconds(500);
 constexpr int lists_until_gone = 3;
 constexpr duration warm_up = std::chrono::seconds(1);
 constexpr duration longest_warm_up = std::chrono::seconds(5);
@@ -370,7 +370,7 @@
         return;
     }
     const duration grace =
-        std::max(process_.from.entry.drain_grace, shortest_farewell);
+        std::max(process_.from.entry.drain_grace, min_drain_time);
     const bool quiet = open_.empty() && edits_.empty() && committed_.empty() &&
                        task_calls_.empty() && lists_.empty() &&
                        histories_.empty();
--- a/packages/daemon/src/entry_table.cpp
+++ b/packages/daemon/src/entry_table.cpp
@@ -16,7 +16,7 @@
 constexpr int unfit = 422;
 constexpr int unavailable = 503;
 constexpr int in_doubt = 504;
-constexpr duration longest_hand_on = std::chrono::seconds(2);
+constexpr duration max_forward_time = std::chrono::seconds(2);
 
 json to_document(const findings& wrong)
 {
@@ -156,7 +156,7 @@
     {
         committed_edit edit{.responder = responder,
                             .revision = ended.revision,
-                            .deadline = clock_.now() + longest_hand_on};
+                            .deadline = clock_.now() + max_forward_time};
         for (const auto& [address, peer] : peers_)
         {
             const bool heard_lately =
--- a/packages/daemon/src/guard_control.cpp
+++ b/packages/daemon/src/guard_control.cpp
@@ -13,8 +13,8 @@
 constexpr int server_error = 500;
 constexpr duration busy_poll = std::chrono::milliseconds(200);
 constexpr duration idle_poll = std::chrono::seconds(1);
-constexpr duration entry_silence = std::chrono::milliseconds(1500);
-constexpr duration shortest_farewell = std::chrono::milliseconds(500);
+constexpr duration entry_timeout = std::chrono::milliseconds(1500);
+constexpr duration min_drain_time = std::chrono::milliseconds(500);
 
 executor_result classify(const http_result& result)
 {
@@ -319,7 +319,7 @@
                      .attempts = keeper_.reports()};
     for (const auto& [address, known] : entries_)
     {
-        if (now - known.answered <= entry_silence)
+        if (now - known.answered <= entry_timeout)
         {
             all.entries_heard.push_back(known.name);
         }
@@ -415,8 +415,8 @@
         send_heartbeats(now);
     }
     const bool farewell_said = stop_since_ &&
-                               now - *stop_since_ >= shortest_farewell &&
-                               (told_ || now - *stop_since_ >= entry_silence);
+                               now - *stop_since_ >= min_drain_time &&
+                               (told_ || now - *stop_since_ >= entry_timeout);
     if (farewell_said && core_.idle() && open_.empty())
     {
         process_.parts.stop();
--- a/packages/daemon/src/job_entry_role.cpp
+++ b/packages/daemon/src/job_entry_role.cpp
@@ -1,6 +1,6 @@
 // The parts of an entry of the job system.
 
-#include "job_desk.hpp"
+#include "job_request_handler.hpp"
 #include "job_scheduler.hpp"
 #include "leader_election.hpp"
 #include "leader_handover.hpp"
@@ -22,13 +22,13 @@
 constexpr duration timer_step = std::chrono::milliseconds(10);
 // An entry that the store has not answered for so long sends callers to
 // others: two missed checks of the balancer come on top.
-constexpr duration store_patience = std::chrono::milliseconds(1500);
+constexpr duration store_outage_tolerance = std::chrono::milliseconds(1500);
 // The holder watches the operator's entries for 0.7 s at a time; its word on
 // them is as fresh as that.
-constexpr duration fresh_word = std::chrono::milliseconds(1500);
+constexpr duration leader_info_max_age = std::chrono::milliseconds(1500);
 // An entry hears of a change that its own watch misses from the holder: at the
 // latest after a second in which watches are deaf, a watch and a heartbeat.
-constexpr duration told_within = std::chrono::milliseconds(4000);
+constexpr duration notified_within = std::chrono::milliseconds(4000);
 // After a planned stop began, the balancer takes up to two checks, a second
 // apart, to send new connections elsewhere.
 constexpr duration balancer_notice = std::chrono::milliseconds(2600);
@@ -41,18 +41,18 @@
 class job_entry_control
 {
 public:
-    explicit job_entry_control(job_process& process)
+    explicit job_entry_control(process_context& process)
         : process_(process), store_(process.client, process.from.store),
           office_(process, store_, leader_election_callbacks()),
           handover_(process, store_, office_),
           contact_(process, store_, office_), holder_(process, store_, office_),
-          desk_(process, store_, office_, holder_, contact_),
+          job_request_handler_(process, store_, office_, holder_, contact_),
           operator_(process, store_,
                     {.table =
                          [this](const queue_table& table)
                      {
                          holder_.set_table(table);
-                         desk_.set_table(table);
+                         job_request_handler_.set_table(table);
                      },
                      .closed =
                          [this](const closed_data_centres& known)
@@ -65,7 +65,7 @@
                      return json(holder_.report(message.get<worker_report>()));
                  });
         rpc_.add("show", [this](const json& message)
-                 { return desk_.show_for_peer(message); });
+                 { return job_request_handler_.show_for_peer(message); });
         rpc_.add("accepted",
                  [this](const json& message)
                  {
@@ -91,7 +91,7 @@
                      return json::object();
                  });
         rpc_.add("count", [this](const json& message)
-                 { return desk_.count_for_peer(message); });
+                 { return job_request_handler_.count_for_peer(message); });
         rpc_.add(entry_heartbeat_method,
                  [this](const json& message) {
                      return json(answer_entry(message.get<entry_heartbeat>()));
@@ -103,7 +103,7 @@
         const http_server callers(
             server_at(process_.from.callers, process_.from),
             process_.on_request([this](const http_arrival& arrival)
-                                { desk_.on_request(arrival); }));
+                                { job_request_handler_.on_request(arrival); }));
         const http_server readiness(
             server_at(process_.from.readiness, process_.from),
             process_.on_request([this](const http_arrival& arrival)
@@ -146,7 +146,7 @@
         handover_.tick(now, stop_since_.has_value());
         contact_.tick(now);
         holder_.tick(now);
-        desk_.tick(now);
+        job_request_handler_.tick(now);
         if (process_.drain && !stop_since_)
         {
             begin_stop(now);
@@ -165,7 +165,7 @@
     {
         entry_heartbeat_answer answer = handover_.answer(from);
         const bool is_fresh =
-            boot_clock::now() - operator_.fresh_at() < fresh_word;
+            boot_clock::now() - operator_.fresh_at() < leader_info_max_age;
         answer.operator_change = is_fresh ? operator_.newest_change() : 0;
         return answer;
     }
@@ -173,8 +173,8 @@
     void follow_operator(time_point now)
     {
         const bool is_told = !office_.holds() && contact_.tells_changes(now);
-        operator_.rely_on_other(is_told &&
-                                process_.from.apply_within >= told_within);
+        operator_.use_long_poll(is_told &&
+                                process_.from.apply_within >= notified_within);
         if (is_told)
         {
             operator_.expect(contact_.operator_change());
@@ -200,7 +200,7 @@
     {
         stop_since_ = now;
         log_event(event_id::process_draining,
-                  {{"open", std::to_string(desk_.open())}});
+                  {{"open", std::to_string(job_request_handler_.open())}});
     }
 
     // Until another entry has taken it, jobs are served here. If none does,
@@ -216,16 +216,17 @@
     [[nodiscard]] bool may_end(time_point now) const
     {
         const duration since = now - *stop_since_;
-        const bool noticed = since > balancer_notice && desk_.open() == 0;
+        const bool noticed =
+            since > balancer_notice && job_request_handler_.open() == 0;
         return noticed || since > process_.from.grace - grace_margin;
     }
 
     [[nodiscard]] bool is_ready(time_point now) const
     {
-        return !stop_since_ && desk_.table().version > 0 &&
+        return !stop_since_ && job_request_handler_.table().version > 0 &&
                now - std::max({office_.store_answered(), operator_.fresh_at(),
                                contact_.answered_at()}) <
-                   store_patience + std::chrono::seconds(5);
+                   store_outage_tolerance + std::chrono::seconds(5);
     }
 
     void answer_readiness(http_responder& responder)
@@ -234,10 +235,10 @@
         if (ready != was_ready_)
         {
             was_ready_ = ready;
-            log_event(
-                ready ? event_id::entry_ready : event_id::entry_unready,
-                {{"stopping", stop_since_ ? "yes" : "no"},
-                 {"table_version", std::to_string(desk_.table().version)}});
+            log_event(ready ? event_id::entry_ready : event_id::entry_unready,
+                      {{"stopping", stop_since_ ? "yes" : "no"},
+                       {"table_version",
+                        std::to_string(job_request_handler_.table().version)}});
         }
         responder.respond({.status = ready ? ready_status : unready_status});
     }
@@ -246,7 +247,7 @@
     {
         if (arrival.request.path.starts_with(forward_path))
         {
-            desk_.on_forwarded(arrival);
+            job_request_handler_.on_forwarded(arrival);
             return;
         }
         if (arrival.request.path != wire::rpc_path)
@@ -257,13 +258,13 @@
         answer_rpc(arrival, rpc_);
     }
 
-    job_process& process_;
+    process_context& process_;
     platform::store_client store_;
     leader_election office_;
     leader_handover handover_;
     leader_heartbeat contact_;
     job_scheduler holder_;
-    job_desk desk_;
+    job_request_handler job_request_handler_;
     operator_watch operator_;
     rpc_dispatcher rpc_;
     std::optional<time_point> stop_since_;
@@ -274,7 +275,7 @@
 
 void run_job_entry(const job_settings& from, const std::atomic<bool>& drain)
 {
-    job_process process(from, drain);
+    process_context process(from, drain);
     process.parts.add("control",
                       [&]
                       {
--- a/packages/daemon/src/job_guard_role.cpp
+++ b/packages/daemon/src/job_guard_role.cpp
@@ -39,7 +39,7 @@
 class job_guard_control
 {
 public:
-    explicit job_guard_control(job_process& process)
+    explicit job_guard_control(process_context& process)
         : process_(process), store_(process.client, process.from.store),
           leader_watch_(process, store_, leader_watch_wait,
                         [this](const std::optional<platform::store_item>& item)
@@ -371,7 +371,7 @@
         }
     }
 
-    job_process& process_;
+    process_context& process_;
     platform::store_client store_;
     leader_watch leader_watch_;
     run_reconciler keeper_;
@@ -388,7 +388,7 @@
 
 void run_job_guard(const job_settings& from, const std::atomic<bool>& drain)
 {
-    job_process process(from, drain);
+    process_context process(from, drain);
     process.parts.add("control",
                       [&]
                       {
--- a/packages/daemon/src/job_desk_passing.cpp
+++ b/packages/daemon/src/job_request_forwarding.cpp
@@ -1,7 +1,7 @@
 // What an entry passes on to others while the store gives no service here, and
 // what others pass on to it.
 
-#include "job_desk.hpp"
+#include "job_request_handler.hpp"
 
 #include <algorithm>
 #include <utility>
@@ -27,7 +27,7 @@
 // them says within milliseconds that it cannot, or is not reached.
 constexpr std::size_t most_asked = 4;
 // An entry that could not help is passed over for so long.
-constexpr duration helpless_for = std::chrono::seconds(2);
+constexpr duration failed_peer_backoff = std::chrono::seconds(2);
 constexpr int good_status = 200;
 constexpr int gone_status = 410;
 constexpr int bad_request_status = 400;
@@ -57,7 +57,8 @@
 
 // The holder reaches the store, or gives its office up; then those that it
 // told of, then those of the settings.
-std::string job_desk::next_helper(const open_request& of) const
+std::string
+job_request_handler::next_forward_target(const open_request& of) const
 {
     std::vector<std::string> known{office_.holder()};
     const auto& peers = contact_.peers();
@@ -68,9 +69,9 @@
     const time_point now = boot_clock::now();
     const auto may_help = [&](const std::string& one)
     {
-        const auto found = helpless_.find(one);
-        const bool is_helpless =
-            found != helpless_.end() && now - found->second < helpless_for;
+        const auto found = failed_peers_.find(one);
+        const bool is_helpless = found != failed_peers_.end() &&
+                                 now - found->second < failed_peer_backoff;
         return !one.empty() && one != own && !is_helpless &&
                std::ranges::find(of.asked, one) == of.asked.end();
     };
@@ -79,11 +80,12 @@
                                                                  : *found;
 }
 
-void job_desk::pass_on(const passed_request& what, const request_ptr& to,
-                       std::function<void()> in_vain)
+void job_request_handler::forward_request(const forwarded_request& what,
+                                          const request_ptr& to,
+                                          std::function<void()> in_vain)
 {
     to->passed_on = true;
-    const std::string address = next_helper(*to);
+    const std::string address = next_forward_target(*to);
     const duration left = to->give_up - boot_clock::now();
     if (address.empty() || left <= duration{0})
     {
@@ -101,12 +103,13 @@
         process_.on_control<http_result>(
             [this, what, to,
              in_vain = std::move(in_vain)](const http_result& result)
-            { on_passed(what, to, result, in_vain); }));
+            { on_forward_result(what, to, result, in_vain); }));
 }
 
-void job_desk::on_passed(const passed_request& what, const request_ptr& to,
-                         const http_result& result,
-                         std::function<void()> in_vain)
+void job_request_handler::on_forward_result(const forwarded_request& what,
+                                            const request_ptr& to,
+                                            const http_result& result,
+                                            std::function<void()> in_vain)
 {
     log_event(event_id::job_passed_on,
               {{"job", what.job},
@@ -124,8 +127,8 @@
     }
     if (is_surely_not_done(result))
     {
-        helpless_[to->asked.back()] = boot_clock::now();
-        pass_on(what, to, std::move(in_vain));
+        failed_peers_[to->asked.back()] = boot_clock::now();
+        forward_request(what, to, std::move(in_vain));
         return;
     }
     to->may_be_done = true;
@@ -134,25 +137,26 @@
 
 // What another entry can do in place of this one. If none can, it is done here
 // once the store is back.
-void job_desk::without_store(const char* method, const std::string& id,
-                             const request_ptr& to,
-                             std::function<void()> later_here)
+void job_request_handler::forward_or_retry(const char* method,
+                                           const std::string& id,
+                                           const request_ptr& to,
+                                           std::function<void()> later_here)
 {
     if (to->passed_on)
     {
         again(to, std::move(later_here));
         return;
     }
-    pass_on({.method = method, .job = id}, to,
-            [this, to, later_here = std::move(later_here)]
-            { again(to, later_here); });
+    forward_request({.method = method, .job = id}, to,
+                    [this, to, later_here = std::move(later_here)]
+                    { again(to, later_here); });
 }
 
 // ---------------------------------------------------------------------------
 // For others
 // ---------------------------------------------------------------------------
 
-void job_desk::on_forwarded(const http_arrival& arrival)
+void job_request_handler::on_forwarded(const http_arrival& arrival)
 {
     const time_point now = boot_clock::now();
     auto request = std::make_shared<open_request>(
@@ -163,7 +167,7 @@
     ++open_;
     try
     {
-        serve_passed(arrival.request, request);
+        serve_forwarded(arrival.request, request);
     }
     catch (const json::exception& error)
     {
@@ -172,15 +176,16 @@
     }
 }
 
-void job_desk::serve_passed(const http_request& what, const request_ptr& to)
+void job_request_handler::serve_forwarded(const http_request& what,
+                                          const request_ptr& to)
 {
     const std::string id = what.path.size() > forward_path.size()
                                ? what.path.substr(forward_path.size() + 1)
                                : std::string();
     const bool is_shown = what.method == "GET" && holder_.shown(id);
-    if (store_away_since_ && !is_shown)
+    if (store_unavailable_since_ && !is_shown)
     {
-        answer(to, platform::not_taken_answer(come_back,
+        answer(to, platform::not_taken_answer(caller_retry_after,
                                               "the store is away here, too"));
         return;
     }
@@ -197,9 +202,9 @@
 // ---------------------------------------------------------------------------
 
 // Finds out whether the store is back without a caller's request at stake.
-void job_desk::probe(time_point now)
+void job_request_handler::probe(time_point now)
 {
-    if (!store_away_since_ || probing_ || now < next_probe_)
+    if (!store_unavailable_since_ || probing_ || now < next_probe_)
     {
         return;
     }
@@ -215,27 +220,27 @@
 }
 
 // One thing is known of the store: whether it answers this process.
-void job_desk::note_store(const store_result& result)
+void job_request_handler::note_store(const store_result& result)
 {
     const bool away = result.status == store_status::unknown ||
                       result.status == store_status::refused;
     if (!away)
     {
         timeout_.answered(result.took);
-        if (store_away_since_)
+        if (store_unavailable_since_)
         {
             log_event(event_id::store_back);
         }
-        store_away_since_.reset();
+        store_unavailable_since_.reset();
         return;
     }
     if (result.status == store_status::unknown)
     {
         timeout_.unanswered();
     }
-    if (!store_away_since_)
+    if (!store_unavailable_since_)
     {
-        store_away_since_ = boot_clock::now();
+        store_unavailable_since_ = boot_clock::now();
         log_event(event_id::store_lost,
                   {{"refused",
                     result.status == store_status::refused ? "yes" : "no"}});
--- a/packages/daemon/src/job_desk.cpp
+++ b/packages/daemon/src/job_request_handler.cpp
@@ -1,6 +1,6 @@
 // What callers are answered; what they submit is in job_desk_submitting.cpp.
 
-#include "job_desk.hpp"
+#include "job_request_handler.hpp"
 
 #include <utility>
 
@@ -17,20 +17,22 @@
 
 } // namespace
 
-job_desk::job_desk(job_process& process, platform::store_client& store,
-                   leader_election& office, job_scheduler& holder,
-                   const leader_heartbeat& contact)
+job_request_handler::job_request_handler(process_context& process,
+                                         platform::store_client& store,
+                                         leader_election& office,
+                                         job_scheduler& holder,
+                                         const leader_heartbeat& contact)
     : process_(process), store_(store), office_(office), holder_(holder),
       contact_(contact)
 {
 }
 
-void job_desk::set_table(const queue_table& table)
+void job_request_handler::set_table(const queue_table& table)
 {
     table_ = table;
 }
 
-void job_desk::on_request(const http_arrival& arrival)
+void job_request_handler::on_request(const http_arrival& arrival)
 {
     const time_point now = boot_clock::now();
     auto request = std::make_shared<open_request>(
@@ -43,20 +45,21 @@
     std::visit([&](const auto& one) { handle(one, request); }, what);
 }
 
-void job_desk::answer(const request_ptr& to, http_response with)
+void job_request_handler::answer(const request_ptr& to, http_response with)
 {
     --open_;
     to->responder->respond(std::move(with));
 }
 
-duration job_desk::call_time(const request_ptr& to) const
+duration job_request_handler::call_time(const request_ptr& to) const
 {
     const duration left = to->give_up - boot_clock::now();
     return std::clamp<duration>(left, std::chrono::milliseconds(20),
                                 timeout_.value());
 }
 
-void job_desk::again(const request_ptr& to, std::function<void()> what)
+void job_request_handler::again(const request_ptr& to,
+                                std::function<void()> what)
 {
     const time_point at = boot_clock::now() + retry_pause;
     if (at < to->give_up)
@@ -64,13 +67,13 @@
         later_.emplace_back(at, std::move(what));
         return;
     }
-    answer(to,
-           to->may_be_done
-               ? platform::unknown_answer("the store gave no answer")
-               : platform::not_taken_answer(come_back, "the store is away"));
+    answer(to, to->may_be_done
+                   ? platform::unknown_answer("the store gave no answer")
+                   : platform::not_taken_answer(caller_retry_after,
+                                                "the store is away"));
 }
 
-void job_desk::tick(time_point now)
+void job_request_handler::tick(time_point now)
 {
     probe(now);
     while (!later_.empty() && later_.front().first <= now)
@@ -81,8 +84,8 @@
     }
 }
 
-void job_desk::handle(const platform::refused_request& what,
-                      const request_ptr& to)
+void job_request_handler::handle(const platform::refused_request& what,
+                                 const request_ptr& to)
 {
     answer(to, what.answer);
 }
@@ -91,12 +94,13 @@
 // Showing
 // ---------------------------------------------------------------------------
 
-void job_desk::handle(const platform::show_request& what, const request_ptr& to)
+void job_request_handler::handle(const platform::show_request& what,
+                                 const request_ptr& to)
 {
     show(what.id, to);
 }
 
-void job_desk::show(const std::string& id, const request_ptr& to)
+void job_request_handler::show(const std::string& id, const request_ptr& to)
 {
     if (const auto state = holder_.shown(id))
     {
@@ -119,15 +123,16 @@
                  });
 }
 
-json job_desk::show_for_peer(const json& message) const
+json job_request_handler::show_for_peer(const json& message) const
 {
     const auto state = holder_.shown(message.value("id", ""));
     return state ? json{{"state", std::string(to_string(*state))}}
                  : json::object();
 }
 
-void job_desk::query_leader(const char* method, const json& message,
-                            std::function<void(std::optional<json>)> done)
+void job_request_handler::query_leader(
+    const char* method, const json& message,
+    std::function<void(std::optional<json>)> done)
 {
     const std::string& address = office_.holder();
     if (address.empty() || office_.holds())
@@ -145,12 +150,13 @@
                              { done(rpc_result_of(result)); }));
 }
 
-void job_desk::show_from_store(const std::string& id, const request_ptr& to)
+void job_request_handler::show_from_store(const std::string& id,
+                                          const request_ptr& to)
 {
-    if (store_away_since_ && !to->passed_on)
+    if (store_unavailable_since_ && !to->passed_on)
     {
-        without_store("GET", id, to,
-                      [this, id, to] { show_from_store(id, to); });
+        forward_or_retry("GET", id, to,
+                         [this, id, to] { show_from_store(id, to); });
         return;
     }
     store_.range(job_key(id), {}, call_time(to),
@@ -159,14 +165,15 @@
                      { on_job_read(id, to, result); }));
 }
 
-void job_desk::on_job_read(const std::string& id, const request_ptr& to,
-                           const store_result& result)
+void job_request_handler::on_job_read(const std::string& id,
+                                      const request_ptr& to,
+                                      const store_result& result)
 {
     note_store(result);
     if (result.status != store_status::done)
     {
-        without_store("GET", id, to,
-                      [this, id, to] { show_from_store(id, to); });
+        forward_or_retry("GET", id, to,
+                         [this, id, to] { show_from_store(id, to); });
         return;
     }
     if (result.items.empty())
@@ -182,8 +189,8 @@
 }
 
 // A job that ended before its cancellation came keeps its state.
-void job_desk::show_progress(const std::string& id, bool cancelled,
-                             const request_ptr& to)
+void job_request_handler::show_progress(const std::string& id, bool cancelled,
+                                        const request_ptr& to)
 {
     store_.read(
         progress_key(id), call_time(to),
@@ -196,9 +203,9 @@
                                   !result.items.empty();
                 if (!absent && !read)
                 {
-                    without_store("GET", id, to,
-                                  [this, id, cancelled, to]
-                                  { show_progress(id, cancelled, to); });
+                    forward_or_retry("GET", id, to,
+                                     [this, id, cancelled, to]
+                                     { show_progress(id, cancelled, to); });
                     return;
                 }
                 const job_state kept =
@@ -214,17 +221,17 @@
 // Cancelling
 // ---------------------------------------------------------------------------
 
-void job_desk::handle(const platform::cancel_request& what,
-                      const request_ptr& to)
+void job_request_handler::handle(const platform::cancel_request& what,
+                                 const request_ptr& to)
 {
     cancel(what.id, to);
 }
 
-void job_desk::cancel(const std::string& id, const request_ptr& to)
+void job_request_handler::cancel(const std::string& id, const request_ptr& to)
 {
-    if (store_away_since_ && !to->passed_on)
+    if (store_unavailable_since_ && !to->passed_on)
     {
-        without_store("DELETE", id, to, [this, id, to] { cancel(id, to); });
+        forward_or_retry("DELETE", id, to, [this, id, to] { cancel(id, to); });
         return;
     }
     if (holder_.core().find(id) != nullptr)
@@ -238,8 +245,9 @@
                     { on_cancel_read(id, to, result); }));
 }
 
-void job_desk::on_cancel_read(const std::string& id, const request_ptr& to,
-                              const store_result& result)
+void job_request_handler::on_cancel_read(const std::string& id,
+                                         const request_ptr& to,
+                                         const store_result& result)
 {
     note_store(result);
     if (result.status == store_status::absent)
@@ -249,13 +257,14 @@
     }
     if (result.status != store_status::done)
     {
-        without_store("DELETE", id, to, [this, id, to] { cancel(id, to); });
+        forward_or_retry("DELETE", id, to, [this, id, to] { cancel(id, to); });
         return;
     }
     write_cancellation(id, to);
 }
 
-void job_desk::write_cancellation(const std::string& id, const request_ptr& to)
+void job_request_handler::write_cancellation(const std::string& id,
+                                             const request_ptr& to)
 {
     store_.transact(cancellation_of(id), call_time(to),
                     process_.on_control<store_result>(
@@ -265,9 +274,10 @@
                             if (result.status != store_status::done)
                             {
                                 to->may_be_done = true;
-                                without_store("DELETE", id, to,
-                                              [this, id, to]
-                                              { write_cancellation(id, to); });
+                                forward_or_retry("DELETE", id, to,
+                                                 [this, id, to] {
+                                                     write_cancellation(id, to);
+                                                 });
                                 return;
                             }
                             log_event(event_id::job_cancelled, {{"job", id}});
@@ -282,8 +292,8 @@
 // Counting
 // ---------------------------------------------------------------------------
 
-void job_desk::handle(const platform::count_request& what,
-                      const request_ptr& to)
+void job_request_handler::handle(const platform::count_request& what,
+                                 const request_ptr& to)
 {
     const std::string queue = what.queue;
     if (holder_.ready())
@@ -291,24 +301,25 @@
         answer(to, platform::count_answer(holder_.core().waiting(queue)));
         return;
     }
-    query_leader("count", {{"queue", queue}},
-                 [this, queue, to](const std::optional<json>& known)
-                 {
-                     if (known && known->contains("waiting"))
-                     {
-                         last_counts_[queue] = known->at("waiting");
-                     }
-                     else if (!last_counts_.contains(queue))
-                     {
-                         answer(to, platform::not_taken_answer(
-                                        come_back, "the holder is not known"));
-                         return;
-                     }
-                     answer(to, platform::count_answer(last_counts_[queue]));
-                 });
+    query_leader(
+        "count", {{"queue", queue}},
+        [this, queue, to](const std::optional<json>& known)
+        {
+            if (known && known->contains("waiting"))
+            {
+                last_counts_[queue] = known->at("waiting");
+            }
+            else if (!last_counts_.contains(queue))
+            {
+                answer(to, platform::not_taken_answer(
+                               caller_retry_after, "the holder is not known"));
+                return;
+            }
+            answer(to, platform::count_answer(last_counts_[queue]));
+        });
 }
 
-json job_desk::count_for_peer(const json& message) const
+json job_request_handler::count_for_peer(const json& message) const
 {
     if (!holder_.ready())
     {
--- a/packages/daemon/src/job_desk.hpp
+++ b/packages/daemon/src/job_request_handler.hpp
@@ -19,18 +19,18 @@
 /// Before the caller's own time is over, so that the answer still arrives.
 inline constexpr duration answer_margin = std::chrono::milliseconds(250);
 /// When a caller whose request was not taken may come back.
-inline constexpr duration come_back = std::chrono::seconds(1);
+inline constexpr duration caller_retry_after = std::chrono::seconds(1);
 /// Another entry that says nothing for so long is passed over.
 inline constexpr duration leader_timeout = std::chrono::milliseconds(250);
 
 /// Takes callers' requests. Any entry accepts a job by writing it to the
 /// store; what became of it is asked of the holder, or read from the store.
-class job_desk
+class job_request_handler
 {
 public:
-    job_desk(job_process& process, platform::store_client& store,
-             leader_election& office, job_scheduler& holder,
-             const leader_heartbeat& contact);
+    job_request_handler(process_context& process, platform::store_client& store,
+                        leader_election& office, job_scheduler& holder,
+                        const leader_heartbeat& contact);
 
     void set_table(const queue_table& table);
     void on_request(const http_arrival& arrival);
@@ -67,7 +67,7 @@
     using request_ptr = std::shared_ptr<open_request>;
 
     /// What another entry is to do.
-    struct passed_request
+    struct forwarded_request
     {
         std::string method;
         std::string job; ///< its id
@@ -98,14 +98,15 @@
     void write_cancellation(const std::string& id, const request_ptr& to);
 
     // Passing requests on while the store gives no service here.
-    void pass_on(const passed_request& what, const request_ptr& to,
-                 std::function<void()> in_vain);
-    void on_passed(const passed_request& what, const request_ptr& to,
-                   const http_result& result, std::function<void()> in_vain);
-    [[nodiscard]] std::string next_helper(const open_request& of) const;
-    void serve_passed(const http_request& what, const request_ptr& to);
-    void without_store(const char* method, const std::string& id,
-                       const request_ptr& to, std::function<void()> again);
+    void forward_request(const forwarded_request& what, const request_ptr& to,
+                         std::function<void()> in_vain);
+    void on_forward_result(const forwarded_request& what, const request_ptr& to,
+                           const http_result& result,
+                           std::function<void()> in_vain);
+    [[nodiscard]] std::string next_forward_target(const open_request& of) const;
+    void serve_forwarded(const http_request& what, const request_ptr& to);
+    void forward_or_retry(const char* method, const std::string& id,
+                          const request_ptr& to, std::function<void()> again);
     void probe(time_point now);
 
     /// Runs something later, or answers that the time is over.
@@ -120,7 +121,7 @@
     void refuse_submission(const job& what, const request_ptr& to,
                            const char* why);
 
-    job_process& process_;
+    process_context& process_;
     platform::store_client& store_;
     leader_election& office_;
     job_scheduler& holder_;
@@ -128,11 +129,11 @@
     queue_table table_;
     adaptive_timeout timeout_;
     /// Since when the store has given no answer here; nothing while it does.
-    std::optional<time_point> store_away_since_;
+    std::optional<time_point> store_unavailable_since_;
     bool probing_ = false; ///< a read finds out whether it is back
     time_point next_probe_{};
     /// Entries that could not help, and when they last could not.
-    std::map<std::string, time_point> helpless_;
+    std::map<std::string, time_point> failed_peers_;
     std::int64_t open_ = 0;
     std::deque<std::pair<time_point, std::function<void()>>> later_;
     std::map<std::string, std::int64_t> last_counts_;
--- a/packages/daemon/src/job_desk_submitting.cpp
+++ b/packages/daemon/src/job_request_submission.cpp
@@ -1,6 +1,6 @@
 // How a submitted job is accepted, also while the store is away.
 
-#include "job_desk.hpp"
+#include "job_request_handler.hpp"
 
 #include <utility>
 
@@ -18,8 +18,8 @@
 constexpr std::int64_t most_unanswered = 2;
 } // namespace
 
-void job_desk::handle(const platform::submit_request& what,
-                      const request_ptr& to)
+void job_request_handler::handle(const platform::submit_request& what,
+                                 const request_ptr& to)
 {
     const queue_row* const queue = table_.queue(what.what.queue);
     if (queue->advice && process_.from.advice.empty())
@@ -31,41 +31,44 @@
     job taken = what.what;
     taken.accepted_ms = day_milliseconds();
     // The store may turn away this VM only: another entry can write the job.
-    store_away_since_ ? forward(taken, to) : submit(taken, to);
+    store_unavailable_since_ ? forward(taken, to) : submit(taken, to);
 }
 
 // Another entry writes the same job, or finds it.
-void job_desk::forward(const job& what, const request_ptr& to)
+void job_request_handler::forward(const job& what, const request_ptr& to)
 {
-    pass_on({.method = "POST",
-             .job = what.id,
-             .body = make_body(json(what).dump())},
-            to, [this, what, to] { give_up(what, to, "the store is away"); });
+    forward_request(
+        {.method = "POST",
+         .job = what.id,
+         .body = make_body(json(what).dump())},
+        to, [this, what, to] { give_up(what, to, "the store is away"); });
 }
 
 // What may have been written somewhere must not be refused.
-void job_desk::give_up(const job& what, const request_ptr& to, const char* why)
+void job_request_handler::give_up(const job& what, const request_ptr& to,
+                                  const char* why)
 {
     to->may_be_done ? answer_unknown(what, to)
                     : refuse_submission(what, to, why);
 }
 
-void job_desk::refuse_submission(const job& what, const request_ptr& to,
-                                 const char* why)
+void job_request_handler::refuse_submission(const job& what,
+                                            const request_ptr& to,
+                                            const char* why)
 {
     process_.numbers.count("job_not_taken", {what.queue, "job"}, why);
-    const duration away = store_away_since_
-                              ? boot_clock::now() - *store_away_since_
+    const duration away = store_unavailable_since_
+                              ? boot_clock::now() - *store_unavailable_since_
                               : duration{0};
     log_event(event_id::job_not_taken,
               {{"job", what.id},
                {"why", why},
                {"tries", std::to_string(to->tries)},
                {"store_away_ms", std::to_string(to_milliseconds(away))}});
-    answer(to, platform::not_taken_answer(come_back, why));
+    answer(to, platform::not_taken_answer(caller_retry_after, why));
 }
 
-void job_desk::submit(const job& what, const request_ptr& to)
+void job_request_handler::submit(const job& what, const request_ptr& to)
 {
     ++to->tries;
     store_.transact(acceptance_of(what), call_time(to),
@@ -76,8 +79,8 @@
 
 // The job is created if it is not there. A conflict shows that it is: this
 // request, or an earlier one for the same job, was done.
-void job_desk::on_submitted(const job& what, const request_ptr& to,
-                            const store_result& result)
+void job_request_handler::on_submitted(const job& what, const request_ptr& to,
+                                       const store_result& result)
 {
     note_store(result);
     if (result.status == store_status::done ||
@@ -119,12 +122,12 @@
 
 // The job may be written here or not; written by another entry it is the same
 // job. If none can, the caller is told at once, and asks again elsewhere.
-void job_desk::on_unserved(const job& what, const request_ptr& to)
+void job_request_handler::on_unserved(const job& what, const request_ptr& to)
 {
     to->passed_on ? give_up(what, to, "the store refuses") : forward(what, to);
 }
 
-void job_desk::answer_unknown(const job& what, const request_ptr& to)
+void job_request_handler::answer_unknown(const job& what, const request_ptr& to)
 {
     process_.numbers.count("job_not_taken", {what.queue, "job"}, "unknown");
     log_event(event_id::job_not_taken,
@@ -135,7 +138,7 @@
 }
 
 // Saves the time until the holder finds the job in the store.
-void job_desk::notify_leader(const job& what)
+void job_request_handler::notify_leader(const job& what)
 {
     if (holder_.ready())
     {
--- a/packages/daemon/src/job_scheduler.cpp
+++ b/packages/daemon/src/job_scheduler.cpp
@@ -21,25 +21,25 @@
 // A successor's knowledge may be so old; each write is a priced call.
 constexpr duration interference_save_interval = std::chrono::seconds(3);
 // Below any scrape's interval.
-constexpr duration figures_every = std::chrono::seconds(1);
+constexpr duration metrics_interval = std::chrono::seconds(1);
 // A write is answered within milliseconds; above that, and above the wait for a
 // processor that is shared.
-constexpr duration least_copy_after = std::chrono::milliseconds(100);
+constexpr duration min_hedge_delay = std::chrono::milliseconds(100);
 // A copy is given up after this many times the wait for the next one.
-constexpr int copies_waited_for = 4;
+constexpr int max_write_attempts_in_flight = 4;
 constexpr duration least_limit = std::chrono::milliseconds(400);
 // An order is repeated by the next reports; waiting longer helps nobody.
 constexpr duration order_timeout = std::chrono::milliseconds(600);
 
 } // namespace
 
-job_scheduler::job_scheduler(job_process& process,
+job_scheduler::job_scheduler(process_context& process,
                              platform::store_client& store,
                              leader_election& office)
     : process_(process), store_(store), office_(office),
       core_({.closing = {.close_within = process.from.close_within}}),
       page_timeout_(longest_page),
-      copy_after_(adaptive_timeout::usual_most, least_copy_after)
+      hedge_delay_(adaptive_timeout::usual_most, min_hedge_delay)
 {
 }
 
@@ -57,9 +57,9 @@
     {
         begin_batch(now);
     }
-    if (batch_ && now >= next_copy_)
+    if (batch_ && now >= next_attempt_at_)
     {
-        send_copy(now);
+        send_write_attempt(now);
     }
 }
 
@@ -67,24 +67,24 @@
 {
     batch_ = core_.next_commit(now);
     ++batches_;
-    copies_ = 0;
-    first_copy_ = now;
-    next_copy_ = now;
+    write_attempts_ = 0;
+    first_attempt_at_ = now;
+    next_attempt_at_ = now;
 }
 
-void job_scheduler::send_copy(time_point now)
+void job_scheduler::send_write_attempt(time_point now)
 {
-    if (++copies_ > 1)
+    if (++write_attempts_ > 1)
     {
-        copy_after_.unanswered();
+        hedge_delay_.unanswered();
         log_event(event_id::commit_uncertain,
                   {{"jobs", std::to_string(batch_->size())},
                    {"waited_ms",
-                    std::to_string(to_milliseconds(now - first_copy_))}});
+                    std::to_string(to_milliseconds(now - first_attempt_at_))}});
     }
-    next_copy_ = now + copy_after_.value();
+    next_attempt_at_ = now + hedge_delay_.value();
     const duration limit = std::max<duration>(
-        copies_waited_for * copy_after_.value(), least_limit);
+        max_write_attempts_in_flight * hedge_delay_.value(), least_limit);
     store_.transact(transaction_of(*batch_, core_.epoch()), limit,
                     process_.on_control<store_result>(
                         [this, now, term = term_,
@@ -109,7 +109,7 @@
     switch (result.status)
     {
     case store_status::done:
-        copy_after_.answered(result.took);
+        hedge_delay_.answered(result.took);
         end_batch(result.revision, sent);
         return;
     case store_status::conflict:
@@ -123,7 +123,7 @@
     case store_status::refused:
     case store_status::absent:
     case store_status::compacted:
-        next_copy_ = boot_clock::now() + pause;
+        next_attempt_at_ = boot_clock::now() + pause;
         return;
     case store_status::unknown:
         return; // the next copy is due by itself
@@ -317,7 +317,7 @@
     ask_for_advice(now);
     send_orders();
     log_decisions();
-    count_figures(now);
+    publish_metrics(now);
 }
 
 void job_scheduler::log_decisions()
@@ -334,8 +334,8 @@
     }
 }
 
-void job_scheduler::show_service(const std::string& of,
-                                 const availability_counts& account)
+void job_scheduler::publish_service_metrics(const std::string& of,
+                                            const availability_counts& account)
 {
     metrics& to = process_.numbers;
     to.set(of + "_tasks", static_cast<double>(account.tasks));
@@ -344,13 +344,13 @@
     to.set(of + "_unplaced", static_cast<double>(account.unplaced));
 }
 
-void job_scheduler::count_figures(time_point now)
+void job_scheduler::publish_metrics(time_point now)
 {
     if (now < next_figures_)
     {
         return;
     }
-    next_figures_ = now + figures_every;
+    next_figures_ = now + metrics_interval;
     const scheduler_figures figures = core_.figures();
     metrics& to = process_.numbers;
     to.set("runs_placed", static_cast<double>(figures.starts));
@@ -363,8 +363,8 @@
            static_cast<double>(figures.closed_data_centres));
     to.set("runs_in_closed_data_centres",
            static_cast<double>(figures.runs_in_closed));
-    show_service("lasting", figures.lasting);
-    show_service("largest_lasting", figures.largest_lasting);
+    publish_service_metrics("lasting", figures.lasting);
+    publish_service_metrics("largest_lasting", figures.largest_lasting);
     to.set("office_epoch", static_cast<double>(core_.epoch()));
 }
 
--- a/packages/daemon/src/job_scheduler.hpp
+++ b/packages/daemon/src/job_scheduler.hpp
@@ -18,7 +18,7 @@
 class job_scheduler
 {
 public:
-    job_scheduler(job_process& process, platform::store_client& store,
+    job_scheduler(process_context& process, platform::store_client& store,
                   leader_election& office);
 
     /// The office was taken: reads all that the store keeps.
@@ -82,7 +82,7 @@
     // Writing.
     void write();
     void begin_batch(time_point now);
-    void send_copy(time_point now);
+    void send_write_attempt(time_point now);
     void on_written(const platform::store_result& result, time_point sent);
     void end_batch(std::int64_t revision, time_point sent);
     std::optional<std::int64_t>
@@ -92,11 +92,11 @@
     void ask_for_advice(time_point now);
     void send_orders();
     void log_decisions();
-    void show_service(const std::string& of,
-                      const availability_counts& account);
-    void count_figures(time_point now);
+    void publish_service_metrics(const std::string& of,
+                                 const availability_counts& account);
+    void publish_metrics(time_point now);
 
-    job_process& process_;
+    process_context& process_;
     platform::store_client& store_;
     leader_election& office_;
     scheduler_core core_;
@@ -115,10 +115,10 @@
     time_point next_watch_{};
     std::optional<commit_batch> batch_; ///< being written
     std::int64_t batches_ = 0; ///< counts; answers to earlier ones are void
-    std::size_t copies_ = 0;   ///< of the batch, sent so far
-    time_point first_copy_{};  ///< when it was sent
-    time_point next_copy_{};
-    adaptive_timeout copy_after_; ///< without an answer to those before
+    std::size_t write_attempts_ = 0; ///< of the batch, sent so far
+    time_point first_attempt_at_{};  ///< when it was sent
+    time_point next_attempt_at_{};
+    adaptive_timeout hedge_delay_; ///< without an answer to those before
     time_point next_interference_save_{};
     time_point next_figures_{};
     std::vector<pair_interference> saved_interference_;
--- a/packages/daemon/src/leader_election.cpp
+++ b/packages/daemon/src/leader_election.cpp
@@ -23,7 +23,7 @@
 constexpr duration pause = std::chrono::milliseconds(150);
 constexpr int nonce_bytes = 6;
 
-json leader_value(const job_process& process, const std::string& nonce)
+json leader_value(const process_context& process, const std::string& nonce)
 {
     return {{"entry", process.from.name},
             {"address", announced_address(process.from)},
@@ -43,7 +43,7 @@
 
 } // namespace
 
-leader_election::leader_election(job_process& process,
+leader_election::leader_election(process_context& process,
                                  platform::store_client& store, callbacks then)
     : process_(process), store_(store), then_(std::move(then)),
       watch_(process, store, watch_wait,
@@ -138,11 +138,12 @@
         return;
     }
     record_leader(*item);
-    if (!asked_by_.empty())
+    if (!takeover_from_.empty())
     {
-        then_.told(std::exchange(asked_by_, {}), 0); // another one was faster
+        then_.told(std::exchange(takeover_from_, {}),
+                   0); // another one was faster
     }
-    if (is_of_former_process())
+    if (is_own_previous_incarnation())
     {
         replaces_ = item->revision;
         at_ = stage::taking;
@@ -157,7 +158,7 @@
     watch_.set_wait(turn.is_successor ? watch_wait : long_watch_wait);
 }
 
-void leader_election::look_again()
+void leader_election::recheck_leader()
 {
     if (at_ == stage::watching)
     {
@@ -184,7 +185,7 @@
 // The key of a process of this VM that is gone: this one has its port. It need
 // not wait for the end of the lease, 0.8 s of the 1.7 s between a loss of all
 // power and the next office (the holders' log of a played day, 62 workers).
-bool leader_election::is_of_former_process() const
+bool leader_election::is_own_previous_incarnation() const
 {
     return !has_held_ && holder_ == announced_address(process_.from);
 }
@@ -207,7 +208,7 @@
         then_.told(what.from, 0);
         return;
     }
-    asked_by_ = what.from;
+    takeover_from_ = what.from;
     replaces_ = what.epoch;
     at_ = stage::taking;
     next_ = {};
@@ -217,13 +218,13 @@
 void leader_election::note_unserved()
 {
     next_ = boot_clock::now() + pause;
-    if (asked_by_.empty())
+    if (takeover_from_.empty())
     {
         return;
     }
     replaces_ = 0;
     at_ = stage::watching;
-    then_.told(std::exchange(asked_by_, {}), 0);
+    then_.told(std::exchange(takeover_from_, {}), 0);
 }
 
 void leader_election::take()
@@ -308,9 +309,9 @@
     next_renewal_ = sent + renew_every;
     holder_ = announced_address(process_.from);
     then_.taken(epoch_);
-    if (!asked_by_.empty())
+    if (!takeover_from_.empty())
     {
-        then_.told(std::exchange(asked_by_, {}), epoch_);
+        then_.told(std::exchange(takeover_from_, {}), epoch_);
     }
 }
 
--- a/packages/daemon/src/leader_election.hpp
+++ b/packages/daemon/src/leader_election.hpp
@@ -26,7 +26,7 @@
         std::function<void(const std::string& from, std::int64_t epoch)> told;
     };
 
-    leader_election(job_process& process, platform::store_client& store,
+    leader_election(process_context& process, platform::store_client& store,
                     callbacks then);
 
     void tick(time_point now);
@@ -37,7 +37,7 @@
     /// When this entry claims an office that is free.
     void set_claim_schedule(const claim_schedule& turn);
     /// The holder does not answer: the store is asked who holds.
-    void look_again();
+    void recheck_leader();
     /// Another entry says who holds. A newer holder than is known here is
     /// believed; the store has the last word.
     void told(std::int64_t epoch, const std::string& holder);
@@ -91,7 +91,7 @@
 
     void follow(const std::optional<platform::store_item>& item);
     void record_leader(const platform::store_item& item);
-    [[nodiscard]] bool is_of_former_process() const;
+    [[nodiscard]] bool is_own_previous_incarnation() const;
     void take();
     void on_lease(const platform::store_result& result);
     void claim();
@@ -104,7 +104,7 @@
     void note_answer(const platform::store_result& result);
     void note_unserved();
 
-    job_process& process_;
+    process_context& process_;
     platform::store_client& store_;
     callbacks then_;
     leader_watch watch_;
@@ -116,8 +116,9 @@
     std::int64_t replaces_ = 0; ///< claimed over this revision; 0: none there
     bool has_held_ = false;     ///< this process, at some time
     claim_schedule turn_;
-    std::string asked_by_; ///< whose office is being taken; empty: nobody's
-    bool busy_ = false;    ///< a claim is under way
+    std::string
+        takeover_from_; ///< whose office is being taken; empty: nobody's
+    bool busy_ = false; ///< a claim is under way
     bool renewing_ = false;
     bool checking_ = false;
     std::int64_t lease_ = 0;
--- a/packages/daemon/src/leader_handover.cpp
+++ b/packages/daemon/src/leader_handover.cpp
@@ -12,7 +12,7 @@
 
 } // namespace
 
-leader_handover::leader_handover(job_process& process,
+leader_handover::leader_handover(process_context& process,
                                  const platform::store_client& store,
                                  leader_election& office)
     : process_(process), store_(store), office_(office)
@@ -30,7 +30,7 @@
     const duration silent = now - store_.served_at();
     return {.processors = process_.from.processors,
             .held_for = now - office_.held_since(),
-            .store_silent = store_.is_away() ? silent : duration{0},
+            .store_silent = store_.is_unavailable() ? silent : duration{0},
             .stopping = stopping};
 }
 
--- a/packages/daemon/src/leader_handover.hpp
+++ b/packages/daemon/src/leader_handover.hpp
@@ -14,7 +14,8 @@
 class leader_handover
 {
 public:
-    leader_handover(job_process& process, const platform::store_client& store,
+    leader_handover(process_context& process,
+                    const platform::store_client& store,
                     leader_election& office);
 
     void tick(time_point now, bool stopping);
@@ -29,7 +30,7 @@
     [[nodiscard]] leader_state state(time_point now, bool stopping) const;
     void ask(const hand_over& what, time_point now);
 
-    job_process& process_;
+    process_context& process_;
     const platform::store_client& store_;
     leader_election& office_;
     entry_list entries_;
--- a/packages/daemon/src/leader_heartbeat.cpp
+++ b/packages/daemon/src/leader_heartbeat.cpp
@@ -27,7 +27,7 @@
 
 } // namespace
 
-leader_heartbeat::leader_heartbeat(job_process& process,
+leader_heartbeat::leader_heartbeat(process_context& process,
                                    platform::store_client& store,
                                    leader_election& office)
     : process_(process), store_(store), office_(office)
@@ -90,7 +90,7 @@
     const entry_heartbeat what{.address = announced_address(process_.from),
                                .data_centre = process_.from.data_centre,
                                .processors = process_.from.processors,
-                               .store_away = store_.is_away()};
+                               .store_away = store_.is_unavailable()};
     process_.client.send(
         {.method = "POST",
          .url = "http://" + to + wire::rpc_path,
@@ -121,7 +121,7 @@
     }
     if (++failures_ == lost_after)
     {
-        office_.look_again();
+        office_.recheck_leader();
     }
     next_ = boot_clock::now() + retry_pause;
 }
--- a/packages/daemon/src/leader_heartbeat.hpp
+++ b/packages/daemon/src/leader_heartbeat.hpp
@@ -16,7 +16,7 @@
 class leader_heartbeat
 {
 public:
-    leader_heartbeat(job_process& process, platform::store_client& store,
+    leader_heartbeat(process_context& process, platform::store_client& store,
                      leader_election& office);
 
     void tick(time_point now);
@@ -50,7 +50,7 @@
     void send(const std::string& to, time_point now);
     void on_answer(const http_result& result, time_point sent);
 
-    job_process& process_;
+    process_context& process_;
     platform::store_client& store_;
     leader_election& office_;
     std::string asked_; ///< where the newest heartbeat went
--- a/packages/daemon/src/leader_watch.cpp
+++ b/packages/daemon/src/leader_watch.cpp
@@ -15,8 +15,9 @@
 
 } // namespace
 
-leader_watch::leader_watch(job_process& process, platform::store_client& store,
-                           duration wait, on_change changed)
+leader_watch::leader_watch(process_context& process,
+                           platform::store_client& store, duration wait,
+                           on_change changed)
     : process_(process), store_(store), wait_(wait),
       changed_(std::move(changed))
 {
@@ -28,14 +29,14 @@
     {
         return;
     }
-    watched_ == 0 ? look() : watch();
+    watched_revision_ == 0 ? look() : watch();
 }
 
 void leader_watch::refresh()
 {
     ++turn_;
     busy_ = false;
-    watched_ = 0;
+    watched_revision_ = 0;
 }
 
 void leader_watch::look()
@@ -63,7 +64,7 @@
     }
     timeout_.answered(result.took);
     store_answered_ = boot_clock::now();
-    watched_ = result.revision;
+    watched_revision_ = result.revision;
     changed_(result.items.empty() ? std::nullopt
                                   : std::optional(result.items.front()));
 }
@@ -72,7 +73,7 @@
 {
     busy_ = true;
     const time_point sent = boot_clock::now();
-    store_.watch(leader_key, watched_, wait_,
+    store_.watch(leader_key, watched_revision_, wait_,
                  process_.on_control<store_result>(
                      [this, sent, turn = turn_](const store_result& result)
                      {
@@ -89,7 +90,7 @@
     if (result.status != store_status::done)
     {
         // Cut, compacted or not reached: what was missed is read anew.
-        watched_ = 0;
+        watched_revision_ = 0;
         const bool at_once = boot_clock::now() - sent > pause;
         next_ = boot_clock::now() + (at_once ? duration{0} : pause);
         return;
@@ -97,7 +98,7 @@
     store_answered_ = boot_clock::now();
     for (const platform::store_item& item : result.items)
     {
-        watched_ = std::max(watched_, item.revision);
+        watched_revision_ = std::max(watched_revision_, item.revision);
         changed_(item.gone ? std::nullopt : std::optional(item));
     }
 }
--- a/packages/daemon/src/leader_watch.hpp
+++ b/packages/daemon/src/leader_watch.hpp
@@ -1,7 +1,7 @@
 #pragma once
 // Who holds the jobs, as the store tells it.
 
-#include "job_process.hpp"
+#include "process_context.hpp"
 
 #include "platform.hpp"
 
@@ -24,7 +24,7 @@
         std::function<void(const std::optional<platform::store_item>&)>;
 
     /// @param wait how long a watch may wait; each one is a priced call
-    leader_watch(job_process& process, platform::store_client& store,
+    leader_watch(process_context& process, platform::store_client& store,
                  duration wait, on_change changed);
 
     void tick(time_point now);
@@ -49,12 +49,13 @@
     void watch();
     void on_watch(const platform::store_result& result, time_point sent);
 
-    job_process& process_;
+    process_context& process_;
     platform::store_client& store_;
     duration wait_;
     on_change changed_;
     adaptive_timeout timeout_;
-    std::int64_t watched_ = 0; ///< revision to watch from; 0: look first
+    std::int64_t watched_revision_ =
+        0; ///< revision to watch from; 0: look first
     bool busy_ = false;
     std::int64_t turn_ = 0; ///< counts; ends of earlier turns are void
     time_point next_{};
--- a/packages/daemon/src/operator_watch.cpp
+++ b/packages/daemon/src/operator_watch.cpp
@@ -22,7 +22,7 @@
 
 } // namespace
 
-operator_watch::operator_watch(job_process& process,
+operator_watch::operator_watch(process_context& process,
                                platform::store_client& store, callbacks then)
     : process_(process), store_(store), then_(std::move(then))
 {
@@ -34,35 +34,35 @@
     {
         return;
     }
-    watched_ == 0 ? read() : watch();
+    watched_revision_ == 0 ? read() : watch();
 }
 
 // From now on nobody else tells of what a long watch does not hear.
-void operator_watch::rely_on_other(bool relies)
+void operator_watch::use_long_poll(bool relies)
 {
-    const bool ends = relies_ && !relies;
-    relies_ = relies;
+    const bool ends = long_poll_ && !relies;
+    long_poll_ = relies;
     if (ends)
     {
-        begin_again();
+        restart_read();
     }
 }
 
 void operator_watch::expect(std::int64_t revision)
 {
-    const bool is_read = watched_ != 0;
-    if (is_read && revision > watched_)
+    const bool is_read = watched_revision_ != 0;
+    if (is_read && revision > watched_revision_)
     {
-        begin_again();
+        restart_read();
     }
 }
 
 // Reads anew. A watch that is under way has its answer later; it is void.
-void operator_watch::begin_again()
+void operator_watch::restart_read()
 {
     ++turn_;
     busy_ = false;
-    watched_ = 0;
+    watched_revision_ = 0;
     page_after_.clear();
     next_read_ = {};
 }
@@ -132,7 +132,7 @@
             note_closure(name, false, reading_since_);
         }
     }
-    watched_ = reading_since_;
+    watched_revision_ = reading_since_;
     fresh_at_ = reading_sent_;
     tell_closed(reading_sent_);
 }
@@ -146,10 +146,10 @@
 {
     busy_ = true;
     const time_point sent = boot_clock::now();
-    const duration wait = relies_ && waiting_ < 2 ? long_wait : watch_wait;
+    const duration wait = long_poll_ && waiting_ < 2 ? long_wait : watch_wait;
     ++waiting_;
     store_.watch(
-        platform::operator_prefix, watched_, wait,
+        platform::operator_prefix, watched_revision_, wait,
         process_.on_control<store_result>(
             [this, sent, wait, turn = turn_](const store_result& result)
             {
@@ -168,7 +168,7 @@
     const time_point now = boot_clock::now();
     if (result.status != store_status::done)
     {
-        watched_ = 0;
+        watched_revision_ = 0;
         const bool at_once = now - sent > pause;
         next_read_ = now + (at_once ? duration{0} : pause);
         return;
@@ -176,7 +176,7 @@
     fresh_at_ = now;
     for (const store_item& item : result.items)
     {
-        watched_ = std::max(watched_, item.revision);
+        watched_revision_ = std::max(watched_revision_, item.revision);
         newest_change_ = std::max(newest_change_, item.revision);
         take(item);
     }
--- a/packages/daemon/src/operator_watch.hpp
+++ b/packages/daemon/src/operator_watch.hpp
@@ -2,7 +2,7 @@
 // What the operator has written to the store: the configuration, and the data
 // centres that are closed.
 
-#include "job_process.hpp"
+#include "process_context.hpp"
 
 #include "platform.hpp"
 
@@ -26,12 +26,12 @@
         std::function<void(const closed_data_centres&)> closed;
     };
 
-    operator_watch(job_process& process, platform::store_client& store,
+    operator_watch(process_context& process, platform::store_client& store,
                    callbacks then);
 
     void tick(time_point now);
     /// Whether another entry tells of each change that this one may miss.
-    void rely_on_other(bool relies);
+    void use_long_poll(bool relies);
     /// Another entry has heard of a change: of the store's revision.
     void expect(std::int64_t revision);
 
@@ -53,21 +53,22 @@
     void watch();
     void on_watch(const platform::store_result& result, time_point sent,
                   duration waited);
-    void begin_again();
+    void restart_read();
     void take(const platform::store_item& item);
     void take_table(const platform::store_item& item);
     void note_closure(const std::string& data_centre, bool is_closed,
                       std::int64_t revision);
     void tell_closed(time_point known_at);
 
-    job_process& process_;
+    process_context& process_;
     platform::store_client& store_;
     callbacks then_;
     adaptive_timeout timeout_;
     std::int64_t version_ = 0;
-    std::int64_t watched_ = 0; ///< changes above it are watched; 0: read first
+    std::int64_t watched_revision_ =
+        0; ///< changes above it are watched; 0: read first
     std::int64_t newest_change_ = 0;
-    bool relies_ = false;
+    bool long_poll_ = false;
     bool busy_ = false;
     std::int64_t turn_ = 0;   ///< counts; ends of earlier turns are void
     std::size_t waiting_ = 0; ///< watches without an answer, of any turn
--- a/packages/daemon/src/job_process.cpp
+++ b/packages/daemon/src/process_context.cpp
@@ -1,4 +1,4 @@
-#include "job_process.hpp"
+#include "process_context.hpp"
 
 #include <sys/resource.h>
 
@@ -40,7 +40,7 @@
 
 } // namespace
 
-http_handler job_process::on_request(std::function<void(http_arrival)> then)
+http_handler process_context::on_request(std::function<void(http_arrival)> then)
 {
     return [this, then = std::move(then)](http_request request,
                                           http_responder responder)
@@ -59,7 +59,7 @@
     return std::chrono::duration_cast<std::chrono::milliseconds>(since).count();
 }
 
-std::unique_ptr<http_server> serve_metrics(job_process& process,
+std::unique_ptr<http_server> serve_metrics(process_context& process,
                                            std::vector<named_server> servers)
 {
     const std::string& endpoint = process.from.metrics;
--- a/packages/daemon/src/job_process.hpp
+++ b/packages/daemon/src/process_context.hpp
@@ -20,7 +20,7 @@
 
 /// What the parts of a process share. The control thread owns all state;
 /// traffic threads and calls only post work to it.
-struct job_process
+struct process_context
 {
     const job_settings& from;
     const std::atomic<bool>& drain;
@@ -29,7 +29,7 @@
     metrics numbers;
     http_client client;
 
-    job_process(const job_settings& settings, const std::atomic<bool>& flag)
+    process_context(const job_settings& settings, const std::atomic<bool>& flag)
         : from(settings), drain(flag)
     {
     }
@@ -75,7 +75,7 @@
 };
 
 /// Serves the metrics at the settings' endpoint; nothing for an empty one.
-std::unique_ptr<http_server> serve_metrics(job_process& process,
+std::unique_ptr<http_server> serve_metrics(process_context& process,
                                            std::vector<named_server> servers);
 
 /// A server's options at an endpoint, within what the process may use.
--- a/packages/scheduler/include/springstair/detail/scheduler/entry_list.hpp
+++ b/packages/scheduler/include/springstair/detail/scheduler/entry_list.hpp
@@ -33,7 +33,7 @@
     /// A holder that the store has not served for so long gives its office up:
     /// above the answer of a store that is fifty times slower than usual, well
     /// below the lease that others would wait for.
-    duration store_patience = std::chrono::milliseconds(400);
+    duration store_outage_tolerance = std::chrono::milliseconds(400);
     /// An entry that could not take the office is passed over for so long.
     duration decline_lasts = std::chrono::seconds(2);
     /// Entries that are asked in that time: where the store serves nobody, each
--- a/packages/scheduler/src/entry_list.cpp
+++ b/packages/scheduler/src/entry_list.cpp
@@ -123,7 +123,7 @@
     {
         return hand_over{best->address, handover_reason::stopping};
     }
-    if (of.store_silent >= options_.store_patience)
+    if (of.store_silent >= options_.store_outage_tolerance)
     {
         return hand_over{best->address, handover_reason::store_away};
     }
