--- a/bench/office.cpp
+++ b/bench/office.cpp
@@ -31,7 +31,7 @@
 constexpr auto store_delay = milliseconds(4);
 constexpr auto usual_report = milliseconds(500);
 constexpr auto ends_report = milliseconds(120);
-constexpr auto whole_every = milliseconds(400);
+constexpr auto full_report_interval = milliseconds(400);
 constexpr std::int64_t usual_tail_ms = 4;
 
 double processor_seconds()
@@ -329,7 +329,7 @@
         worker_report& report = at.report;
         ++report.sequence;
         report.running.clear();
-        report.whole = now_ - at.whole_told >= whole_every;
+        report.whole = now_ - at.whole_told >= full_report_interval;
         std::uniform_int_distribution<std::int64_t> wave(0, 3);
         for (const auto& [task, run] : at.runs)
         {
--- a/bench/slopes.cpp
+++ b/bench/slopes.cpp
@@ -212,7 +212,7 @@
     for (const int tasks : {100, 460, 2000})
     {
         const double before = heap_bytes();
-        task_book book;
+        shard_tasks book;
         for (int index = 0; index < tasks; ++index)
         {
             const std::string id = "t1-" + std::to_string(1000000 + index);
--- a/packages/cli/commands.cpp
+++ b/packages/cli/commands.cpp
@@ -70,17 +70,17 @@
 int show(session& with, const answer& got,
          const std::function<void(const json&)>& print)
 {
-    if (code_of(got) != exit_good)
+    if (code_of(got) != exit_ok)
     {
         return complain(got);
     }
     if (with.call().as_json)
     {
         std::cout << got.body.dump(4) << "\n";
-        return exit_good;
+        return exit_ok;
     }
     print(got.body);
-    return exit_good;
+    return exit_ok;
 }
 
 // ---------------------------------------------------------------------------
@@ -134,7 +134,7 @@
     while (boot_clock::now() < until)
     {
         const answer status = with.ask("GET", "/v1/status");
-        if (code_of(status) == exit_good)
+        if (code_of(status) == exit_ok)
         {
             count = count_in_force(status.body, revision);
             if (count.first == count.second)
@@ -149,13 +149,13 @@
         std::cout << "in force at " << count.first << " of " << count.second
                   << " processes\n";
     }
-    return exit_good;
+    return exit_ok;
 }
 
 int send_edits(session& with, const json& edits)
 {
     const answer got = with.ask("PATCH", "/v1/table", edits);
-    if (code_of(got) != exit_good)
+    if (code_of(got) != exit_ok)
     {
         return complain(got);
     }
@@ -168,7 +168,7 @@
     {
         std::cout << "saved as revision " << revision << std::endl;
     }
-    return with.call().wait ? await_in_force(with, revision) : exit_good;
+    return with.call().wait ? await_in_force(with, revision) : exit_ok;
 }
 
 json edit_of(session& with, const std::string& row, const std::string& column,
@@ -197,7 +197,7 @@
         throw usage_error{path + " is not an exported table"};
     }
     const answer present = with.ask("GET", "/v1/table");
-    if (code_of(present) != exit_good)
+    if (code_of(present) != exit_ok)
     {
         return complain(present);
     }
@@ -223,7 +223,7 @@
     if (edits.empty())
     {
         std::cout << "nothing to change\n";
-        return exit_good;
+        return exit_ok;
     }
     return send_edits(with, edits);
 }
@@ -231,7 +231,7 @@
 int export_table(session& with, const std::string& path)
 {
     const answer got = with.ask("GET", "/v1/table");
-    if (code_of(got) != exit_good)
+    if (code_of(got) != exit_ok)
     {
         return complain(got);
     }
@@ -241,7 +241,7 @@
     {
         throw usage_error{path + " cannot be written"};
     }
-    return exit_good;
+    return exit_ok;
 }
 
 void need(const std::vector<std::string>& words, std::size_t count)
@@ -419,14 +419,14 @@
     {
         return exit_failed;
     }
-    const auto story = story_of(words[2], std::move(*lines));
+    const auto story = timeline_of(words[2], std::move(*lines));
     if (story.empty())
     {
         std::cerr << "no line of these logs tells of job " << words[2] << "\n";
         return exit_failed;
     }
     print_lines(story, as_json);
-    return exit_good;
+    return exit_ok;
 }
 
 int show_closures(const std::vector<std::string>& words, bool as_json)
@@ -437,7 +437,7 @@
         return exit_failed;
     }
     print_lines(closures_in(*lines), as_json);
-    return exit_good;
+    return exit_ok;
 }
 
 int job_command(const std::vector<std::string>& words, bool as_json)
--- a/packages/cli/commands.hpp
+++ b/packages/cli/commands.hpp
@@ -11,13 +11,13 @@
 namespace springstair::cli
 {
 
-inline constexpr int exit_good = 0;
-inline constexpr int exit_failed = 1;   ///< refused; nothing was changed
-inline constexpr int exit_usage = 2;    ///< the words are off
-inline constexpr int exit_conflict = 3; ///< somebody else changed the cell
-inline constexpr int exit_unfit = 4;    ///< the table would have findings
-inline constexpr int exit_away = 5;     ///< no entry or no store answers
-inline constexpr int exit_unknown = 6;  ///< it may have taken effect
+inline constexpr int exit_ok = 0;
+inline constexpr int exit_failed = 1;      ///< refused; nothing was changed
+inline constexpr int exit_usage = 2;       ///< the words are off
+inline constexpr int exit_conflict = 3;    ///< somebody else changed the cell
+inline constexpr int exit_invalid = 4;     ///< the table would have findings
+inline constexpr int exit_unavailable = 5; ///< no entry or no store answers
+inline constexpr int exit_unknown = 6;     ///< it may have taken effect
 
 /// @brief One call of the command line.
 struct invocation
--- a/packages/cli/explain.cpp
+++ b/packages/cli/explain.cpp
@@ -89,8 +89,8 @@
     return lines;
 }
 
-std::vector<log_line> story_of(const std::string& job,
-                               std::vector<log_line> lines)
+std::vector<log_line> timeline_of(const std::string& job,
+                                  std::vector<log_line> lines)
 {
     std::stable_sort(lines.begin(), lines.end(),
                      [](const log_line& left, const log_line& right)
--- a/packages/cli/explain.hpp
+++ b/packages/cli/explain.hpp
@@ -27,8 +27,8 @@
 ///
 /// Its own lines (the job, its tasks), and between the first and the last of
 /// them what happened to the office, the store, and the guards that ran it.
-std::vector<log_line> story_of(const std::string& job,
-                               std::vector<log_line> lines);
+std::vector<log_line> timeline_of(const std::string& job,
+                                  std::vector<log_line> lines);
 
 /// @brief Of each data centre that was ever closed or opened, the newest line
 /// that says so of a holder, in the order of their names.
--- a/packages/cli/main.cpp
+++ b/packages/cli/main.cpp
@@ -70,7 +70,7 @@
     if (line.version != 0)
     {
         std::cout << "springstair " << springstair::version() << "\n";
-        return exit_good;
+        return exit_ok;
     }
     invocation call{
         .entries = split(text_or(line.entries, "SPRINGSTAIR_ENTRIES"), ','),
--- a/packages/cli/session.cpp
+++ b/packages/cli/session.cpp
@@ -42,7 +42,7 @@
                          {"content-type", "application/json"}},
              .body = body ? make_body(body->dump()) : shared_body{},
              .timeout = call_timeout,
-             .exactly_one_connection = true});
+             .dedicated_connection = true});
         if (result.how == delivery::answered)
         {
             return {.status = result.response.status,
@@ -62,11 +62,11 @@
 {
     if (got.status == 0)
     {
-        return got.may_have_run ? exit_unknown : exit_away;
+        return got.may_have_run ? exit_unknown : exit_unavailable;
     }
     if (got.status < 300)
     {
-        return exit_good;
+        return exit_ok;
     }
     if (got.body.is_object() && got.body.contains("conflicts"))
     {
@@ -74,14 +74,14 @@
     }
     if (got.body.is_object() && got.body.contains("findings"))
     {
-        return exit_unfit;
+        return exit_invalid;
     }
     if (got.body.is_object() &&
         got.body.value("outcome", std::string()) == "unknown")
     {
         return exit_unknown;
     }
-    return got.status >= server_error ? exit_away : exit_failed;
+    return got.status >= server_error ? exit_unavailable : exit_failed;
 }
 
 // Says on the error stream what went wrong.
@@ -112,7 +112,7 @@
         std::cerr << one.at("place").get<std::string>() << ": "
                   << one.at("message").get<std::string>() << "\n";
     }
-    if (code == exit_conflict || code == exit_unfit)
+    if (code == exit_conflict || code == exit_invalid)
     {
         return code;
     }
--- a/packages/core/include/springstair/core.hpp
+++ b/packages/core/include/springstair/core.hpp
@@ -4,7 +4,7 @@
 
 #include <springstair/detail/core/errors.hpp>
 #include <springstair/detail/core/events.hpp>
-#include <springstair/detail/core/log_budget.hpp>
+#include <springstair/detail/core/log_rate_limiter.hpp>
 #include <springstair/detail/core/mailbox.hpp>
 #include <springstair/detail/core/metrics.hpp>
 #include <springstair/detail/core/names.hpp>
--- a/packages/core/include/springstair/detail/core/log_budget.hpp
+++ b/packages/core/include/springstair/detail/core/log_rate_limiter.hpp
@@ -9,7 +9,7 @@
 {
 
 /// @brief Bounds of a process's log.
-struct log_budget_options
+struct log_rate_options
 {
     /// Lines a second in the long run: a holder at a thousand starts a second
     /// writes the most, and a line costs about 20 us.
@@ -20,10 +20,10 @@
 };
 
 /// @brief Decides which lines are written, and counts those that are not.
-class log_budget
+class log_rate_limiter
 {
 public:
-    explicit log_budget(log_budget_options options = {})
+    explicit log_rate_limiter(log_rate_options options = {})
         : options_(options), left_(options.burst)
     {
     }
@@ -52,7 +52,7 @@
     }
 
 private:
-    log_budget_options options_;
+    log_rate_options options_;
     double left_;
     time_point last_{};
     std::int64_t dropped_ = 0;
--- a/packages/core/src/events.cpp
+++ b/packages/core/src/events.cpp
@@ -201,7 +201,7 @@
 struct log_state
 {
     std::mutex mutex;
-    log_budget budget;
+    log_rate_limiter budget;
     std::atomic<bool> started = false;
     std::int64_t told = 0; ///< dropped lines that the log mentions
 };
--- a/packages/daemon/src/entry_control.hpp
+++ b/packages/daemon/src/entry_control.hpp
@@ -68,16 +68,16 @@
     void act(const send_attempt& send);
     void act(const forward_answer& forward);
     void act(const answer_problem& problem);
-    void act(const note_guard& note);
+    void act(const log_guard& note);
 
     // The table.
     void on_edit(http_arrival& arrival);
     void carry_out(const table_actions& actions);
     void act(const store_call& call, store_user user);
-    void act(const edit_ended& ended);
-    void act(const table_found& found);
-    void act(const table_unfit& unfit);
-    void act(const store_seen& seen);
+    void act(const edit_outcome& ended);
+    void act(const table_loaded& found);
+    void act(const table_rejected& unfit);
+    void act(const store_availability& seen);
     bool take_table(const table& rows);
     void take_peer_table(const json& document);
     void finish_edits(time_point now);
@@ -130,8 +130,8 @@
     void act(const task_answer& answer);
     void act(const send_start& start);
     void act(const send_stop& stop);
-    void act(const note_shard& note);
-    void act(const note_ended& note);
+    void act(const log_shard& note);
+    void act(const log_task_end& note);
     void on(start_ended& ended);
     void on(stop_ended& ended);
     void on(forward_ended& ended);
--- a/packages/daemon/src/entry_requests.cpp
+++ b/packages/daemon/src/entry_requests.cpp
@@ -167,8 +167,8 @@
          .headers = std::move(headers),
          .body = open.request.body,
          .timeout = send.remaining + answer_margin,
-         .exactly_one_connection = !send.repeatable,
-         .most_open = most_requests_open},
+         .dedicated_connection = !send.repeatable,
+         .max_open_calls = most_requests_open},
         [&process = process_, name = send.attempt](http_result result) {
             process.events.post(attempt_ended{name, std::move(result)});
         });
@@ -194,7 +194,7 @@
     open_.erase(found);
 }
 
-void entry_control::act(const note_guard& note)
+void entry_control::act(const log_guard& note)
 {
     log_event(note.event, {{"guard", note.guard.value}});
     process_.numbers.set("guards_ejected",
--- a/packages/daemon/src/entry_table.cpp
+++ b/packages/daemon/src/entry_table.cpp
@@ -109,18 +109,18 @@
     }
 }
 
-void entry_control::act(const table_found& found)
+void entry_control::act(const table_loaded& found)
 {
     take_table(found.rows);
 }
 
-void entry_control::act(const table_unfit& refused)
+void entry_control::act(const table_rejected& refused)
 {
     log_event(event_id::table_refused,
               {{"findings", to_document(refused.wrong).dump()}});
 }
 
-void entry_control::act(const store_seen& seen)
+void entry_control::act(const store_availability& seen)
 {
     log_event(seen.available ? event_id::store_back : event_id::store_lost);
 }
@@ -141,7 +141,7 @@
 
 // A committed edit is told only after the other entries have it: the store
 // may go away, or this process, right after the operator's success line.
-void entry_control::act(const edit_ended& ended)
+void entry_control::act(const edit_outcome& ended)
 {
     const auto found = edits_.find(ended.number);
     if (found == edits_.end())
@@ -152,7 +152,7 @@
     edits_.erase(found);
     switch (ended.how)
     {
-    case edit_ended::ending::committed:
+    case edit_outcome::ending::committed:
     {
         committed_edit edit{.responder = responder,
                             .revision = ended.revision,
@@ -170,22 +170,22 @@
         exchange_with_all();
         break;
     }
-    case edit_ended::ending::conflict:
+    case edit_outcome::ending::conflict:
         responder->respond(json_response(
             conflict, {{"outcome", "not_run"},
                        {"conflicts", to_document(ended.conflicts)}}));
         break;
-    case edit_ended::ending::refused:
+    case edit_outcome::ending::refused:
         responder->respond(
             json_response(unfit, {{"outcome", "not_run"},
                                   {"findings", to_document(ended.wrong)}}));
         break;
-    case edit_ended::ending::unavailable:
+    case edit_outcome::ending::unavailable:
         responder->respond(json_response(
             unavailable,
             {{"outcome", "not_run"}, {"detail", "the store does not answer"}}));
         break;
-    case edit_ended::ending::unknown:
+    case edit_outcome::ending::unknown:
         responder->respond(json_response(
             in_doubt, {{"outcome", "unknown"},
                        {"detail", "the store did not say whether it wrote"}}));
--- a/packages/daemon/src/entry_tasks.cpp
+++ b/packages/daemon/src/entry_tasks.cpp
@@ -322,12 +322,12 @@
         });
 }
 
-void entry_control::act(const note_shard& note)
+void entry_control::act(const log_shard& note)
 {
     log_event(note.event, {{"shard", std::to_string(note.shard)}});
 }
 
-void entry_control::act(const note_ended& note)
+void entry_control::act(const log_task_end& note)
 {
     log_event(event_id::task_ended,
               {{"task", note.record.spec.id},
--- a/packages/daemon/src/guard_control.cpp
+++ b/packages/daemon/src/guard_control.cpp
@@ -21,7 +21,7 @@
     switch (result.how)
     {
     case delivery::not_sent:
-    case delivery::withheld:
+    case delivery::no_eligible_connection:
         return executor_result::not_sent;
     case delivery::unknown:
         return executor_result::unknown;
@@ -178,9 +178,9 @@
          .headers = std::move(headers),
          .body = attempt.request.body,
          .timeout = process_.from.guard.longest_service,
-         .exactly_one_connection =
+         .dedicated_connection =
              attempt.request.header(wire::repeatable) != "true",
-         .most_open = most_requests_open},
+         .max_open_calls = most_requests_open},
         [&process = process_, name = run.attempt](http_result result) {
             process.events.post(executor_ended{name, std::move(result)});
         });
@@ -287,7 +287,7 @@
         return;
     }
     const bool busy =
-        !core_.ready() || core_.has_foreign() || !keeper_.reports().empty();
+        !core_.ready() || core_.has_orphans() || !keeper_.reports().empty();
     next_poll_ = now + (busy ? busy_poll : idle_poll);
     polling_ = true;
     worker_.list(
--- a/packages/daemon/src/job_guard_role.cpp
+++ b/packages/daemon/src/job_guard_role.cpp
@@ -212,7 +212,7 @@
                       });
     }
 
-    void send(const pace_run& what)
+    void send(const throttle_run& what)
     {
         call_executor(
             what, [this, what](const http_result& result)
--- a/packages/daemon/src/job_request_handler.cpp
+++ b/packages/daemon/src/job_request_handler.cpp
@@ -38,7 +38,7 @@
     auto request = std::make_shared<open_request>(
         open_request{.responder = arrival.responder,
                      .arrived = now,
-                     .give_up = now + platform::patience_of(arrival.request) -
+                     .give_up = now + platform::timeout_of(arrival.request) -
                                 answer_margin});
     ++open_;
     const auto what = platform::decode_request(arrival.request, table_);
--- a/packages/entry/include/springstair/detail/entry/request_core.hpp
+++ b/packages/entry/include/springstair/detail/entry/request_core.hpp
@@ -23,8 +23,8 @@
     int most_attempts = 3;
     /// How many guards a latency-critical request may find busy before it
     /// waits in a queue.
-    int most_bounces = 2;
-    std::size_t most_open = 20'000;
+    int max_busy_replies = 2;
+    std::size_t max_open_requests = 20'000;
     retry_budget_options retries;
     outlier_options outliers;
     directory_options silence;
@@ -98,17 +98,17 @@
 };
 
 /// @brief A guard's standing changed; for the log.
-struct note_guard
+struct log_guard
 {
     event_id event = event_id::guard_joined;
     guard_name guard;
 
-    bool operator==(const note_guard&) const = default;
+    bool operator==(const log_guard&) const = default;
 };
 
 /// @brief What an entry does next for its callers.
 using request_action =
-    std::variant<send_attempt, forward_answer, answer_problem, note_guard>;
+    std::variant<send_attempt, forward_answer, answer_problem, log_guard>;
 
 /// @brief Several of them, in order.
 using request_actions = std::vector<request_action>;
@@ -178,7 +178,7 @@
         bool repeatable = false;
         class_kind kind = class_kind::heavy;
         int attempts = 0;
-        int bounces = 0;      ///< guards that had no slot free at once
+        int busy_replies = 0; ///< guards that had no slot free at once
         attempt_name current; ///< empty while none is out
         guard_name current_guard;
         std::set<guard_name> tried;
@@ -192,7 +192,7 @@
 
     [[nodiscard]] std::vector<route_candidate>
     candidates(time_point now, const open_request& of) const;
-    [[nodiscard]] own_attempts out_at(const guard_name& guard) const;
+    [[nodiscard]] outstanding_attempts out_at(const guard_name& guard) const;
     void count_out(const open_request& of, const guard_name& guard, int change);
     bool route(time_point now, open_request& of, request_actions& actions);
     void send_to(time_point now, open_request& of, const guard_name& guard,
@@ -224,7 +224,7 @@
     std::map<request_number, open_request> requests_;
     std::map<attempt_name, sent_attempt> attempts_;
     std::set<std::pair<time_point, request_number>> deadlines_;
-    std::map<guard_name, own_attempts> out_; ///< not yet answered
+    std::map<guard_name, outstanding_attempts> out_; ///< not yet answered
     std::uint64_t next_attempt_ = 0;
 };
 
--- a/packages/entry/include/springstair/detail/entry/table_synchronizer.hpp
+++ b/packages/entry/include/springstair/detail/entry/table_synchronizer.hpp
@@ -34,7 +34,7 @@
 using edit_number = std::uint64_t;
 
 /// @brief How an operator's edit ended.
-struct edit_ended
+struct edit_outcome
 {
     /// @brief The ways an edit can end.
     enum class ending : std::uint8_t
@@ -54,26 +54,26 @@
 };
 
 /// @brief A newer table came from the store.
-struct table_found
+struct table_loaded
 {
     table rows;
 };
 
 /// @brief A table of the store has findings; the last good one stays.
-struct table_unfit
+struct table_rejected
 {
     findings wrong;
 };
 
 /// @brief The store stopped or began to answer.
-struct store_seen
+struct store_availability
 {
     bool available = false;
 };
 
 /// @brief What the table's keeper does next.
-using table_action =
-    std::variant<store_call, edit_ended, table_found, table_unfit, store_seen>;
+using table_action = std::variant<store_call, edit_outcome, table_loaded,
+                                  table_rejected, store_availability>;
 
 /// @brief Several of them, in order.
 using table_actions = std::vector<table_action>;
@@ -137,7 +137,7 @@
                      table_actions& actions);
     void write(const edit_result& edited, std::int64_t mod_revision,
                table_actions& actions);
-    void end(edit_ended how, time_point now, table_actions& actions);
+    void end(edit_outcome how, time_point now, table_actions& actions);
     void note_store(const kv_answer& answer, table_actions& actions);
 
     table_synchronizer_options options_;
--- a/packages/entry/include/springstair/detail/entry/task_core.hpp
+++ b/packages/entry/include/springstair/detail/entry/task_core.hpp
@@ -24,16 +24,16 @@
     std::int64_t lease_seconds = 10;
     duration renew_every = std::chrono::seconds(3);
     duration shard_poll_interval = std::chrono::seconds(2);
-    duration adopt_after = std::chrono::seconds(3);
+    duration takeover_delay = std::chrono::seconds(3);
     duration commit_every = std::chrono::milliseconds(200);
     duration retry = std::chrono::milliseconds(300);
     duration resend_start = std::chrono::seconds(1);
     duration gone_after = std::chrono::seconds(10);
     duration forget_unknown = std::chrono::minutes(1);
     std::int64_t snapshot_every = 64; ///< segments
-    std::size_t most_book_bytes = 700'000;
+    std::size_t max_snapshot_bytes = 700'000;
     std::int64_t most_failures = 3;
-    std::size_t places_a_round = 200;
+    std::size_t max_placements_per_tick = 200;
     std::uint64_t seed = 1;
 };
 
@@ -65,21 +65,21 @@
 };
 
 /// @brief A shard came or went; for the log.
-struct note_shard
+struct log_shard
 {
     event_id event = event_id::shard_taken;
     std::int64_t shard = 0;
 };
 
 /// @brief A task reached its last state; for the log and the metrics.
-struct note_ended
+struct log_task_end
 {
     task_record record;
 };
 
 /// @brief What an entry does next for tasks.
 using task_action = std::variant<store_call, task_answer, send_start, send_stop,
-                                 note_shard, note_ended>;
+                                 log_shard, log_task_end>;
 
 /// @brief Several of them, in order.
 using task_actions = std::vector<task_action>;
@@ -184,7 +184,7 @@
     {
         phase at = phase::foreign;
         std::int64_t epoch = 0; ///< creation of the holder's key
-        task_book book;
+        shard_tasks book;
         std::int64_t next_segment = 1;
         std::int64_t since_snapshot = 0;
         std::vector<task_transition> pending;
@@ -251,7 +251,7 @@
     using waiting_tasks =
         std::map<std::string, std::vector<const task_record*>>;
 
-    void forget_promises();
+    void drop_stale_reservations();
     void recount();
     void place_all(time_point now, const guard_views& guards);
     [[nodiscard]] waiting_tasks waiting() const;
@@ -279,8 +279,8 @@
                       bool keep_checkpoint, task_actions& actions);
 
     // Reports of guards.
-    bool is_stranger(time_point now, const shard& of,
-                     const attempt_report& attempt);
+    bool is_orphan(time_point now, const shard& of,
+                   const attempt_report& attempt);
     void take_ended(const std::string& guard, const task_record& record,
                     const attempt_report& report);
     void take_failure(const std::string& guard, const task_record& record,
@@ -301,7 +301,7 @@
     std::map<std::string, std::map<std::string, resources>> peer_usage_;
     std::map<std::string, resources> usage_;
     std::map<std::string, sent_start> starts_; ///< by task
-    std::map<guard_name, std::map<std::string, resources>> promised_;
+    std::map<guard_name, std::map<std::string, resources>> reservations_;
     std::map<std::string, std::set<std::string>> placed_on_; ///< by guard
     std::map<std::string, std::string> addresses_;           ///< by guard
     std::map<std::string, std::set<guard_name>> failed_on_;  ///< by task
--- a/packages/entry/src/request_core.cpp
+++ b/packages/entry/src/request_core.cpp
@@ -64,7 +64,7 @@
         reject(refusal::deadline, duration{0});
         return actions;
     }
-    if (requests_.size() >= options_.most_open)
+    if (requests_.size() >= options_.max_open_requests)
     {
         reject(refusal::queue_full, retry_later);
         return actions;
@@ -110,15 +110,15 @@
 void request_core::count_out(const open_request& of, const guard_name& guard,
                              int change)
 {
-    own_attempts& out = out_[guard];
+    outstanding_attempts& out = out_[guard];
     (of.kind == class_kind::latency_critical ? out.critical : out.other) +=
         change;
 }
 
-own_attempts request_core::out_at(const guard_name& guard) const
+outstanding_attempts request_core::out_at(const guard_name& guard) const
 {
     const auto found = out_.find(guard);
-    return found == out_.end() ? own_attempts{} : found->second;
+    return found == out_.end() ? outstanding_attempts{} : found->second;
 }
 
 void request_core::refuse(request_number number, problem_report why,
@@ -177,8 +177,9 @@
     // Where another guard may have a slot at once, this one is to say so
     // rather than let the request wait.
     const bool critical = of.kind == class_kind::latency_critical;
-    const bool may_wait =
-        !critical || of.bounces >= options_.most_bounces || all.size() == 1;
+    const bool may_wait = !critical ||
+                          of.busy_replies >= options_.max_busy_replies ||
+                          all.size() == 1;
     send_to(now, of, all[*index].guard, may_wait, actions);
     return true;
 }
@@ -256,7 +257,7 @@
         const event_id event = change == outlier_change::ejected
                                    ? event_id::guard_ejected
                                    : event_id::guard_restored;
-        actions.emplace_back(note_guard{.event = event, .guard = sent.guard});
+        actions.emplace_back(log_guard{.event = event, .guard = sent.guard});
     }
 }
 
@@ -294,7 +295,7 @@
     }
     if (why.reason == refusal::busy)
     {
-        ++of.bounces;
+        ++of.busy_replies;
         --of.attempts; // it only asked; no queue and no slot was used
     }
     const bool from_budget = !free_to_retry(why.reason);
@@ -381,11 +382,11 @@
         [[fallthrough]];
     case guard_change::joined:
         actions.emplace_back(
-            note_guard{.event = event_id::guard_joined, .guard = report.guard});
+            log_guard{.event = event_id::guard_joined, .guard = report.guard});
         break;
     case guard_change::leaving:
-        actions.emplace_back(note_guard{.event = event_id::guard_leaving,
-                                        .guard = report.guard});
+        actions.emplace_back(
+            log_guard{.event = event_id::guard_leaving, .guard = report.guard});
         break;
     case guard_change::none:
         break;
@@ -470,7 +471,7 @@
     for (const guard_name& guard : lost)
     {
         actions.emplace_back(
-            note_guard{.event = event_id::guard_lost, .guard = guard});
+            log_guard{.event = event_id::guard_lost, .guard = guard});
     }
     if (!lost.empty())
     {
--- a/packages/entry/src/table_synchronizer.cpp
+++ b/packages/entry/src/table_synchronizer.cpp
@@ -56,7 +56,7 @@
     if (answered != available_)
     {
         available_ = answered;
-        actions.emplace_back(store_seen{.available = answered});
+        actions.emplace_back(store_availability{.available = answered});
     }
 }
 
@@ -79,17 +79,17 @@
         if (rows.revision() > seen_revision_)
         {
             seen_revision_ = rows.revision();
-            actions.emplace_back(table_found{.rows = std::move(rows)});
+            actions.emplace_back(table_loaded{.rows = std::move(rows)});
         }
     }
     catch (const document_error& error)
     {
-        actions.emplace_back(table_unfit{.wrong = error.all()});
+        actions.emplace_back(table_rejected{.wrong = error.all()});
     }
     catch (const json::exception&)
     {
         actions.emplace_back(
-            table_unfit{.wrong = {{.place = "", .message = "is not JSON"}}});
+            table_rejected{.wrong = {{.place = "", .message = "is not JSON"}}});
     }
 }
 
@@ -110,8 +110,8 @@
     {
         const pending_edit& late = edits_.front();
         const auto how = late.in_doubt || late.at == stage::writing
-                             ? edit_ended::ending::unknown
-                             : edit_ended::ending::unavailable;
+                             ? edit_outcome::ending::unknown
+                             : edit_outcome::ending::unavailable;
         end({.number = late.number,
              .how = how,
              .revision = 0,
@@ -166,7 +166,7 @@
     actions.emplace_back(std::move(call));
 }
 
-void table_synchronizer::end(edit_ended how, time_point now,
+void table_synchronizer::end(edit_outcome how, time_point now,
                              table_actions& actions)
 {
     edits_.pop_front();
@@ -225,7 +225,7 @@
     if (contains(writers_of(document), edit.nonce))
     {
         end({.number = edit.number,
-             .how = edit_ended::ending::committed,
+             .how = edit_outcome::ending::committed,
              .revision = edit.written_revision,
              .conflicts = {},
              .wrong = {}},
@@ -236,7 +236,7 @@
     if (!edited.conflicts.empty())
     {
         end({.number = edit.number,
-             .how = edit_ended::ending::conflict,
+             .how = edit_outcome::ending::conflict,
              .revision = 0,
              .conflicts = std::move(edited.conflicts),
              .wrong = {}},
@@ -251,7 +251,7 @@
     catch (const document_error& error)
     {
         end({.number = edit.number,
-             .how = edit_ended::ending::refused,
+             .how = edit_outcome::ending::refused,
              .revision = 0,
              .conflicts = {},
              .wrong = error.all()},
--- a/packages/entry/src/task_core.cpp
+++ b/packages/entry/src/task_core.cpp
@@ -350,8 +350,8 @@
 // A task that is not in the book may be a later holder's, if this entry was
 // overtaken and does not know it yet. It is a stranger only once the store
 // has named this entry the holder after the attempt was seen.
-bool task_core::is_stranger(time_point now, const shard& of,
-                            const attempt_report& attempt)
+bool task_core::is_orphan(time_point now, const shard& of,
+                          const attempt_report& attempt)
 {
     const auto [seen, fresh] =
         unknown_since_.try_emplace({attempt.task, attempt.attempt}, now);
@@ -372,7 +372,7 @@
         {
             continue;
         }
-        promised_[report.guard].erase(attempt.task);
+        reservations_[report.guard].erase(attempt.task);
         const task_record* const record = of->book.find(attempt.task);
         const bool runs =
             attempt.state == "running" || attempt.state == "starting";
@@ -402,7 +402,7 @@
         {
             continue; // a later holder placed it; this one was overtaken
         }
-        if (record == nullptr && !is_stranger(now, *of, attempt))
+        if (record == nullptr && !is_orphan(now, *of, attempt))
         {
             continue;
         }
--- a/packages/entry/src/task_journal.cpp
+++ b/packages/entry/src/task_journal.cpp
@@ -104,7 +104,7 @@
                         {"book", of.book.to_document()},
                         {"next_segment", of.next_segment}};
     std::string value = document.dump();
-    of.too_large = value.size() > options_.most_book_bytes;
+    of.too_large = value.size() > options_.max_snapshot_bytes;
     of.snapshotting = true;
     ++cost_.commits;
     cost_.bytes += value.size();
@@ -197,7 +197,7 @@
         }
         if (was_placed)
         {
-            promised_[{guard}].erase(step.task);
+            reservations_[{guard}].erase(step.task);
             starts_.erase(step.task);
         }
         if (step.what == what::cancel && was_placed)
@@ -208,7 +208,7 @@
         if (is_final(record.state))
         {
             failed_on_.erase(step.task);
-            actions.emplace_back(note_ended{record});
+            actions.emplace_back(log_task_end{record});
         }
     }
     answer_calls(number, actions);
--- a/packages/entry/src/task_placement.cpp
+++ b/packages/entry/src/task_placement.cpp
@@ -36,9 +36,9 @@
 
 // Room is promised to a task from its placement until its guard lists it.
 // What became of it otherwise (another holder, another guard) frees it.
-void task_core::forget_promises()
+void task_core::drop_stale_reservations()
 {
-    for (auto& promised : promised_)
+    for (auto& promised : reservations_)
     {
         const std::string& guard = promised.first.value;
         auto& tasks = promised.second;
@@ -60,7 +60,7 @@
 
 void task_core::recount()
 {
-    forget_promises();
+    drop_stale_reservations();
     usage_.clear();
     placed_on_.clear();
     for (const auto& [number, of] : shards_)
@@ -146,8 +146,8 @@
 resources task_core::free_of(const guard_view& view) const
 {
     resources free = view.report.free;
-    const auto promised = promised_.find(view.report.guard);
-    if (promised != promised_.end())
+    const auto promised = reservations_.find(view.report.guard);
+    if (promised != reservations_.end())
     {
         for (const auto& [task, needs] : promised->second)
         {
@@ -260,7 +260,7 @@
     step.attempt = record.attempt + 1;
     step.guard = chosen->value;
     step.incarnation = view.report.incarnation;
-    promised_[*chosen][record.spec.id] = record.spec.needs;
+    reservations_[*chosen][record.spec.id] = record.spec.needs;
     usage_[record.spec.of.workspace] += record.spec.needs;
     workers_.sent(now, *chosen);
     add(*held_shard(record.spec.id), std::move(step));
@@ -281,7 +281,7 @@
     waiting_tasks queues = waiting();
     std::map<std::string, std::size_t> tries;
     std::size_t places = 0;
-    while (!queues.empty() && places < options_.places_a_round)
+    while (!queues.empty() && places < options_.max_placements_per_tick)
     {
         const auto next =
             std::min_element(queues.begin(), queues.end(),
--- a/packages/entry/src/task_shards.cpp
+++ b/packages/entry/src/task_shards.cpp
@@ -155,7 +155,7 @@
                 of.free_since = now;
             }
             if (preferred == options_.name.value ||
-                now - of.free_since > options_.adopt_after)
+                now - of.free_since > options_.takeover_delay)
             {
                 acquire(number, actions);
             }
@@ -210,7 +210,7 @@
         of.retry_at = now + options_.retry;
         return;
     }
-    of.book = task_book{};
+    of.book = shard_tasks{};
     of.next_segment = 1;
     of.since_snapshot = 0;
     of.snapshot_revision = 0;
@@ -220,7 +220,7 @@
         {
             const json document = json::parse(item.value);
             of.snapshot_revision = item.mod_revision;
-            of.book = task_book::parse(document.at("book"));
+            of.book = shard_tasks::parse(document.at("book"));
             of.next_segment = document.at("next_segment").get<std::int64_t>();
         }
     }
@@ -247,7 +247,7 @@
     }
     of.at = phase::held;
     actions.emplace_back(
-        note_shard{.event = event_id::shard_taken, .shard = number});
+        log_shard{.event = event_id::shard_taken, .shard = number});
 }
 
 void task_core::give_up(std::int64_t number, task_actions& actions)
@@ -277,7 +277,7 @@
     if (was_held)
     {
         actions.emplace_back(
-            note_shard{.event = event_id::shard_lost, .shard = number});
+            log_shard{.event = event_id::shard_lost, .shard = number});
     }
 }
 
--- a/packages/guard/include/springstair/detail/guard/attempt_tracker.hpp
+++ b/packages/guard/include/springstair/detail/guard/attempt_tracker.hpp
@@ -20,7 +20,7 @@
     duration renew_every = std::chrono::seconds(2);
     /// For how long, on the worker's own clock, it may act on a start.
     duration start_window = std::chrono::seconds(3);
-    duration remember_closed = std::chrono::minutes(10);
+    duration tombstone_ttl = std::chrono::minutes(10);
 };
 
 /// @brief The ledger of a worker, and the attempts that run on it.
--- a/packages/guard/include/springstair/detail/guard/guard_core.hpp
+++ b/packages/guard/include/springstair/detail/guard/guard_core.hpp
@@ -113,9 +113,9 @@
         return listed_ && table_.revision() > 0;
     }
     /// @brief Whether the executor may work on attempts not known here.
-    [[nodiscard]] bool has_foreign() const noexcept
+    [[nodiscard]] bool has_orphans() const noexcept
     {
-        return !foreign_.empty() || !in_doubt_.empty();
+        return !orphans_.empty() || !in_doubt_.empty();
     }
     /// @brief Whether nothing runs or waits.
     [[nodiscard]] bool idle() const;
@@ -150,9 +150,9 @@
                   std::optional<problem_report> refused);
     guard_actions refuse(time_point now, const attempt_name& attempt,
                          problem_report why);
-    guard_actions answer_copy(const attempt_name& attempt);
+    guard_actions answer_duplicate(const attempt_name& attempt);
     void start_ready(time_point now, guard_actions& actions);
-    void update_foreign();
+    void count_orphans();
 
     guard_options options_;
     admission admission_;
@@ -167,7 +167,7 @@
     /// Attempts that came, and how they were refused if they were.
     std::map<attempt_name, std::optional<problem_report>> seen_;
     std::map<time_point, std::vector<attempt_name>> forget_at_;
-    std::set<std::string> foreign_;
+    std::set<std::string> orphans_;
     std::map<std::string, time_point> in_doubt_;
     time_point started_;
     time_point last_asked_{};
--- a/packages/guard/include/springstair/detail/guard/interference.hpp
+++ b/packages/guard/include/springstair/detail/guard/interference.hpp
@@ -25,14 +25,14 @@
     double slow_to = 1.25;
     /// Below this headroom all fills are slowed, if those that are known to
     /// harm do not explain it.
-    double blind_below = 1.0;
+    double slow_all_below = 1.0;
     /// Fills get faster as far as that leaves this headroom to all whom they
     /// harm.
     double raise_above = 1.25;
     /// Least factor of one step for fills that are known to harm, and the
     /// factor for all of them while it is not known which ones do.
     double least_factor = 0.1;
-    double blind_factor = 0.6;
+    double slow_all_factor = 0.6;
     /// Known harm below this share of what is missing does not explain it.
     double explained = 0.3;
     /// A pair's harm below this is noise (trials on both sites: harmless
@@ -43,7 +43,7 @@
     double least_pace = 10;
     /// A tail over its target for so long stops all fills; half of what the
     /// platform bears.
-    duration longest_over = std::chrono::milliseconds(1900);
+    duration max_over_target = std::chrono::milliseconds(1900);
     /// Time between steps: the figures are of the last half second.
     duration step = std::chrono::milliseconds(500);
 };
--- a/packages/guard/include/springstair/detail/guard/run_reconciler.hpp
+++ b/packages/guard/include/springstair/detail/guard/run_reconciler.hpp
@@ -53,14 +53,14 @@
     /// of half a second. With the lists in each report of an end, too, reports
     /// took 62 ms of the holder's processor time a second at 160 workers and
     /// 440 starts a second, and 1.26 MB; without, 30 ms and 0.86 MB.
-    duration whole_every = std::chrono::milliseconds(400);
+    duration full_report_interval = std::chrono::milliseconds(400);
     /// What went with a former life is told for so long after a holder has
     /// first heard it: above the time that a new one needs to hear its guards.
     duration repeat_past_for = std::chrono::seconds(6);
     /// A run that was given back, or has ended, is remembered for so long. An
     /// order for it that was made before the holder heard so holds no longer
     /// than the permit on the last report before, 4 s.
-    duration remember_given_back = std::chrono::milliseconds(5000);
+    duration remember_refusals = std::chrono::milliseconds(5000);
     /// Former lives that are told of at most: a guard that no holder hears
     /// for a minute, while its executor crashes every few seconds.
     std::size_t max_past_incarnations = 16;
@@ -118,7 +118,7 @@
 };
 
 /// @brief Let a run work at a share of its speed, in percent.
-struct pace_run
+struct throttle_run
 {
     std::string task;
     std::int64_t run = 0;
@@ -142,7 +142,7 @@
 
 /// @brief One thing to do.
 using executor_action =
-    std::variant<start_run, stop_run, pace_run, poll_executor>;
+    std::variant<start_run, stop_run, throttle_run, poll_executor>;
 
 /// @brief Keeps the runs of one worker as the holder of its jobs orders.
 ///
@@ -171,7 +171,7 @@
     /// @brief A stop ended.
     void on_stopped(const stop_run& what, order_result result, time_point now);
     /// @brief A pace ended.
-    void on_paced(const pace_run& what, order_result result);
+    void on_paced(const throttle_run& what, order_result result);
     /// @brief A look ended. @param asked the life that was meant
     /// @param look nothing if it got no answer
     void on_polled(const executor_incarnation& asked, order_result result,
@@ -245,9 +245,9 @@
         /// When a start was sent that the worker, which had answered just
         /// before, may have taken; one that has been gone for longer than a
         /// look takes cannot have.
-        std::optional<time_point> under_way;
+        std::optional<time_point> start_sent;
         std::optional<time_point> begun; ///< it has, or may have, since then
-        bool surely_begun = false;       ///< the worker said so
+        bool start_confirmed = false;    ///< the worker said so
         time_point listed{};             ///< by the newest look that shows it
         time_point confirmed{};  ///< when the present stage was confirmed
         std::string refusal;     ///< why it is given back once it is gone
@@ -256,7 +256,7 @@
     };
 
     /// A run that surely never begins, and when the worker made that sure.
-    struct given_back_run
+    struct past_refusal
     {
         refused_run what;
         time_point at{};
@@ -289,12 +289,12 @@
     void on_unconfirmed_heartbeat(const worker_description& what,
                                   std::int64_t clock_ms, time_point now);
     void begin_incarnation(const executor_incarnation& next, time_point now);
-    void carry_doubts(time_point now);
+    void carry_uncertain_starts(time_point now);
     void on_unconfirmed_polled(order_result result,
                                const std::optional<executor_snapshot>& look,
                                time_point now);
     void switch_incarnation(const executor_incarnation& who, time_point now);
-    void spare_taken_runs();
+    void drop_surviving_runs();
     void poll_unconfirmed(time_point now, std::vector<executor_action>& out);
     void refuse(const std::string& task, tracked_run& run,
                 const std::string& reason, time_point now);
@@ -308,13 +308,14 @@
     void act_on_run(const std::string& task, tracked_run& run, time_point now,
                     std::vector<executor_action>& out);
     void act_on_worker(time_point now, std::vector<executor_action>& out);
-    void give_back_unstarted(time_point now);
+    void refuse_unstarted(time_point now);
     void take_stop(const stop_order& order, time_point now);
-    void stop_beside(std::vector<executor_action>& out);
-    void tell_given_back(refused_run what, time_point now);
-    [[nodiscard]] bool was_given_back(const start_order& order);
+    void stop_superseded(std::vector<executor_action>& out);
+    void report_refusal(refused_run what, time_point now);
+    [[nodiscard]] bool was_refused(const start_order& order);
     [[nodiscard]] bool has_ended(const start_order& order) const;
-    void note_over(const std::string& task, std::int64_t run, time_point now);
+    void record_ended(const std::string& task, std::int64_t run,
+                      time_point now);
     void give_back(const std::vector<std::string>& tasks, const char* why,
                    time_point now);
     [[nodiscard]] static bool is_void(std::int64_t until_ms, time_point now);
@@ -361,15 +362,15 @@
     std::vector<running_task> running_;
     std::vector<ended_task> ended_;
     /// Of runs that the worker shows beside newer ones that are kept.
-    std::vector<stop_order> stops_beside_;
+    std::vector<stop_order> superseded_stops_;
     std::vector<refused_run> refused_; ///< not told to a holder yet
-    std::map<std::string, given_back_run> given_back_; ///< newest, by task
-    std::map<std::string, ended_run> over_here_;       ///< by task
+    std::map<std::string, past_refusal> past_refusals_; ///< newest, by task
+    std::map<std::string, ended_run> ended_runs_;       ///< by task
     interference_controller interference_;
-    time_point whole_told_{}; ///< when the holder last heard what runs
+    time_point full_reported_at_{}; ///< when the holder last heard what runs
     /// The worker's newest answer was that it does nothing, or nobody takes
     /// calls at its address.
-    bool refuses_ = false;
+    bool unhealthy_ = false;
     bool report_due_ = false;
 };
 
--- a/packages/guard/src/attempt_tracker.cpp
+++ b/packages/guard/src/attempt_tracker.cpp
@@ -298,7 +298,7 @@
 void attempt_tracker::on_tick(time_point now, worker_actions& actions)
 {
     std::erase_if(closed_, [&](const auto& item)
-                  { return now - item.second > options_.remember_closed; });
+                  { return now - item.second > options_.tombstone_ttl; });
     if (now < next_renewal_)
     {
         return;
--- a/packages/guard/src/guard_core.cpp
+++ b/packages/guard/src/guard_core.cpp
@@ -55,7 +55,7 @@
 
 // A copy of an attempt fares as the first one did: what was refused stays
 // refused, and what may run is not called not_run.
-guard_actions guard_core::answer_copy(const attempt_name& attempt)
+guard_actions guard_core::answer_duplicate(const attempt_name& attempt)
 {
     const auto& refused = seen_.at(attempt);
     const problem_report duplicate{.result = outcome::unknown,
@@ -69,7 +69,7 @@
 {
     if (seen_.contains(request.attempt))
     {
-        return answer_copy(request.attempt);
+        return answer_duplicate(request.attempt);
     }
     if (auto refused = refuse_outright(request))
     {
@@ -136,7 +136,7 @@
         // Its slot stays taken until the worker says it is free.
         admission_.abandon(attempt);
         in_doubt_[attempt.value] = now;
-        update_foreign();
+        count_orphans();
         actions.emplace_back(
             reply_problem{.attempt = attempt,
                           .what = {.result = outcome::unknown,
@@ -164,7 +164,7 @@
         const attempt_name attempt{name};
         const bool ended_here = seen_.contains(attempt) &&
                                 !in_doubt_.contains(name) &&
-                                !foreign_.contains(name);
+                                !orphans_.contains(name);
         if (!running_.contains(attempt) && !ended_here)
         {
             foreign.insert(name);
@@ -173,20 +173,20 @@
     // Doubt that arose after the worker was asked is not settled by this.
     std::erase_if(in_doubt_,
                   [&](const auto& item) { return item.second <= asked; });
-    foreign_ = std::move(foreign);
+    orphans_ = std::move(foreign);
     if (asked - started_ >= options_.settle)
     {
         listed_ = true;
     }
-    update_foreign();
+    count_orphans();
     guard_actions actions;
     start_ready(now, actions);
     return actions;
 }
 
-void guard_core::update_foreign()
+void guard_core::count_orphans()
 {
-    std::set<std::string> all = foreign_;
+    std::set<std::string> all = orphans_;
     for (const auto& [name, since] : in_doubt_)
     {
         all.insert(name);
--- a/packages/guard/src/interference.cpp
+++ b/packages/guard/src/interference.cpp
@@ -115,7 +115,7 @@
         return;
     }
     over_since_ = over_since_.value_or(now);
-    if (now - *over_since_ >= options_.longest_over)
+    if (now - *over_since_ >= options_.max_over_target)
     {
         for (const auto& [filling, use] : seen.use)
         {
@@ -146,7 +146,7 @@
     {
         slow_known(serving, headroom, now);
     }
-    else if (headroom < options_.blind_below)
+    else if (headroom < options_.slow_all_below)
     {
         slow_all(serving, headroom, now);
     }
@@ -190,7 +190,7 @@
 {
     for (const auto& [filling, use] : now.use)
     {
-        slow(filling, options_.blind_factor,
+        slow(filling, options_.slow_all_factor,
              {.serving = serving, .headroom = headroom, .use = use});
     }
 }
@@ -229,7 +229,7 @@
             const double spare = headroom - options_.raise_above;
             raise = std::min(raise, spare / (harm * full) * full_pace);
         }
-        else if (headroom < options_.blind_below)
+        else if (headroom < options_.slow_all_below)
         {
             return 0;
         }
--- a/packages/guard/src/run_reconciler.cpp
+++ b/packages/guard/src/run_reconciler.cpp
@@ -157,8 +157,7 @@
                           is_void(orders.starts_until_ms, now);
     for (const start_order& order : orders.starts)
     {
-        if (are_void || was_given_back(order) ||
-            is_ended(order.task, order.run))
+        if (are_void || was_refused(order) || is_ended(order.task, order.run))
         {
             continue;
         }
@@ -205,7 +204,7 @@
     {
         if (is_running(order.task, order.run))
         {
-            stops_beside_.push_back(order);
+            superseded_stops_.push_back(order);
         }
         return;
     }
@@ -224,9 +223,9 @@
 }
 
 // The holder repeats these until the worker shows the run no more.
-void run_reconciler::stop_beside(std::vector<executor_action>& out)
+void run_reconciler::stop_superseded(std::vector<executor_action>& out)
 {
-    for (stop_order& order : std::exchange(stops_beside_, {}))
+    for (stop_order& order : std::exchange(superseded_stops_, {}))
     {
         out.emplace_back(stop_run{
             .order = std::move(order), .fence = fence(), .life = worker_.life});
@@ -243,7 +242,7 @@
     }
     if (answer.orders.epoch > epoch_)
     {
-        whole_told_ = {}; // not to this holder
+        full_reported_at_ = {}; // not to this holder
     }
     if (answer.admission.number > 0)
     {
@@ -265,7 +264,7 @@
     interference_.learn(answer.harms);
     if (report.whole && report.looked)
     {
-        whole_told_ = std::max(whole_told_, sent);
+        full_reported_at_ = std::max(full_reported_at_, sent);
     }
     on_orders(answer.orders, now);
 }
@@ -281,16 +280,12 @@
     {
         return out;
     }
-    std::erase_if(given_back_,
-                  [&](const auto& one) {
-                      return now - one.second.at > options_.remember_given_back;
-                  });
-    std::erase_if(over_here_,
-                  [&](const auto& one) {
-                      return now - one.second.at > options_.remember_given_back;
-                  });
-    give_back_unstarted(now);
-    stop_beside(out);
+    std::erase_if(past_refusals_, [&](const auto& one)
+                  { return now - one.second.at > options_.remember_refusals; });
+    std::erase_if(ended_runs_, [&](const auto& one)
+                  { return now - one.second.at > options_.remember_refusals; });
+    refuse_unstarted(now);
+    stop_superseded(out);
     for (auto& [task, kept] : runs_)
     {
         act_on_run(task, kept, now, out);
@@ -310,10 +305,10 @@
 // order for it can be on its way meanwhile, or come a second time; begun again,
 // the task would run where its holder no longer looks for it. A holder that
 // still counts on the run hears of it again.
-bool run_reconciler::was_given_back(const start_order& order)
+bool run_reconciler::was_refused(const start_order& order)
 {
-    const auto found = given_back_.find(order.task);
-    if (found == given_back_.end() || found->second.what.run < order.run)
+    const auto found = past_refusals_.find(order.task);
+    if (found == past_refusals_.end() || found->second.what.run < order.run)
     {
         return false;
     }
@@ -333,13 +328,13 @@
 // ended as done. It is stopped instead, and given back if it is still wanted.
 bool run_reconciler::has_ended(const start_order& order) const
 {
-    const auto found = over_here_.find(order.task);
-    return found != over_here_.end() && order.run <= found->second.run;
+    const auto found = ended_runs_.find(order.task);
+    return found != ended_runs_.end() && order.run <= found->second.run;
 }
 
 // A draining worker begins nothing more, nor does one in a closed data centre,
 // and no worker what the holder may have given up by now.
-void run_reconciler::give_back_unstarted(time_point now)
+void run_reconciler::refuse_unstarted(time_point now)
 {
     std::vector<std::string> draining;
     std::vector<std::string> closed;
@@ -388,11 +383,11 @@
         return;
     }
     run.pace_open = true;
-    out.emplace_back(pace_run{.task = task,
-                              .run = run.order.run,
-                              .percent = wanted,
-                              .fence = fence(),
-                              .life = worker_.life});
+    out.emplace_back(throttle_run{.task = task,
+                                  .run = run.order.run,
+                                  .percent = wanted,
+                                  .fence = fence(),
+                                  .life = worker_.life});
 }
 
 void run_reconciler::act_on_run(const std::string& task, tracked_run& run,
@@ -420,7 +415,7 @@
     run.call_open = true;
     if (now - answered_ <= options_.poll_wait + options_.poll_retry)
     {
-        run.under_way = run.under_way.value_or(now);
+        run.start_sent = run.start_sent.value_or(now);
     }
     out.emplace_back(start_run{.order = run.order,
                                .deadline_ms = lease_to(left, now),
@@ -463,22 +458,22 @@
 
 worker_report run_reconciler::report(time_point now) const
 {
-    worker_report out{.epoch = epoch_,
-                      .incarnation = incarnation_,
-                      .sent_ms = vm_clock_ms(now),
-                      .admission = admission_,
-                      .worker = worker_,
-                      .looked = polled_,
-                      .lists_age_ms = to_milliseconds(now - polled_at_),
-                      .failing_ms =
-                          to_milliseconds(now - failing_since_.value_or(now)),
-                      .whole = now - whole_told_ >= options_.whole_every,
-                      .answering = !is_silent(now) && !refuses_,
-                      .lapsed = is_silent(now) && now >= leased_until_,
-                      .lease_ms = lease_left(now),
-                      .ended = ended_,
-                      .refused = refused_,
-                      .paces = interference_.paces()};
+    worker_report out{
+        .epoch = epoch_,
+        .incarnation = incarnation_,
+        .sent_ms = vm_clock_ms(now),
+        .admission = admission_,
+        .worker = worker_,
+        .looked = polled_,
+        .lists_age_ms = to_milliseconds(now - polled_at_),
+        .failing_ms = to_milliseconds(now - failing_since_.value_or(now)),
+        .whole = now - full_reported_at_ >= options_.full_report_interval,
+        .answering = !is_silent(now) && !unhealthy_,
+        .lapsed = is_silent(now) && now >= leased_until_,
+        .lease_ms = lease_left(now),
+        .ended = ended_,
+        .refused = refused_,
+        .paces = interference_.paces()};
     if (out.whole)
     {
         list_runs(out);
--- a/packages/guard/src/run_reconciler_incarnations.cpp
+++ b/packages/guard/src/run_reconciler_incarnations.cpp
@@ -59,10 +59,10 @@
 {
     remember_incarnation(now);
     failing_since_.reset();
-    refuses_ = false;
+    unhealthy_ = false;
     if (next.id == worker_.life.id)
     {
-        carry_doubts(now);
+        carry_uncertain_starts(now);
     }
     else
     {
@@ -71,15 +71,16 @@
     running_.clear();
     ended_.clear();
     refused_.clear();
-    given_back_.clear();
-    over_here_.clear();
-    stops_beside_.clear();
+    past_refusals_.clear();
+    ended_runs_.clear();
+    superseded_stops_.clear();
     polled_ = false;
     polled_at_ = now;
     poll_failed_ = false;
     knows_clock_ = false;
     vouched_at_ = {};
-    whole_told_ = {}; // the first report of a life has to show what it took
+    full_reported_at_ =
+        {}; // the first report of a life has to show what it took
     poll_open_ = false;
     acknowledged_ = 0;
     ++incarnation_count_;
@@ -92,7 +93,7 @@
 // A start without an answer may be at the next life of the executor, now or
 // later; its stop is repeated there. Remembered at the former life alone, such
 // a run began beside the one that had taken its place.
-void run_reconciler::carry_doubts(time_point now)
+void run_reconciler::carry_uncertain_starts(time_point now)
 {
     std::erase_if(runs_,
                   [](const auto& one)
@@ -206,7 +207,7 @@
 void run_reconciler::remember_run(const std::string& task,
                                   const tracked_run& run)
 {
-    const auto begun = run.begun ? run.begun : run.under_way;
+    const auto begun = run.begun ? run.begun : run.start_sent;
     if (!begun || is_ended(task, run.order.run))
     {
         return;
@@ -215,7 +216,7 @@
     over_.begun.push_back({.task = task,
                            .run = run.order.run,
                            .at_work_ms = to_milliseconds(shown),
-                           .is_sure = run.surely_begun});
+                           .is_sure = run.start_confirmed});
 }
 
 void run_reconciler::remember_incarnation(time_point now)
@@ -238,7 +239,7 @@
 
 // A start that was taken for one of the life before may have been the next
 // one's: its lists show it, and no crash speaks of it.
-void run_reconciler::spare_taken_runs()
+void run_reconciler::drop_surviving_runs()
 {
     if (former_.empty() || former_.back().what.life.id != worker_.life.id)
     {
--- a/packages/guard/src/run_reconciler_results.cpp
+++ b/packages/guard/src/run_reconciler_results.cpp
@@ -32,14 +32,13 @@
         run.next_call = now;
         return;
     }
-    tell_given_back({.task = task, .run = run.order.run, .reason = reason},
-                    now);
+    report_refusal({.task = task, .run = run.order.run, .reason = reason}, now);
     runs_.erase(task);
 }
 
-void run_reconciler::tell_given_back(refused_run what, time_point now)
+void run_reconciler::report_refusal(refused_run what, time_point now)
 {
-    given_back_run& newest = given_back_[what.task];
+    past_refusal& newest = past_refusals_[what.task];
     if (what.run >= newest.what.run)
     {
         newest = {.what = what, .at = now};
@@ -56,8 +55,8 @@
     const bool refuses = result == order_result::unhealthy;
     if (refuses || result == order_result::accepted)
     {
-        report_due_ = report_due_ || refuses != refuses_;
-        refuses_ = refuses;
+        report_due_ = report_due_ || refuses != unhealthy_;
+        unhealthy_ = refuses;
     }
 }
 
@@ -76,9 +75,9 @@
     kept.call_open = false;
     if (result == order_result::unanswered)
     {
-        kept.begun = kept.begun ? kept.begun : kept.under_way;
+        kept.begun = kept.begun ? kept.begun : kept.start_sent;
     }
-    kept.under_way.reset();
+    kept.start_sent.reset();
     if (kept.at != stage::starting)
     {
         return; // a stop was ordered meanwhile
@@ -89,7 +88,7 @@
         kept.at = stage::running;
         kept.confirmed = now;
         kept.begun = kept.begun.value_or(now);
-        kept.surely_begun = true;
+        kept.start_confirmed = true;
         return;
     case order_result::late:
         kept.next_call = now + options_.retry_after;
@@ -217,7 +216,7 @@
     if (is_first)
     {
         expect_longest_lease(now);
-        spare_taken_runs();
+        drop_surviving_runs();
     }
     settle(sent, now);
     std::map<std::string, run_traits> traits;
@@ -230,7 +229,7 @@
     interference_.observe(running_, traits, worker_.capacity.cpu_millis, now);
 }
 
-void run_reconciler::on_paced(const pace_run& what, order_result result)
+void run_reconciler::on_paced(const throttle_run& what, order_result result)
 {
     const auto found = runs_.find(what.task);
     if (found == runs_.end() || found->second.order.run != what.run)
@@ -244,10 +243,10 @@
     }
 }
 
-void run_reconciler::note_over(const std::string& task, std::int64_t run,
-                               time_point now)
+void run_reconciler::record_ended(const std::string& task, std::int64_t run,
+                                  time_point now)
 {
-    ended_run& of = over_here_[task];
+    ended_run& of = ended_runs_[task];
     of = {.run = std::max(of.run, run), .at = now};
 }
 
@@ -259,7 +258,7 @@
     const bool lists_all_ends = ended_.size() < options_.most_ends_listed;
     for (const ended_task& row : ended_)
     {
-        note_over(row.task, row.run, now);
+        record_ended(row.task, row.run, now);
     }
     std::vector<std::string> gone;
     for (auto& [task, kept] : runs_)
@@ -274,7 +273,7 @@
         if (there)
         {
             kept.begun = kept.begun.value_or(sent);
-            kept.surely_begun = true;
+            kept.start_confirmed = true;
             kept.listed = sent;
         }
         if (there && kept.at == stage::starting)
@@ -288,14 +287,14 @@
         }
         if (kept.at == stage::running && kept.confirmed < sent)
         {
-            note_over(task, run, now);
+            record_ended(task, run, now);
             gone.push_back(task); // its end was acknowledged
         }
         if (kept.at == stage::stopped &&
             kept.confirmed + options_.stop_time < sent)
         {
-            tell_given_back({.task = task, .run = run, .reason = kept.refusal},
-                            now);
+            report_refusal({.task = task, .run = run, .reason = kept.refusal},
+                           now);
             gone.push_back(task);
         }
     }
--- a/packages/jobs/include/springstair/detail/jobs/advice.hpp
+++ b/packages/jobs/include/springstair/detail/jobs/advice.hpp
@@ -12,12 +12,12 @@
 
 /// @brief Which of some workers may run a step? Asked of the service that a
 /// queue's row names.
-struct advice_question
+struct advice_query
 {
     std::string step; ///< step_group(): job, round and step
     std::vector<executor_incarnation> lives;
 
-    bool operator==(const advice_question&) const = default;
+    bool operator==(const advice_query&) const = default;
 };
 
 /// @brief Tickets; each holds for one life and goes with every start of its
--- a/packages/platform/src/platform_client.cpp
+++ b/packages/platform/src/platform_client.cpp
@@ -113,7 +113,7 @@
                   .headers = {{"content-type", "application/json"}},
                   .body = make_body(body.dump()),
                   .timeout = call_timeout,
-                  .exactly_one_connection = true},
+                  .dedicated_connection = true},
                  [](const http_result&) {});
 }
 
--- a/packages/policy/include/springstair/detail/policy/admission.hpp
+++ b/packages/policy/include/springstair/detail/policy/admission.hpp
@@ -76,7 +76,7 @@
     /// @brief Slots known to be taken by attempts that are not ours.
     void occupy(std::int64_t slots) noexcept
     {
-        foreign_ = slots;
+        orphans_ = slots;
     }
 
     /// @brief What runs and waits.
@@ -133,7 +133,7 @@
     double virtual_time_ = 0;
     std::int64_t running_critical_ = 0;
     std::int64_t running_other_ = 0;
-    std::int64_t foreign_ = 0;
+    std::int64_t orphans_ = 0;
 };
 
 } // namespace springstair
--- a/packages/policy/include/springstair/detail/policy/fleet_limits.hpp
+++ b/packages/policy/include/springstair/detail/policy/fleet_limits.hpp
@@ -92,7 +92,7 @@
         std::map<std::string, borrowed_units> borrowed;
     };
 
-    [[nodiscard]] std::int64_t even_part(std::int64_t limit) const;
+    [[nodiscard]] std::int64_t even_quota(std::int64_t limit) const;
     [[nodiscard]] std::int64_t limit_of(const std::string& workspace) const;
     [[nodiscard]] std::int64_t own_part(const usage& of,
                                         std::int64_t limit) const;
--- a/packages/policy/include/springstair/detail/policy/router.hpp
+++ b/packages/policy/include/springstair/detail/policy/router.hpp
@@ -19,7 +19,7 @@
 using random_source = std::mt19937_64;
 
 /// @brief Attempts of this entry that a guard has not answered yet.
-struct own_attempts
+struct outstanding_attempts
 {
     int critical = 0;
     int other = 0;
@@ -93,7 +93,8 @@
 /// @param load what the guard reported @param own this entry's attempts
 /// @param kind of the request
 /// @param reserved slots kept for latency-critical classes
-route_candidate make_candidate(const load_report& load, const own_attempts& own,
-                               class_kind kind, std::int64_t reserved);
+route_candidate make_candidate(const load_report& load,
+                               const outstanding_attempts& own, class_kind kind,
+                               std::int64_t reserved);
 
 } // namespace springstair
--- a/packages/policy/src/admission.cpp
+++ b/packages/policy/src/admission.cpp
@@ -67,7 +67,7 @@
 
 std::int64_t admission::taken() const noexcept
 {
-    return running_critical_ + running_other_ + foreign_;
+    return running_critical_ + running_other_ + orphans_;
 }
 
 bool admission::may_start(bool critical) const noexcept
@@ -76,7 +76,7 @@
     {
         return false;
     }
-    return critical || running_other_ + foreign_ < open_to(false);
+    return critical || running_other_ + orphans_ < open_to(false);
 }
 
 void admission::release(const attempt_name& attempt)
@@ -114,7 +114,7 @@
 {
     load_report report{.slots = options_.slots,
                        .running_critical = running_critical_,
-                       .running_other = running_other_ + foreign_};
+                       .running_other = running_other_ + orphans_};
     for (const auto& [name, workspace] : lanes_)
     {
         for (const auto& [of, lane] : workspace.classes)
--- a/packages/policy/src/fleet_limits.cpp
+++ b/packages/policy/src/fleet_limits.cpp
@@ -55,7 +55,7 @@
 // Parts
 // ---------------------------------------------------------------------------
 
-std::int64_t fleet_limits::even_part(std::int64_t limit) const
+std::int64_t fleet_limits::even_quota(std::int64_t limit) const
 {
     const auto count = static_cast<std::int64_t>(members_.size());
     const std::int64_t rank =
@@ -71,7 +71,7 @@
 
 std::int64_t fleet_limits::own_part(const usage& of, std::int64_t limit) const
 {
-    std::int64_t units = even_part(limit);
+    std::int64_t units = even_quota(limit);
     for (const auto& [peer, loan] : of.lent)
     {
         units -= loan.counted;
@@ -96,7 +96,7 @@
     const auto found = usage_.find(workspace);
     if (found == usage_.end())
     {
-        return even_part(limit);
+        return even_quota(limit);
     }
     return own_part(found->second, limit) + borrowed_now(now, found->second);
 }
--- a/packages/policy/src/router.cpp
+++ b/packages/policy/src/router.cpp
@@ -113,8 +113,9 @@
     return std::nullopt;
 }
 
-route_candidate make_candidate(const load_report& load, const own_attempts& own,
-                               class_kind kind, std::int64_t reserved)
+route_candidate make_candidate(const load_report& load,
+                               const outstanding_attempts& own, class_kind kind,
+                               std::int64_t reserved)
 {
     const auto slots = std::max<std::int64_t>(1, load.slots);
     const std::int64_t kept = std::min(reserved, slots - 1);
--- a/packages/scheduler/include/springstair/detail/scheduler/end_proof.hpp
+++ b/packages/scheduler/include/springstair/detail/scheduler/end_proof.hpp
@@ -27,7 +27,7 @@
     /// copy of the start may be under way, the worker was told never to begin
     /// it, and a later look did not show it. Not so if the same report shows
     /// the run, or another copy of its order.
-    static end_proof given_back()
+    static end_proof refused_by_worker()
     {
         return {run_end::refused, {}, {}};
     }
--- a/packages/scheduler/include/springstair/detail/scheduler/scheduler_core.hpp
+++ b/packages/scheduler/include/springstair/detail/scheduler/scheduler_core.hpp
@@ -233,7 +233,7 @@
 
     /// @brief What to ask the advice service next; nothing while a question
     /// is out. The caller answers with advised().
-    std::optional<advice_question> next_question(time_point now)
+    std::optional<advice_query> next_question(time_point now)
     {
         return advice_.next_question(now);
     }
--- a/packages/scheduler/include/springstair/detail/scheduler/ticket_cache.hpp
+++ b/packages/scheduler/include/springstair/detail/scheduler/ticket_cache.hpp
@@ -40,7 +40,7 @@
               const std::vector<executor_incarnation>& lives, time_point now);
     /// @brief The question that has waited longest; nothing while one is out
     /// or none waits.
-    std::optional<advice_question> next_question(time_point now);
+    std::optional<advice_query> next_question(time_point now);
     /// @brief What came of the question that is out; nothing if no answer.
     void answered(const std::optional<advice_answer>& answer, time_point now);
     /// @brief A worker did not take its ticket: it is asked about again.
@@ -66,7 +66,7 @@
 
     ticket_options options_;
     std::map<std::string, step_record> steps_;
-    std::optional<advice_question> out_;
+    std::optional<advice_query> out_;
     time_point out_since_{};
 };
 
--- a/packages/scheduler/src/scheduler_reports.cpp
+++ b/packages/scheduler/src/scheduler_reports.cpp
@@ -212,7 +212,7 @@
                             at.what.life);
         }
         task->not_before = now + options_.refused_backoff;
-        close_run(*of, *task, end_proof::given_back(), now);
+        close_run(*of, *task, end_proof::refused_by_worker(), now);
     }
 }
 
--- a/packages/scheduler/src/ticket_cache.cpp
+++ b/packages/scheduler/src/ticket_cache.cpp
@@ -47,7 +47,7 @@
     }
 }
 
-std::optional<advice_question> ticket_cache::next_question(time_point now)
+std::optional<advice_query> ticket_cache::next_question(time_point now)
 {
     if (out_)
     {
@@ -68,8 +68,8 @@
     {
         return std::nullopt;
     }
-    out_ = advice_question{.step = waiting->first,
-                           .lives = std::move(waiting->second.wanted)};
+    out_ = advice_query{.step = waiting->first,
+                        .lives = std::move(waiting->second.wanted)};
     waiting->second.wanted.clear();
     out_since_ = now;
     return out_;
@@ -78,7 +78,7 @@
 void ticket_cache::answered(const std::optional<advice_answer>& answer,
                             time_point now)
 {
-    const advice_question question = out_.value();
+    const advice_query question = out_.value();
     out_.reset();
     const auto found = steps_.find(question.step);
     if (found == steps_.end())
--- a/packages/store/src/etcd_client.cpp
+++ b/packages/store/src/etcd_client.cpp
@@ -60,7 +60,7 @@
          .headers = {{"content-type", "application/json"}},
          .body = make_body(call.body.dump()),
          .timeout = options_.timeout,
-         .exactly_one_connection = false},
+         .dedicated_connection = false},
         [this, operation, done = std::move(done)](const http_result& result)
         {
             if (result.how != delivery::answered)
--- a/packages/tasks/include/springstair/detail/tasks/task_book.hpp
+++ b/packages/tasks/include/springstair/detail/tasks/shard_tasks.hpp
@@ -95,7 +95,7 @@
 /// Applying the same transitions in the same order gives the same book, at
 /// whichever entry. A transition that does not follow from the present
 /// state is passed over, so replaying is harmless.
-class task_book
+class shard_tasks
 {
 public:
     /// @brief How many ended tasks are remembered.
@@ -114,9 +114,9 @@
     [[nodiscard]] json to_document() const;
     /// @brief Reads to_document()'s document.
     /// @throw nlohmann's exceptions if it is not one
-    static task_book parse(const json& document);
+    static shard_tasks parse(const json& document);
 
-    bool operator==(const task_book&) const = default;
+    bool operator==(const shard_tasks&) const = default;
 
 private:
     void end(task_record& record, task_state state, const std::string& detail);
--- a/packages/tasks/include/springstair/detail/tasks/task_messages.hpp
+++ b/packages/tasks/include/springstair/detail/tasks/task_messages.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include <springstair/detail/tasks/task_book.hpp>
+#include <springstair/detail/tasks/shard_tasks.hpp>
 
 #include <string>
 
--- a/packages/tasks/src/task_book.cpp
+++ b/packages/tasks/src/shard_tasks.cpp
@@ -60,8 +60,8 @@
 // Steps
 // ---------------------------------------------------------------------------
 
-void task_book::end(task_record& record, task_state state,
-                    const std::string& detail)
+void shard_tasks::end(task_record& record, task_state state,
+                      const std::string& detail)
 {
     record.state = state;
     record.detail = detail;
@@ -75,7 +75,7 @@
     }
 }
 
-bool task_book::apply(const task_transition& step)
+bool shard_tasks::apply(const task_transition& step)
 {
     using what = task_transition::step;
     if (step.what == what::accept)
@@ -143,13 +143,13 @@
     return true;
 }
 
-const task_record* task_book::find(const std::string& task) const
+const task_record* shard_tasks::find(const std::string& task) const
 {
     const auto found = records_.find(task);
     return found == records_.end() ? nullptr : &found->second;
 }
 
-json task_book::to_document() const
+json shard_tasks::to_document() const
 {
     json tasks = json::array();
     for (const auto& [id, record] : records_)
@@ -159,9 +159,9 @@
     return {{"tasks", tasks}, {"ended", ended_}};
 }
 
-task_book task_book::parse(const json& document)
+shard_tasks shard_tasks::parse(const json& document)
 {
-    task_book book;
+    shard_tasks book;
     for (const json& item : document.at("tasks"))
     {
         auto record = item.get<task_record>();
--- a/packages/transport/include/springstair/detail/transport/connection_pool.hpp
+++ b/packages/transport/include/springstair/detail/transport/connection_pool.hpp
@@ -13,7 +13,7 @@
 {
 
 /// @brief What ended a call on a kept connection without an answer.
-enum class call_loss : std::uint8_t
+enum class call_failure : std::uint8_t
 {
     unanswered,    ///< its time limit: the peer may only be slow
     unacknowledged ///< not even its bytes arrived: the connection is dead
@@ -55,7 +55,7 @@
     /// @param began when that call was sent: what was opened since, works
     /// @param busy the sockets that carry calls; each tells of itself
     /// @return the sockets of the peer to give up; they are not kept any more
-    std::vector<int> lost(const std::string& peer, call_loss how,
+    std::vector<int> lost(const std::string& peer, call_failure how,
                           time_point began, const std::set<int>& busy);
 
     /// @brief The kept connections to a peer: sockets, and since when.
--- a/packages/transport/include/springstair/detail/transport/http_client.hpp
+++ b/packages/transport/include/springstair/detail/transport/http_client.hpp
@@ -13,10 +13,11 @@
 /// @brief What is known of a call that ended.
 enum class delivery : std::uint8_t
 {
-    answered, ///< the whole answer is here
-    not_sent, ///< no connection: not a byte of the request left
-    withheld, ///< no connection that the call may use: not a byte left
-    unknown   ///< the request, or part of it, was sent; no whole answer
+    answered,               ///< the whole answer is here
+    not_sent,               ///< no connection: not a byte of the request left
+    no_eligible_connection, ///< no connection that the call may use: not a byte
+                            ///< left
+    unknown ///< the request, or part of it, was sent; no whole answer
 };
 
 /// @brief A call to make.
@@ -37,7 +38,7 @@
     duration connect_timeout = std::chrono::milliseconds(500);
     /// A connection of its own, so that not even a read is sent twice, and
     /// no idle connection that is about to end loses it.
-    bool exactly_one_connection = false;
+    bool dedicated_connection = false;
     /// Only on a connection that was made before then: it reaches the process
     /// that was there at that time, or nobody. One that has started since at
     /// the same address gets it on no account.
@@ -45,7 +46,7 @@
     /// Calls open to the peer at once, and so its connections; more wait for
     /// their turn, in order, and end as `not_sent` if it takes longer than
     /// their timeout, which counts anew once they are sent.
-    std::size_t most_open = usual_most_open;
+    std::size_t max_open_calls = default_max_open_calls;
     /// Whether time limits tell that connections to this peer are silent. Not
     /// for one that leaves single calls unanswered: there, only bytes that
     /// are not acknowledged tell.
@@ -53,10 +54,10 @@
     /// How long bytes may stay unacknowledged before a connection to the peer
     /// is dead. The usual is above the queue of a crowded thin link: 1.1 s for
     /// a page of 1 MB at 10 Mbit/s.
-    duration silence_bound = std::chrono::milliseconds(3000);
+    duration ack_timeout = std::chrono::milliseconds(3000);
 
     /// Enough for calls that take milliseconds.
-    static constexpr std::size_t usual_most_open = 6;
+    static constexpr std::size_t default_max_open_calls = 6;
 };
 
 /// @brief What came of a call.
--- a/packages/transport/src/socket_watch.cpp
+++ b/packages/transport/src/ack_timeout.cpp
@@ -1,4 +1,4 @@
-#include "socket_watch.hpp"
+#include "ack_timeout.hpp"
 
 #include <netinet/in.h>
 #include <netinet/tcp.h>
@@ -20,7 +20,7 @@
 
 } // namespace
 
-bool watch_socket(int socket, duration bound)
+bool set_ack_timeout(int socket, duration bound)
 {
     const int unacknowledged_ms = static_cast<int>(to_milliseconds(bound));
     return set_option(socket, SOL_SOCKET, SO_KEEPALIVE, 1) &&
--- a/packages/transport/src/socket_watch.hpp
+++ b/packages/transport/src/ack_timeout.hpp
@@ -11,6 +11,6 @@
 /// Also while nothing is to be said: an idle connection is probed each second.
 /// @param bound how long our bytes may stay unacknowledged
 /// @return whether the kernel took it; errno tells why not
-bool watch_socket(int socket, duration bound);
+bool set_ack_timeout(int socket, duration bound);
 
 } // namespace springstair
--- a/packages/transport/src/connection_pool.cpp
+++ b/packages/transport/src/connection_pool.cpp
@@ -61,13 +61,13 @@
     }
 }
 
-std::vector<int> connection_pool::lost(const std::string& peer, call_loss how,
-                                       time_point began,
+std::vector<int> connection_pool::lost(const std::string& peer,
+                                       call_failure how, time_point began,
                                        const std::set<int>& busy)
 {
     peer_state& of = peers_[peer];
     ++of.unanswered_in_a_row;
-    const bool dead = how == call_loss::unacknowledged ||
+    const bool dead = how == call_failure::unacknowledged ||
                       of.unanswered_in_a_row >= too_many_unanswered;
     std::vector<int> given_up;
     if (!dead)
--- a/packages/transport/src/http_client.cpp
+++ b/packages/transport/src/http_client.cpp
@@ -199,7 +199,7 @@
 
     void start(std::unique_ptr<open_call> call)
     {
-        if (pool.begin(call->peer, call->call.most_open))
+        if (pool.begin(call->peer, call->call.max_open_calls))
         {
             send(std::move(call));
             return;
@@ -244,7 +244,8 @@
             late->done({.how = delivery::not_sent,
                         .error = "no connection was free in time"});
         }
-        if (!calls.empty() && pool.begin(peer, calls.front()->call.most_open))
+        if (!calls.empty() &&
+            pool.begin(peer, calls.front()->call.max_open_calls))
         {
             send(std::move(calls.front()));
             calls.pop_front();
@@ -287,7 +288,7 @@
 
     // Shut down, an idle connection is not taken for a call any more; the
     // library closes it at its next look.
-    std::size_t give_up_idle(const open_call& lost, call_loss how)
+    std::size_t give_up_idle(const open_call& lost, call_failure how)
     {
         const auto given_up =
             pool.lost(lost.peer, how, lost.since, busy_sockets());
@@ -298,19 +299,19 @@
         return given_up.size();
     }
 
-    void note_silent(const open_call& lost, call_loss how)
+    void note_silent(const open_call& lost, call_failure how)
     {
         ++silent_connections;
         const http_call& call = lost.call;
         const bool tells =
-            how == call_loss::unacknowledged || call.answers_each_call;
+            how == call_failure::unacknowledged || call.answers_each_call;
         const std::size_t given_up = tells ? give_up_idle(lost, how) : 0;
         const duration waited = boot_clock::now() - lost.since;
         log_event(
             event_id::connection_silent,
             {{"peer", lost.peer},
              {"lost", call.method + " " + call.url.substr(lost.peer.size())},
-             {"dead", how == call_loss::unacknowledged ? "yes" : "no"},
+             {"dead", how == call_failure::unacknowledged ? "yes" : "no"},
              {"idle_given_up", std::to_string(given_up)},
              {"waited_ms", std::to_string(to_milliseconds(waited))}});
     }
@@ -329,7 +330,7 @@
         }
         if (pending_error(socket) == ETIMEDOUT)
         {
-            note_silent(*found->second, call_loss::unacknowledged);
+            note_silent(*found->second, call_failure::unacknowledged);
         }
     }
 
@@ -347,7 +348,7 @@
             const open_call& ended = *open.at(handle);
             if (code == CURLE_OPERATION_TIMEDOUT && !ended.opened_one)
             {
-                note_silent(ended, call_loss::unanswered);
+                note_silent(ended, call_failure::unanswered);
             }
             else if (code == CURLE_OK && !ended.opened_one)
             {
@@ -378,7 +379,7 @@
         }
         for (CURL* handle : overdue)
         {
-            note_silent(*open.at(handle), call_loss::unanswered);
+            note_silent(*open.at(handle), call_failure::unanswered);
             finish(handle, open.at(handle)->result(CURLE_OPERATION_TIMEDOUT));
         }
         std::vector<std::string> peers;
--- a/packages/transport/src/http_server.cpp
+++ b/packages/transport/src/http_server.cpp
@@ -1,6 +1,6 @@
 #include <springstair/transport.hpp>
 
-#include "socket_watch.hpp"
+#include "ack_timeout.hpp"
 
 #include <absl/synchronization/mutex.h>
 
@@ -63,7 +63,7 @@
 constexpr duration longest_flush = std::chrono::seconds(2);
 // Callers that are gone without a word hold 32 KB and a descriptor each; above
 // the queue of a crowded thin link.
-constexpr duration silence_bound = std::chrono::seconds(5);
+constexpr duration ack_timeout = std::chrono::seconds(5);
 constexpr int payload_too_large = 413;
 
 std::string lower_case(std::string_view text)
@@ -277,7 +277,7 @@
     ++server.connections;
     const MHD_ConnectionInfo* const info =
         MHD_get_connection_info(connection, MHD_CONNECTION_INFO_CONNECTION_FD);
-    if (info == nullptr || !watch_socket(info->connect_fd, silence_bound))
+    if (info == nullptr || !set_ack_timeout(info->connect_fd, ack_timeout))
     {
         // It still ends by the server's idle time.
         log_event(event_id::connection_not_opened,
--- a/packages/transport/src/open_call.cpp
+++ b/packages/transport/src/open_call.cpp
@@ -1,6 +1,6 @@
 #include "open_call.hpp"
 
-#include "socket_watch.hpp"
+#include "ack_timeout.hpp"
 
 #include <arpa/inet.h>
 #include <netinet/in.h>
@@ -65,15 +65,16 @@
                           curl_sockaddr* address)
 {
     auto& current = *static_cast<open_call*>(context);
-    current.is_withheld = current.call.connected_before.has_value();
-    if (current.is_withheld || !current.may_be_sent())
+    current.is_no_eligible_connection =
+        current.call.connected_before.has_value();
+    if (current.is_no_eligible_connection || !current.may_be_sent())
     {
         return CURL_SOCKET_BAD; // spares the connection, and waiting for it
     }
     current.opened_one = true;
     const int fd = socket(address->family, address->socktype | SOCK_CLOEXEC,
                           address->protocol);
-    if (fd < 0 || !watch_socket(fd, current.call.silence_bound))
+    if (fd < 0 || !set_ack_timeout(fd, current.call.ack_timeout))
     {
         log_event(event_id::connection_not_opened,
                   {{"peer", current.peer}, {"errno", std::to_string(errno)}});
@@ -180,7 +181,7 @@
     set_body(*this);
     curl_easy_setopt(handle, CURLOPT_CUSTOMREQUEST, call.method.c_str());
     set_headers(*this);
-    const bool alone = call.exactly_one_connection;
+    const bool alone = call.dedicated_connection;
     curl_easy_setopt(handle, CURLOPT_FRESH_CONNECT, alone ? 1L : 0L);
     curl_easy_setopt(handle, CURLOPT_FORBID_REUSE, alone ? 1L : 0L);
     curl_easy_setopt(handle, CURLOPT_OPENSOCKETFUNCTION, &open_socket);
@@ -215,19 +216,20 @@
         {
             pool->opened(peer, kept, boot_clock::now());
         }
-        is_withheld = call.connected_before && since >= *call.connected_before;
-        return !is_withheld;
+        is_no_eligible_connection =
+            call.connected_before && since >= *call.connected_before;
+        return !is_no_eligible_connection;
     }
-    is_withheld = call.connected_before.has_value();
-    return !is_withheld;
+    is_no_eligible_connection = call.connected_before.has_value();
+    return !is_no_eligible_connection;
 }
 
 http_result open_call::result(CURLcode code)
 {
     http_result to;
-    if (is_withheld)
+    if (is_no_eligible_connection)
     {
-        to.how = delivery::withheld;
+        to.how = delivery::no_eligible_connection;
         to.error = "no connection that was there before";
         return to;
     }
--- a/packages/transport/src/open_call.hpp
+++ b/packages/transport/src/open_call.hpp
@@ -20,7 +20,7 @@
     connection_pool* pool = nullptr;
     bool opened_one = false;  ///< or it was given a kept connection
     bool was_cut_off = false; ///< its kept connection ended; not sent again
-    bool is_withheld = false; ///< no connection that it may use
+    bool is_no_eligible_connection = false; ///< no connection that it may use
     curl_socket_t socket = CURL_SOCKET_BAD; ///< that it waits for
     CURL* handle = nullptr;
     curl_slist* header_list = nullptr;
--- a/tests/unit/adapter_tests.cpp
+++ b/tests/unit/adapter_tests.cpp
@@ -205,9 +205,9 @@
     CHECK(adapter::unknown_answer("why").status == 504);
     http_request bounded = request("GET", "/one/" + id);
     bounded.headers["deadline-ms"] = "1500";
-    CHECK(adapter::patience_of(bounded) == std::chrono::milliseconds(1500));
+    CHECK(adapter::timeout_of(bounded) == std::chrono::milliseconds(1500));
     bounded.headers["deadline-ms"] = "x";
-    CHECK(adapter::patience_of(bounded) == std::chrono::seconds(3));
+    CHECK(adapter::timeout_of(bounded) == std::chrono::seconds(3));
 }
 
 TEST_CASE("an executor's heartbeat and its leaving")
@@ -368,8 +368,8 @@
 
 TEST_CASE("a question for advice, and what its answer means")
 {
-    const advice_question asked{.step = "a.0.1",
-                                .lives = {{"x-1", 1'776'000'000'000}, "x-2"}};
+    const advice_query asked{.step = "a.0.1",
+                             .lives = {{"x-1", 1'776'000'000'000}, "x-2"}};
     const http_call call = adapter::encode(asked, "10.0.0.9:1");
     CHECK(call.url == "http://10.0.0.9:1/springstair/advise");
     CHECK(json::parse(*call.body) ==
@@ -624,7 +624,7 @@
 
 TEST_CASE("the log is bounded, and says what it left out")
 {
-    log_budget budget({.lines_a_second = 10, .burst = 3});
+    log_rate_limiter budget({.lines_a_second = 10, .burst = 3});
     time_point now{std::chrono::hours(1)};
     int written = 0;
     for (int count = 0; count < 5; ++count)
--- a/tests/unit/connection_pool_tests.cpp
+++ b/tests/unit/connection_pool_tests.cpp
@@ -126,8 +126,8 @@
         connection& lost = connections_[at];
         lost.closed = true;
         pool_.closed(lost.socket);
-        const auto given_up =
-            pool_.lost(lost.peer, call_loss::unacknowledged, lost.sent, busy);
+        const auto given_up = pool_.lost(
+            lost.peer, call_failure::unacknowledged, lost.sent, busy);
         for (connection& one : connections_)
         {
             if (std::count(given_up.begin(), given_up.end(), one.socket) != 0)
@@ -162,7 +162,7 @@
 {
     constexpr int peers = 160;
     constexpr int calls_each = 8;
-    constexpr std::size_t most = http_call::usual_most_open;
+    constexpr std::size_t most = http_call::default_max_open_calls;
     played_client client(most);
     time_point now{};
     const auto call_all = [&]
@@ -201,7 +201,7 @@
 
 TEST_CASE("90 orders at once to one worker stay far below its 64 connections")
 {
-    played_client client(http_call::usual_most_open);
+    played_client client(http_call::default_max_open_calls);
     for (int order = 0; order < 90; ++order)
     {
         client.call("worker");
@@ -210,7 +210,7 @@
     for (; client.answered() < 90; now += milliseconds(1))
     {
         client.step(now);
-        REQUIRE(client.connections() <= http_call::usual_most_open);
+        REQUIRE(client.connections() <= http_call::default_max_open_calls);
     }
     // 15 turns of 2 ms each.
     CHECK(now <= time_point{milliseconds(60)});
@@ -227,16 +227,16 @@
     pool.opened("a", 5, then + milliseconds(100));
     // 1 carried the call, 2 another one; 5 was opened since.
     pool.closed(1);
-    CHECK(pool.lost("a", call_loss::unacknowledged, then + milliseconds(50),
+    CHECK(pool.lost("a", call_failure::unacknowledged, then + milliseconds(50),
                     {2}) == std::vector<int>{3});
     // What is given up is not named again; it counts until it is closed.
-    CHECK(
-        pool.lost("a", call_loss::unacknowledged, then + milliseconds(50), {2})
-            .empty());
+    CHECK(pool.lost("a", call_failure::unacknowledged, then + milliseconds(50),
+                    {2})
+              .empty());
     CHECK(pool.connections() == 4);
     pool.closed(3);
     CHECK(pool.connections() == 3);
-    CHECK(pool.lost("a", call_loss::unacknowledged, then + milliseconds(200),
+    CHECK(pool.lost("a", call_failure::unacknowledged, then + milliseconds(200),
                     {}) == std::vector<int>{2, 5});
 }
 
@@ -246,7 +246,7 @@
     const time_point then{std::chrono::hours(1)};
     const auto unanswered = [&](const std::string& peer)
     {
-        return pool.lost(peer, call_loss::unanswered, then, {});
+        return pool.lost(peer, call_failure::unanswered, then, {});
     };
     pool.opened("a", 1, then);
     pool.opened("b", 2, then);
--- a/tests/unit/edge_tests.cpp
+++ b/tests/unit/edge_tests.cpp
@@ -249,7 +249,7 @@
 TEST_CASE("each step follows from the state, or is passed over")
 {
     using what = task_transition::step;
-    task_book book;
+    shard_tasks book;
     const auto apply = [&](what step, std::int64_t attempt)
     {
         task_transition one;
@@ -273,7 +273,7 @@
     CHECK(apply(what::place, 2));
     CHECK(apply(what::finish, 2));
     CHECK(!apply(what::cancel, 0)); // ended already
-    CHECK(task_book::parse(book.to_document()) == book);
+    CHECK(shard_tasks::parse(book.to_document()) == book);
 }
 
 TEST_CASE("settings: every finding, with its place")
--- a/tests/unit/explain_tests.cpp
+++ b/tests/unit/explain_tests.cpp
@@ -43,14 +43,14 @@
     std::istringstream in(logs);
     const auto lines = read_log(in);
     CHECK(lines.size() == 9);
-    const auto story = story_of("aa", lines);
+    const auto story = timeline_of("aa", lines);
     CHECK(names_of(story) ==
           std::vector<std::string>{"job_accepted", "run_placed", "store_lost",
                                    "worker_paced", "job_ended"});
     CHECK(text_of(story.back()) ==
           "2026-12-02 10:00:02.000000  entry-0  job_ended  age_ms=1000  "
           "job=aa");
-    CHECK(story_of("a", lines).empty());
+    CHECK(timeline_of("a", lines).empty());
 }
 
 TEST_CASE("of each data centre the newest word on whether it is closed")
--- a/tests/unit/job_world.hpp
+++ b/tests/unit/job_world.hpp
@@ -219,7 +219,7 @@
     void answer(run_reconciler& to, const stop_run& what, time_point sent,
                 order_result result,
                 const std::optional<executor_snapshot>& /*look*/ = {});
-    void answer(run_reconciler& to, const pace_run& what, time_point sent,
+    void answer(run_reconciler& to, const throttle_run& what, time_point sent,
                 order_result result,
                 const std::optional<executor_snapshot>& /*look*/ = {});
     void answer(run_reconciler& to, const poll_executor& what, time_point sent,
@@ -238,7 +238,7 @@
     void check_start(const task_name& name) const;
     std::int64_t ended_so(const task_name& name, const std::string& how) const;
     order_result carry_out(std::size_t index, const stop_run& what);
-    order_result carry_out(std::size_t /*index*/, const pace_run& /*what*/);
+    order_result carry_out(std::size_t /*index*/, const throttle_run& /*what*/);
     order_result carry_out(std::size_t index, const poll_executor& what);
     void end(fake_executor& at, const std::string& task, run_end how);
     void settle(fake_executor& at);
--- a/tests/unit/job_world_guards.cpp
+++ b/tests/unit/job_world_guards.cpp
@@ -231,7 +231,7 @@
     to.on_stopped(what, result, now_);
 }
 
-void job_world::answer(run_reconciler& to, const pace_run& what,
+void job_world::answer(run_reconciler& to, const throttle_run& what,
                        time_point /*sent*/, order_result result,
                        const std::optional<executor_snapshot>& /*look*/)
 {
@@ -425,7 +425,7 @@
 }
 
 order_result job_world::carry_out(std::size_t /*index*/,
-                                  const pace_run& /*what*/)
+                                  const throttle_run& /*what*/)
 {
     return order_result::accepted;
 }
--- a/tests/unit/kept_connection_tests.cpp
+++ b/tests/unit/kept_connection_tests.cpp
@@ -58,7 +58,7 @@
     CHECK(client.send_and_wait(call_to(server.port(), since)).how ==
           delivery::answered);
     CHECK(client.send_and_wait(call_to(server.port(), at_first)).how ==
-          delivery::withheld);
+          delivery::no_eligible_connection);
     CHECK(server.calls == 2);
 }
 
@@ -75,6 +75,7 @@
     CHECK(server->calls == 0);
     // A connection that another call has opened since does not carry it.
     REQUIRE(client.send_and_wait(call_to(port)).how == delivery::answered);
-    CHECK(client.send_and_wait(call_to(port, since)).how == delivery::withheld);
+    CHECK(client.send_and_wait(call_to(port, since)).how ==
+          delivery::no_eligible_connection);
     CHECK(server->calls == 1);
 }
--- a/tests/unit/restarted_guard_tests.cpp
+++ b/tests/unit/restarted_guard_tests.cpp
@@ -229,7 +229,7 @@
         at.keeper->on_stopped(what, worker.to_stops, now);
     }
 
-    void carry_out(guarded_worker& at, const pace_run& what) const
+    void carry_out(guarded_worker& at, const throttle_run& what) const
     {
         at.keeper->on_paced(what, order_result::accepted);
     }
--- a/tests/unit/restarting_executor.hpp
+++ b/tests/unit/restarting_executor.hpp
@@ -298,7 +298,7 @@
         keeper.on_stopped(what, how, now);
     }
 
-    void carry_out(const pace_run& what)
+    void carry_out(const throttle_run& what)
     {
         keeper.on_paced(what, springstair::platform::decode_result(call(what)));
     }
--- a/tests/unit/run_reconciler_tests.cpp
+++ b/tests/unit/run_reconciler_tests.cpp
@@ -138,7 +138,7 @@
     struct row
     {
         order_result result;
-        bool given_back;
+        bool refused_by_worker;
         bool tried_again;
     };
     for (const row& one : {row{order_result::accepted, false, false},
@@ -158,7 +158,7 @@
                               .life = at.keeper.worker().life},
                              one.result, at.now);
         CHECK(at.keeper.report(at.now).refused.size() ==
-              (one.given_back ? 1 : 0));
+              (one.refused_by_worker ? 1 : 0));
         at.now += milliseconds(150);
         CHECK(at.due<start_run>().size() == (one.tried_again ? 1 : 0));
     }
--- a/tests/unit/silent_channel_tests.cpp
+++ b/tests/unit/silent_channel_tests.cpp
@@ -196,7 +196,7 @@
     return {.method = "GET",
             .url = server.url(),
             .timeout = milliseconds(250),
-            .silence_bound = milliseconds(200)};
+            .ack_timeout = milliseconds(200)};
 }
 
 void open_connections(http_client& client, hushed_server& server, int count)
@@ -282,7 +282,7 @@
     }
     answered.Wait();
     CHECK(server.requests() == calls);
-    CHECK(server.connections() == http_call::usual_most_open);
+    CHECK(server.connections() == http_call::default_max_open_calls);
 }
 
 TEST_CASE("a call whose turn does not come in time was not sent")
@@ -291,7 +291,7 @@
     http_client client;
     server.answer_after(milliseconds(400)); // longer than a call may take
     http_call first = call_to(server);
-    first.most_open = 1;
+    first.max_open_calls = 1;
     http_call second = first;
     second.timeout = milliseconds(100);
     absl::BlockingCounter ended(2);
@@ -314,7 +314,7 @@
     http_client client;
     server.answer_after(milliseconds(4000));
     http_call first = call_to(server);
-    first.most_open = 1;
+    first.max_open_calls = 1;
     first.timeout = milliseconds(3000);
     http_call second = first;
     second.timeout = milliseconds(100);
--- a/tests/unit/table_synchronizer_tests.cpp
+++ b/tests/unit/table_synchronizer_tests.cpp
@@ -60,7 +60,7 @@
         std::set<std::int64_t> revisions;
         for (const auto& [number, end] : ended_)
         {
-            const bool done = end.how == edit_ended::ending::committed;
+            const bool done = end.how == edit_outcome::ending::committed;
             committed += done ? 1 : 0;
             RC_ASSERT(!done || revisions.insert(end.revision).second);
             // The history tells which edits took effect, and in what order.
@@ -68,9 +68,9 @@
             RC_ASSERT(effects_of(number) <= 1);
             RC_ASSERT(!done || in_history);
             const bool surely_not =
-                end.how == edit_ended::ending::unavailable ||
-                end.how == edit_ended::ending::conflict ||
-                end.how == edit_ended::ending::refused;
+                end.how == edit_outcome::ending::unavailable ||
+                end.how == edit_outcome::ending::conflict ||
+                end.how == edit_outcome::ending::refused;
             RC_ASSERT(!surely_not || !in_history);
         }
         RC_ASSERT(revision >= committed);
@@ -125,11 +125,11 @@
             {
                 send(at, *call);
             }
-            else if (const auto* end = std::get_if<edit_ended>(&action))
+            else if (const auto* end = std::get_if<edit_outcome>(&action))
             {
                 ended_.emplace(end->number, *end);
             }
-            else if (const auto* found = std::get_if<table_found>(&action))
+            else if (const auto* found = std::get_if<table_loaded>(&action))
             {
                 const std::int64_t revision = found->rows.revision();
                 went_back_ += revision <= seen_[at] ? 1 : 0;
@@ -192,7 +192,7 @@
     std::vector<table_synchronizer> keepers_;
     std::multimap<time_point, std::function<void()>> due_;
     std::set<edit_number> values_;
-    std::map<edit_number, edit_ended> ended_;
+    std::map<edit_number, edit_outcome> ended_;
     std::vector<std::int64_t> seen_;
     edit_number next_ = 0;
     int went_back_ = 0;
