--- a/bench/office.cpp
+++ b/bench/office.cpp
@@ -29,10 +29,10 @@
 constexpr auto step_length = milliseconds(2);
 // Of the store's answers.
 constexpr auto store_delay = milliseconds(4);
-constexpr auto usual_report = milliseconds(500);
+constexpr auto default_report = milliseconds(500);
 constexpr auto ends_report = milliseconds(120);
 constexpr auto full_report_interval = milliseconds(400);
-constexpr std::int64_t usual_tail_ms = 4;
+constexpr std::int64_t default_tail_ms = 4;
 
 double processor_seconds()
 {
@@ -342,7 +342,7 @@
                 {.task = task,
                  .run = run.order.run,
                  .percent = serves ? full_percent : 50,
-                 .load = serves ? usual_tail_ms + wave(draw_)
+                 .load = serves ? default_tail_ms + wave(draw_)
                                 : static_cast<std::int64_t>(run.cpu_millis)});
         }
         const std::string text = rpc_request("report", report);
@@ -364,7 +364,7 @@
         std::erase_if(report.ended, [&](const ended_task& one)
                       { return one.number <= answer.orders.acknowledged; });
         at.next_report =
-            now_ + (report.ended.empty() ? usual_report : ends_report);
+            now_ + (report.ended.empty() ? default_report : ends_report);
     }
 
     void write()
--- a/packages/core/include/springstair/detail/core/metrics.hpp
+++ b/packages/core/include/springstair/detail/core/metrics.hpp
@@ -12,13 +12,13 @@
 
 /// @brief The metrics of one process, in Prometheus' text form.
 ///
-/// Classes beyond @ref most_classes share the label `other`, so that a
+/// Classes beyond @ref max_classes share the label `other`, so that a
 /// workspace cannot grow a process's memory by naming classes.
 class metrics
 {
 public:
     /// @brief Bound on the number of class labels of one process.
-    static constexpr std::size_t most_classes = 4096;
+    static constexpr std::size_t max_classes = 4096;
 
     metrics();
     ~metrics();
--- a/packages/core/src/metrics.cpp
+++ b/packages/core/src/metrics.cpp
@@ -46,7 +46,7 @@
         {
             return of;
         }
-        if (classes.size() >= most_classes)
+        if (classes.size() >= max_classes)
         {
             return {.workspace = "other", .work_class = "other"};
         }
--- a/packages/daemon/include/springstair/detail/daemon/job_settings.hpp
+++ b/packages/daemon/include/springstair/detail/daemon/job_settings.hpp
@@ -28,7 +28,7 @@
     std::uint16_t internal_port = 0;  ///< between our own processes
     std::string store;                ///< address of the platform's store
     std::vector<std::string> entries; ///< internal addresses to begin with
-    duration longest_lease{0};        ///< that workers take
+    duration max_lease{0};            ///< that workers take
     duration stop_time{0};            ///< that workers take to stop a run
     duration apply_within{0};         ///< of its acknowledgement, an operator's
                                       ///< configuration is in force everywhere
--- a/packages/daemon/include/springstair/detail/daemon/settings.hpp
+++ b/packages/daemon/include/springstair/detail/daemon/settings.hpp
@@ -40,7 +40,7 @@
     std::vector<std::string> operator_credential_hashes;
     std::string routing = "sampled";
     std::int64_t shards = 8;
-    duration commit_every{0};
+    duration commit_interval{0};
     duration drain_grace{0}; ///< for the balancer to notice
 };
 
@@ -53,7 +53,7 @@
     std::string worker;
     resources capacity; ///< for tasks: what the executor leaves
     duration heartbeat{0};
-    duration longest_service{0};
+    duration max_service_time{0};
     duration task_lease{0};
 };
 
--- a/packages/daemon/include/springstair/detail/daemon/supervisor.hpp
+++ b/packages/daemon/include/springstair/detail/daemon/supervisor.hpp
@@ -16,7 +16,7 @@
 /// @brief How often a part may fail.
 struct supervisor_options
 {
-    std::size_t most_restarts = 5;
+    std::size_t max_restarts = 5;
     duration within = std::chrono::seconds(10);
 };
 
--- a/packages/daemon/src/entry_control.cpp
+++ b/packages/daemon/src/entry_control.cpp
@@ -15,12 +15,12 @@
 constexpr std::string_view bearer = "Bearer ";
 constexpr std::string_view request_path = "/v1/request";
 constexpr std::string_view tasks_path = "/v1/tasks";
-constexpr duration vms_every = std::chrono::seconds(2);
-constexpr duration exchange_every = std::chrono::milliseconds(250);
+constexpr duration vms_interval = std::chrono::seconds(2);
+constexpr duration exchange_interval = std::chrono::milliseconds(250);
 constexpr duration min_drain_time = std::chrono::milliseconds(500);
 constexpr int lists_until_gone = 3;
 constexpr duration warm_up = std::chrono::seconds(1);
-constexpr duration longest_warm_up = std::chrono::seconds(5);
+constexpr duration max_warm_up = std::chrono::seconds(5);
 
 std::string nonce_prefix(const settings& from, const std::string& incarnation)
 {
@@ -41,7 +41,7 @@
       tasks_({.name = {process.from.common.name},
               .incarnation = incarnation_,
               .shards = process.from.entry.shards,
-              .commit_every = process.from.entry.commit_every,
+              .commit_interval = process.from.entry.commit_interval,
               .seed = std::hash<std::string>{}(incarnation_)})
 {
     for (const std::string& address : process.from.common.entries)
@@ -82,7 +82,7 @@
     const duration up = clock_.now() - started_;
     const bool heard = !requests_.guards().all().empty() && up >= warm_up;
     return requests_.rows().revision() > 0 && !drain_since_ &&
-           (heard || up >= longest_warm_up);
+           (heard || up >= max_warm_up);
 }
 
 // ---------------------------------------------------------------------------
@@ -309,7 +309,7 @@
         return;
     }
     vms_asked_ = true;
-    next_vms_ = now + vms_every;
+    next_vms_ = now + vms_interval;
     fetch_vms(process_.client, process_.from.common.platform,
               [&process = process_](auto vms)
               { process.events.post(vms_listed{std::move(vms)}); });
@@ -402,7 +402,7 @@
     carry_out(actions);
     if (now >= next_exchange_)
     {
-        next_exchange_ = now + exchange_every;
+        next_exchange_ = now + exchange_interval;
         exchange_with_all();
     }
     poll_platform(now);
--- a/packages/daemon/src/entry_requests.cpp
+++ b/packages/daemon/src/entry_requests.cpp
@@ -13,7 +13,7 @@
 
 constexpr std::string_view request_path = "/v1/request";
 constexpr std::int64_t default_deadline_ms = 10'000;
-constexpr std::int64_t longest_deadline_ms = 600'000;
+constexpr std::int64_t max_deadline_ms = 600'000;
 constexpr duration answer_margin = std::chrono::milliseconds(250);
 
 std::optional<std::int64_t> deadline_of(const http_request& request)
@@ -29,7 +29,7 @@
     {
         return std::nullopt;
     }
-    return std::min<std::int64_t>(std::stoll(text), longest_deadline_ms);
+    return std::min<std::int64_t>(std::stoll(text), max_deadline_ms);
 }
 
 std::optional<bool> repeatable_of(const http_request& request)
@@ -168,7 +168,7 @@
          .body = open.request.body,
          .timeout = send.remaining + answer_margin,
          .dedicated_connection = !send.repeatable,
-         .max_open_calls = most_requests_open},
+         .max_open_calls = max_requests_open},
         [&process = process_, name = send.attempt](http_result result) {
             process.events.post(attempt_ended{name, std::move(result)});
         });
--- a/packages/daemon/src/entry_tasks.cpp
+++ b/packages/daemon/src/entry_tasks.cpp
@@ -18,8 +18,8 @@
 constexpr duration call_deadline = std::chrono::seconds(5);
 constexpr duration forward_timeout = std::chrono::seconds(6);
 constexpr duration list_timeout = std::chrono::seconds(1);
-constexpr std::int64_t most_cpu_millis = 10'000'000;
-constexpr std::int64_t longest_run_ms = std::int64_t{30} * 24 * 3600 * 1000;
+constexpr std::int64_t max_cpu_millis = 10'000'000;
+constexpr std::int64_t max_run_ms = std::int64_t{30} * 24 * 3600 * 1000;
 
 json to_answer(const task_record& record)
 {
@@ -49,11 +49,11 @@
     task_spec spec;
     spec.of = {.workspace = workspace, .work_class = reader.text("class")};
     spec.needs.cpu_millis = reader.integer(
-        "cpu_millis", std::nullopt, {.least = 1, .most = most_cpu_millis});
+        "cpu_millis", std::nullopt, {.least = 1, .most = max_cpu_millis});
     spec.needs.memory_mb =
         reader.integer("memory_mb", std::nullopt, {.least = 1});
     spec.needs.accelerators = reader.integer("accelerators", 0);
-    spec.run_ms = reader.integer("run_ms", 0, {.most = longest_run_ms});
+    spec.run_ms = reader.integer("run_ms", 0, {.most = max_run_ms});
     spec.urgent = reader.boolean("urgent", false);
     spec.payload = reader.text("payload", std::string());
     reader.reject_unknown();
--- a/packages/daemon/src/guard_control.cpp
+++ b/packages/daemon/src/guard_control.cpp
@@ -177,10 +177,10 @@
                 (path.empty() ? "/" : path),
          .headers = std::move(headers),
          .body = attempt.request.body,
-         .timeout = process_.from.guard.longest_service,
+         .timeout = process_.from.guard.max_service_time,
          .dedicated_connection =
              attempt.request.header(wire::repeatable) != "true",
-         .max_open_calls = most_requests_open},
+         .max_open_calls = max_requests_open},
         [&process = process_, name = run.attempt](http_result result) {
             process.events.post(executor_ended{name, std::move(result)});
         });
--- a/packages/daemon/src/job_guard_role.cpp
+++ b/packages/daemon/src/job_guard_role.cpp
@@ -19,21 +19,21 @@
 constexpr duration timer_step = std::chrono::milliseconds(20);
 // Without news, the holder hears from a guard so often; its answer renews
 // the permit.
-constexpr duration report_every = std::chrono::milliseconds(500);
+constexpr duration report_interval = std::chrono::milliseconds(500);
 // While ends wait to be acknowledged: ends are gathered for a write to the
 // store, and new ones are told at once and bring the answer too.
-constexpr duration ends_report_every = std::chrono::milliseconds(120);
+constexpr duration ends_report_interval = std::chrono::milliseconds(120);
 constexpr duration report_timeout = std::chrono::milliseconds(700);
 constexpr duration report_retry = std::chrono::milliseconds(120);
 // Ends within this time travel in one report.
-constexpr duration report_gap = std::chrono::milliseconds(8);
+constexpr duration report_interval = std::chrono::milliseconds(8);
 // The key is watched only while no holder answers.
 constexpr duration leader_watch_wait = std::chrono::seconds(2);
 constexpr int incarnation_bytes_of_guard = 6;
 
 run_reconciler_options reconciler_options(const job_settings& from)
 {
-    return {.longest_lease = from.longest_lease, .stop_time = from.stop_time};
+    return {.max_lease = from.max_lease, .stop_time = from.stop_time};
 }
 
 class job_guard_control
@@ -319,8 +319,8 @@
         if (answer && answer->holds)
         {
             holder_.answered();
-            next_report_ =
-                sent + (keeper_.has_ends() ? ends_report_every : report_every);
+            next_report_ = sent + (keeper_.has_ends() ? ends_report_interval
+                                                      : report_interval);
             follow(target);
             keeper_.on_answer(*answer, report, sent, now);
             return;
@@ -358,7 +358,7 @@
         }
         if (keeper_.take_report_due() && !holder_.has_failed())
         {
-            next_report_ = std::min(next_report_, now + report_gap);
+            next_report_ = std::min(next_report_, now + report_interval);
         }
         if (!reporting_ && now >= next_report_)
         {
--- a/packages/daemon/src/job_request_forwarding.cpp
+++ b/packages/daemon/src/job_request_forwarding.cpp
@@ -21,7 +21,7 @@
 // answered the second try here, which had 500 ms. With the tries here (250 + 40
 // + 500) a caller learns of a silent store 1.4 s after it asked.
 constexpr duration forward_timeout = std::chrono::milliseconds(850);
-constexpr duration probe_every = std::chrono::milliseconds(250);
+constexpr duration probe_interval = std::chrono::milliseconds(250);
 constexpr duration probe_timeout = std::chrono::milliseconds(600);
 // Of the entries that could help, so many are asked for one request: each of
 // them says within milliseconds that it cannot, or is not reached.
@@ -209,7 +209,7 @@
         return;
     }
     probing_ = true;
-    next_probe_ = now + probe_every;
+    next_probe_ = now + probe_interval;
     store_.read(leader_key, probe_timeout,
                 process_.on_control<store_result>(
                     [this](const store_result& result)
--- a/packages/daemon/src/job_request_submission.cpp
+++ b/packages/daemon/src/job_request_submission.cpp
@@ -15,7 +15,7 @@
 
 // A store that is slow answers the second try, which waits twice as long. One
 // that leaves both unanswered is away here: another entry may reach it.
-constexpr std::int64_t most_unanswered = 2;
+constexpr std::int64_t max_unanswered = 2;
 } // namespace
 
 void job_request_handler::handle(const platform::submit_request& what,
@@ -107,7 +107,7 @@
         to->may_be_done = true;
         ++to->unanswered;
     }
-    if (to->unanswered >= most_unanswered)
+    if (to->unanswered >= max_unanswered)
     {
         on_unserved(what, to);
         return;
--- a/packages/daemon/src/job_scheduler.cpp
+++ b/packages/daemon/src/job_scheduler.cpp
@@ -17,7 +17,7 @@
 
 // A page is up to 1 MB, in base64: 1.1 s on the thinnest link seen (10 Mbit/s)
 // if nothing else is on it, 5.4 s on a fifth of that.
-constexpr duration longest_page = std::chrono::milliseconds(6000);
+constexpr duration max_page = std::chrono::milliseconds(6000);
 // A successor's knowledge may be so old; each write is a priced call.
 constexpr duration interference_save_interval = std::chrono::seconds(3);
 // Below any scrape's interval.
@@ -27,7 +27,7 @@
 constexpr duration min_hedge_delay = std::chrono::milliseconds(100);
 // A copy is given up after this many times the wait for the next one.
 constexpr int max_write_attempts_in_flight = 4;
-constexpr duration least_limit = std::chrono::milliseconds(400);
+constexpr duration min_limit = std::chrono::milliseconds(400);
 // An order is repeated by the next reports; waiting longer helps nobody.
 constexpr duration order_timeout = std::chrono::milliseconds(600);
 
@@ -38,8 +38,8 @@
                              leader_election& office)
     : process_(process), store_(store), office_(office),
       core_({.closing = {.close_within = process.from.close_within}}),
-      page_timeout_(longest_page),
-      hedge_delay_(adaptive_timeout::usual_most, min_hedge_delay)
+      page_timeout_(max_page),
+      hedge_delay_(adaptive_timeout::default_max, min_hedge_delay)
 {
 }
 
@@ -84,7 +84,7 @@
     }
     next_attempt_at_ = now + hedge_delay_.value();
     const duration limit = std::max<duration>(
-        max_write_attempts_in_flight * hedge_delay_.value(), least_limit);
+        max_write_attempts_in_flight * hedge_delay_.value(), min_limit);
     store_.transact(transaction_of(*batch_, core_.epoch()), limit,
                     process_.on_control<store_result>(
                         [this, now, term = term_,
--- a/packages/daemon/src/job_scheduler_loading.cpp
+++ b/packages/daemon/src/job_scheduler_loading.cpp
@@ -18,7 +18,7 @@
 // Entries tell the holder of each job themselves; the watch finds what they
 // could not tell. Each answer is a priced call, so changes are gathered.
 constexpr duration watch_wait = std::chrono::milliseconds(700);
-constexpr duration watch_gap = std::chrono::milliseconds(400);
+constexpr duration watch_interval = std::chrono::milliseconds(400);
 
 } // namespace
 
@@ -202,7 +202,7 @@
         read_again();
         return;
     }
-    next_watch_ = boot_clock::now() + watch_gap;
+    next_watch_ = boot_clock::now() + watch_interval;
     for (const store_item& item : result.items)
     {
         jobs_since_ = std::max(jobs_since_, item.revision);
--- a/packages/daemon/src/job_settings.cpp
+++ b/packages/daemon/src/job_settings.cpp
@@ -14,16 +14,16 @@
 namespace
 {
 
-constexpr std::int64_t most_port = 65'535;
-constexpr std::int64_t most_milliseconds = 600'000;
-constexpr double usual_grace_s = 6; // the platform's own figure
-constexpr double usual_processors = 1;
-constexpr std::int64_t most_memory_mb = 1 << 20;
-constexpr std::int64_t most_descriptors = 1 << 20;
-constexpr std::int64_t usual_stop_ms = 400;   // the larger of both sites
-constexpr std::int64_t usual_close_ms = 5000; // the one site that tells it
-constexpr std::int64_t usual_apply_ms = 2000; // the least of all sites
-constexpr std::int64_t usual_lease_ms = 6000; // the smaller of both sites
+constexpr std::int64_t max_port = 65'535;
+constexpr std::int64_t max_milliseconds = 600'000;
+constexpr double default_grace_s = 6; // the platform's own figure
+constexpr double default_processors = 1;
+constexpr std::int64_t max_memory_mb = 1 << 20;
+constexpr std::int64_t max_descriptors = 1 << 20;
+constexpr std::int64_t default_stop_ms = 400;   // the larger of both sites
+constexpr std::int64_t default_close_ms = 5000; // the one site that tells it
+constexpr std::int64_t default_apply_ms = 2000; // the least of all sites
+constexpr std::int64_t default_lease_ms = 6000; // the smaller of both sites
 
 std::string host_of(const std::string& endpoint)
 {
@@ -43,7 +43,7 @@
     const char* const end = text.data() + text.size();
     const auto [stop, error] =
         std::from_chars(text.data() + colon + 1, end, port);
-    return error == std::errc{} && stop == end && port > 0 && port <= most_port;
+    return error == std::errc{} && stop == end && port > 0 && port <= max_port;
 }
 
 std::string endpoint(object_reader& reader, std::string_view key, bool required)
@@ -62,7 +62,7 @@
                       std::int64_t usual)
 {
     return std::chrono::milliseconds(
-        reader.integer(key, usual, {.least = 1, .most = most_milliseconds}));
+        reader.integer(key, usual, {.least = 1, .most = max_milliseconds}));
 }
 
 job_role read_role(object_reader& reader)
@@ -114,25 +114,25 @@
     to.announced_address =
         reader.text("announced_address", std::optional(to.address));
     to.internal_port = static_cast<std::uint16_t>(reader.integer(
-        "internal_port", std::nullopt, {.least = 1, .most = most_port}));
+        "internal_port", std::nullopt, {.least = 1, .most = max_port}));
     to.store = endpoint(reader, "store", true);
     to.entries = read_entries(reader, to.internal_port);
-    to.longest_lease = milliseconds(reader, "longest_lease_ms", usual_lease_ms);
-    to.stop_time = milliseconds(reader, "stop_ms", usual_stop_ms);
-    to.apply_within = milliseconds(reader, "apply_within_ms", usual_apply_ms);
-    to.close_within = milliseconds(reader, "close_within_ms", usual_close_ms);
-    to.grace = from_seconds(reader.positive("grace_s", usual_grace_s));
+    to.max_lease = milliseconds(reader, "longest_lease_ms", default_lease_ms);
+    to.stop_time = milliseconds(reader, "stop_ms", default_stop_ms);
+    to.apply_within = milliseconds(reader, "apply_within_ms", default_apply_ms);
+    to.close_within = milliseconds(reader, "close_within_ms", default_close_ms);
+    to.grace = from_seconds(reader.positive("grace_s", default_grace_s));
     to.callers = endpoint(reader, "callers", entry);
     to.readiness = endpoint(reader, "readiness", entry);
     to.executors = endpoint(reader, "executors", !entry);
     to.executor = endpoint(reader, "executor", !entry);
     to.advice = endpoint(reader, "advice", false);
     to.metrics = endpoint(reader, "metrics", false);
-    to.processors = reader.positive("processors", usual_processors);
+    to.processors = reader.positive("processors", default_processors);
     to.memory_mb =
-        reader.integer("memory_mb", 0, {.least = 0, .most = most_memory_mb});
-    to.descriptors = reader.integer("descriptors", 0,
-                                    {.least = 0, .most = most_descriptors});
+        reader.integer("memory_mb", 0, {.least = 0, .most = max_memory_mb});
+    to.descriptors =
+        reader.integer("descriptors", 0, {.least = 0, .most = max_descriptors});
     reader.reject_unknown();
     if (!all.empty())
     {
@@ -152,7 +152,7 @@
         {"internal_port", from.internal_port},
         {"store", from.store},
         {"entries", from.entries},
-        {"longest_lease_ms", to_milliseconds(from.longest_lease)},
+        {"longest_lease_ms", to_milliseconds(from.max_lease)},
         {"stop_ms", to_milliseconds(from.stop_time)},
         {"apply_within_ms", to_milliseconds(from.apply_within)},
         {"close_within_ms", to_milliseconds(from.close_within)},
--- a/packages/daemon/src/leader_election.cpp
+++ b/packages/daemon/src/leader_election.cpp
@@ -14,9 +14,9 @@
 // A dead holder is noticed after this long: short beside the seconds that
 // callers wait, long beside a slow store's answer.
 constexpr duration lease_ttl = std::chrono::milliseconds(2000);
-constexpr duration renew_every = std::chrono::milliseconds(500);
+constexpr duration renew_interval = std::chrono::milliseconds(500);
 // A quiet holder reads its key so often; a busy one's writes prove as much.
-constexpr duration check_every = std::chrono::milliseconds(1000);
+constexpr duration check_interval = std::chrono::milliseconds(1000);
 constexpr duration watch_wait = std::chrono::seconds(8);
 // An entry that others go before hears of a new holder from anyone.
 constexpr duration long_watch_wait = std::chrono::seconds(20);
@@ -62,7 +62,7 @@
         {
             renew();
         }
-        if (now - verified_ > check_every)
+        if (now - verified_ > check_interval)
         {
             check();
         }
@@ -306,7 +306,7 @@
     replaces_ = 0;
     epoch_ = revision;
     verified_ = sent;
-    next_renewal_ = sent + renew_every;
+    next_renewal_ = sent + renew_interval;
     holder_ = announced_address(process_.from);
     then_.taken(epoch_);
     if (!takeover_from_.empty())
@@ -322,7 +322,7 @@
 void leader_election::renew()
 {
     renewing_ = true;
-    next_renewal_ = boot_clock::now() + renew_every;
+    next_renewal_ = boot_clock::now() + renew_interval;
     store_.renew_lease(
         lease_, timeout_.value(),
         process_.on_control<store_result>([this](const store_result& result)
--- a/packages/daemon/src/leader_heartbeat.cpp
+++ b/packages/daemon/src/leader_heartbeat.cpp
@@ -9,20 +9,20 @@
 namespace
 {
 
-constexpr duration heartbeat_every = std::chrono::milliseconds(2000);
+constexpr duration heartbeat_interval = std::chrono::milliseconds(2000);
 // A holder answers within milliseconds; a crowded thin link takes longer.
 constexpr duration heartbeat_timeout = std::chrono::milliseconds(400);
 constexpr duration retry_pause = std::chrono::milliseconds(150);
 // One lost heartbeat is not rare; a second one is news.
 constexpr std::size_t lost_after = 2;
 // All entries meet a new holder, which is busy then.
-constexpr int most_delay_ms = 300;
+constexpr int max_delay_ms = 300;
 
 duration some_delay()
 {
     static std::minstd_rand random{std::random_device{}()};
     return std::chrono::milliseconds(
-        std::uniform_int_distribution<int>(0, most_delay_ms)(random));
+        std::uniform_int_distribution<int>(0, max_delay_ms)(random));
 }
 
 } // namespace
@@ -37,7 +37,7 @@
 bool leader_heartbeat::tells_changes(time_point now) const
 {
     return operator_change_ > 0 &&
-           now - answered_at_ < heartbeat_every + heartbeat_timeout;
+           now - answered_at_ < heartbeat_interval + heartbeat_timeout;
 }
 
 void leader_heartbeat::tick(time_point now)
@@ -116,7 +116,7 @@
         peers_ = answer->peers;
         operator_change_ = answer->operator_change;
         rank_ = answer->rank;
-        next_ = sent + heartbeat_every;
+        next_ = sent + heartbeat_interval;
         return;
     }
     if (++failures_ == lost_after)
--- a/packages/daemon/src/process_context.cpp
+++ b/packages/daemon/src/process_context.cpp
@@ -12,11 +12,11 @@
 constexpr std::int64_t share_of_a_server = 4;
 constexpr std::int64_t kb_a_connection = 32; // the HTTP library's memory
 constexpr std::int64_t kb_a_mb = 1024;
-constexpr std::int64_t most_connections = 4096;
+constexpr std::int64_t max_connections = 4096;
 
 std::int64_t connections_of_a_server(const job_settings& of)
 {
-    std::int64_t most = most_connections;
+    std::int64_t most = max_connections;
     if (of.memory_mb > 0)
     {
         most = std::min(most, of.memory_mb * kb_a_mb /
@@ -103,7 +103,7 @@
             .port = static_cast<std::uint16_t>(
                 std::stoul(endpoint.substr(colon + 1))),
             .threads = 1,
-            .most_connections =
+            .max_connections =
                 static_cast<unsigned int>(connections_of_a_server(of))};
 }
 
--- a/packages/daemon/src/process_context.hpp
+++ b/packages/daemon/src/process_context.hpp
@@ -100,12 +100,12 @@
     /// Ample beside the store's usual few milliseconds, short beside a
     /// caller's patience of seconds.
     static constexpr duration least = std::chrono::milliseconds(250);
-    static constexpr duration usual_most = std::chrono::milliseconds(1500);
+    static constexpr duration default_max = std::chrono::milliseconds(1500);
     static constexpr int factor = 4; ///< of the newest answer's time
 
     /// @param most how long to wait in the end, if nothing is answered
     /// @param begin how long to wait at first, and at least
-    explicit adaptive_timeout(duration most = usual_most,
+    explicit adaptive_timeout(duration most = default_max,
                               duration begin = least)
         : most_(most), least_(begin), value_(begin)
     {
--- a/packages/daemon/src/role_support.hpp
+++ b/packages/daemon/src/role_support.hpp
@@ -26,7 +26,7 @@
 inline constexpr int incarnation_bytes = 6;
 /// Requests open to one guard or executor: its admission, by slots and queue,
 /// bounds them first.
-inline constexpr std::size_t most_requests_open = 1024;
+inline constexpr std::size_t max_requests_open = 1024;
 
 /// Whether a request carries the key that our processes share.
 bool has_fleet_key(const http_request& request, const std::string& key);
--- a/packages/daemon/src/settings.cpp
+++ b/packages/daemon/src/settings.cpp
@@ -12,13 +12,13 @@
 namespace
 {
 
-constexpr std::size_t shortest_key = 16;
-constexpr std::int64_t most_port = 65'535;
-constexpr std::int64_t most_body = std::int64_t{256} << 20;
+constexpr std::size_t min_key_length = 16;
+constexpr std::int64_t max_port = 65'535;
+constexpr std::int64_t max_body = std::int64_t{256} << 20;
 constexpr std::int64_t default_body = std::int64_t{16} << 20;
-constexpr std::int64_t most_threads = 64;
-constexpr std::int64_t most_milliseconds = 3'600'000;
-constexpr std::int64_t most_shards = 1024;
+constexpr std::int64_t max_threads = 64;
+constexpr std::int64_t max_milliseconds = 3'600'000;
+constexpr std::int64_t max_shards = 1024;
 
 bool is_ip_number(const std::string& text)
 {
@@ -36,7 +36,7 @@
     const std::string port = text.substr(colon + 1);
     return !port.empty() && port.size() <= 5 &&
            port.find_first_not_of("0123456789") == std::string::npos &&
-           std::stol(port) <= most_port;
+           std::stol(port) <= max_port;
 }
 
 void check_endpoint(object_reader& reader, std::string_view key,
@@ -61,7 +61,7 @@
                       std::int64_t fallback)
 {
     return std::chrono::milliseconds(
-        reader.integer(key, fallback, {.least = 1, .most = most_milliseconds}));
+        reader.integer(key, fallback, {.least = 1, .most = max_milliseconds}));
 }
 
 common_settings read_common(object_reader& reader)
@@ -82,9 +82,9 @@
         reader.report("address", "must be an IP number");
     }
     common.port = static_cast<std::uint16_t>(
-        reader.integer("port", std::nullopt, {.least = 0, .most = most_port}));
+        reader.integer("port", std::nullopt, {.least = 0, .most = max_port}));
     common.fleet_key = reader.text("fleet_key");
-    if (!common.fleet_key.empty() && common.fleet_key.size() < shortest_key)
+    if (!common.fleet_key.empty() && common.fleet_key.size() < min_key_length)
     {
         reader.report("fleet_key", "must have 16 characters or more");
     }
@@ -97,9 +97,9 @@
         check_endpoint(reader, "platform", common.platform);
     }
     common.threads = static_cast<unsigned int>(
-        reader.integer("threads", 2, {.least = 1, .most = most_threads}));
+        reader.integer("threads", 2, {.least = 1, .most = max_threads}));
     common.most_body_bytes = static_cast<std::size_t>(reader.integer(
-        "most_body_bytes", default_body, {.least = 1, .most = most_body}));
+        "most_body_bytes", default_body, {.least = 1, .most = max_body}));
     return common;
 }
 
@@ -121,8 +121,8 @@
         reader.report("routing", "must be sampled, random or least_loaded");
     }
     entry.shards =
-        reader.integer("shards", 8, {.least = 1, .most = most_shards});
-    entry.commit_every = milliseconds(reader, "commit_every_ms", 200);
+        reader.integer("shards", 8, {.least = 1, .most = max_shards});
+    entry.commit_interval = milliseconds(reader, "commit_every_ms", 200);
     entry.drain_grace = milliseconds(reader, "drain_grace_ms", 2000);
     reader.reject_unknown();
     return entry;
@@ -142,7 +142,8 @@
     guard.capacity.memory_mb = reader.integer("memory_mb", std::nullopt);
     guard.capacity.accelerators = reader.integer("accelerators", 0);
     guard.heartbeat = milliseconds(reader, "heartbeat_ms", 500);
-    guard.longest_service = milliseconds(reader, "longest_service_ms", 600'000);
+    guard.max_service_time =
+        milliseconds(reader, "longest_service_ms", 600'000);
     guard.task_lease = milliseconds(reader, "task_lease_ms", 10'000);
     reader.reject_unknown();
     return guard;
@@ -227,7 +228,7 @@
             {"operator_credential_hashes", entry.operator_credential_hashes},
             {"routing", entry.routing},
             {"shards", entry.shards},
-            {"commit_every_ms", to_milliseconds(entry.commit_every)},
+            {"commit_every_ms", to_milliseconds(entry.commit_interval)},
             {"drain_grace_ms", to_milliseconds(entry.drain_grace)}};
         return document;
     }
@@ -241,7 +242,7 @@
         {"memory_mb", guard.capacity.memory_mb},
         {"accelerators", guard.capacity.accelerators},
         {"heartbeat_ms", to_milliseconds(guard.heartbeat)},
-        {"longest_service_ms", to_milliseconds(guard.longest_service)},
+        {"longest_service_ms", to_milliseconds(guard.max_service_time)},
         {"task_lease_ms", to_milliseconds(guard.task_lease)}};
     return document;
 }
--- a/packages/daemon/src/supervisor.cpp
+++ b/packages/daemon/src/supervisor.cpp
@@ -26,7 +26,7 @@
     {
         one.failures.pop_front();
     }
-    const bool again = one.failures.size() <= options_.most_restarts;
+    const bool again = one.failures.size() <= options_.max_restarts;
     log_event(again ? event_id::part_restarted : event_id::part_given_up,
               {{"part", one.name}, {"why", why}});
     return again;
--- a/packages/entry/include/springstair/detail/entry/task_core.hpp
+++ b/packages/entry/include/springstair/detail/entry/task_core.hpp
@@ -22,17 +22,17 @@
     std::string incarnation;
     std::int64_t shards = 8; ///< of the whole fleet; never changed
     std::int64_t lease_seconds = 10;
-    duration renew_every = std::chrono::seconds(3);
+    duration renew_interval = std::chrono::seconds(3);
     duration shard_poll_interval = std::chrono::seconds(2);
     duration takeover_delay = std::chrono::seconds(3);
-    duration commit_every = std::chrono::milliseconds(200);
+    duration commit_interval = std::chrono::milliseconds(200);
     duration retry = std::chrono::milliseconds(300);
     duration resend_start = std::chrono::seconds(1);
     duration gone_after = std::chrono::seconds(10);
     duration forget_unknown = std::chrono::minutes(1);
-    std::int64_t snapshot_every = 64; ///< segments
+    std::int64_t snapshot_interval = 64; ///< segments
     std::size_t max_snapshot_bytes = 700'000;
-    std::int64_t most_failures = 3;
+    std::int64_t max_failures = 3;
     std::size_t max_placements_per_tick = 200;
     std::uint64_t seed = 1;
 };
--- a/packages/entry/src/task_core.cpp
+++ b/packages/entry/src/task_core.cpp
@@ -12,14 +12,14 @@
 {
 
 constexpr int id_digits = 16;
-constexpr std::size_t most_pending = 2000;
-constexpr std::size_t most_detail = 4096;
-constexpr std::size_t most_payload = 4096;
+constexpr std::size_t max_pending = 2000;
+constexpr std::size_t max_detail = 4096;
+constexpr std::size_t max_payload = 4096;
 constexpr duration retry_soon = std::chrono::seconds(1);
 
 std::string bounded(std::string text)
 {
-    text.resize(std::min(text.size(), most_detail));
+    text.resize(std::min(text.size(), max_detail));
     return text;
 }
 
@@ -140,7 +140,7 @@
         reject(refusal::unknown_class, duration{0}, "");
         return;
     }
-    if (spec.payload.size() > most_payload)
+    if (spec.payload.size() > max_payload)
     {
         reject(refusal::bad_request, duration{0}, "the payload is too long");
         return;
@@ -174,7 +174,7 @@
         reject(refusal::starting, retry_soon, "no shard is held here");
         return;
     }
-    if (emptiest->pending.size() >= most_pending || emptiest->too_large)
+    if (emptiest->pending.size() >= max_pending || emptiest->too_large)
     {
         reject(refusal::queue_full, retry_soon, "too many tasks wait");
         return;
@@ -250,7 +250,7 @@
                              const attempt_report& report)
 {
     failed_on_[record.spec.id].insert({guard});
-    const bool for_good = record.failures + 1 >= options_.most_failures;
+    const bool for_good = record.failures + 1 >= options_.max_failures;
     task_transition step;
     step.what =
         for_good ? task_transition::step::fail : task_transition::step::retry;
--- a/packages/entry/src/task_journal.cpp
+++ b/packages/entry/src/task_journal.cpp
@@ -64,7 +64,7 @@
     {
         return;
     }
-    of.next_commit = now + options_.commit_every;
+    of.next_commit = now + options_.commit_interval;
     of.committing = std::exchange(of.pending, {});
     for (waiting_call& call : of.calls)
     {
@@ -212,7 +212,7 @@
         }
     }
     answer_calls(number, actions);
-    if (of.since_snapshot >= options_.snapshot_every)
+    if (of.since_snapshot >= options_.snapshot_interval)
     {
         snapshot(number, actions);
     }
--- a/packages/entry/src/task_placement.cpp
+++ b/packages/entry/src/task_placement.cpp
@@ -12,7 +12,7 @@
 {
 
 constexpr std::size_t sample_size = 3;
-constexpr std::size_t most_tries = 20;
+constexpr std::size_t max_tries = 20;
 
 double fraction(std::int64_t part, std::int64_t whole)
 {
@@ -293,7 +293,7 @@
         next->second.pop_back();
         const bool placed = place_one(now, *record, guards);
         places += placed ? 1 : 0;
-        const bool tired = !placed && ++tries[next->first] >= most_tries;
+        const bool tired = !placed && ++tries[next->first] >= max_tries;
         if (next->second.empty() || tired)
         {
             queues.erase(next);
--- a/packages/entry/src/task_shards.cpp
+++ b/packages/entry/src/task_shards.cpp
@@ -63,7 +63,7 @@
     {
         return;
     }
-    next_renewal_ = now + options_.renew_every;
+    next_renewal_ = now + options_.renew_interval;
     store_call call = lease_ == 0
                           ? ask(kv_grant{.ttl_seconds = options_.lease_seconds})
                           : ask(kv_keep_alive{.lease = lease_});
--- a/packages/guard/include/springstair/detail/guard/attempt_tracker.hpp
+++ b/packages/guard/include/springstair/detail/guard/attempt_tracker.hpp
@@ -17,7 +17,7 @@
 {
     std::string incarnation;
     resources capacity; ///< of the worker, less what its executor needs
-    duration renew_every = std::chrono::seconds(2);
+    duration renew_interval = std::chrono::seconds(2);
     /// For how long, on the worker's own clock, it may act on a start.
     duration start_window = std::chrono::seconds(3);
     duration tombstone_ttl = std::chrono::minutes(10);
--- a/packages/guard/include/springstair/detail/guard/interference.hpp
+++ b/packages/guard/include/springstair/detail/guard/interference.hpp
@@ -31,7 +31,7 @@
     double raise_above = 1.25;
     /// Least factor of one step for fills that are known to harm, and the
     /// factor for all of them while it is not known which ones do.
-    double least_factor = 0.1;
+    double min_factor = 0.1;
     double slow_all_factor = 0.6;
     /// Known harm below this share of what is missing does not explain it.
     double explained = 0.3;
@@ -40,7 +40,7 @@
     double interfering = 1.2;
     /// Below this pace, in percent, fills stand still: a crawl harms and
     /// hardly helps.
-    double least_pace = 10;
+    double min_pace = 10;
     /// A tail over its target for so long stops all fills; half of what the
     /// platform bears.
     duration max_over_target = std::chrono::milliseconds(1900);
--- a/packages/guard/include/springstair/detail/guard/run_reconciler.hpp
+++ b/packages/guard/include/springstair/detail/guard/run_reconciler.hpp
@@ -17,7 +17,7 @@
 struct run_reconciler_options
 {
     /// Longest lease that the worker takes (platform setting).
-    duration longest_lease = std::chrono::seconds(6);
+    duration max_lease = std::chrono::seconds(6);
     /// Lease that is asked for with each look, within the holder's permit: a
     /// worker that dies silently holds its tasks up for so long, and a guard
     /// that restarts has so long to return.
@@ -35,12 +35,12 @@
     /// Pause before an order without an answer is sent again.
     duration retry_after = std::chrono::milliseconds(100);
     /// Unanswered starts of one run before it is given back.
-    std::int64_t most_unanswered = 4;
+    std::int64_t max_unanswered = 4;
     /// Longest time that the worker takes to stop a run (platform setting).
     duration stop_time = std::chrono::milliseconds(400);
     /// Ends that the worker lists in one answer at most, the oldest first
     /// (platform). A list as long as this may leave some out.
-    std::size_t most_ends_listed = 500;
+    std::size_t max_ends_listed = 500;
     /// How long the worker may wait for an end before it answers a look.
     /// Sets the age of what reports say and how often leases are extended.
     duration poll_wait = std::chrono::milliseconds(500);
--- a/packages/guard/src/attempt_tracker.cpp
+++ b/packages/guard/src/attempt_tracker.cpp
@@ -303,7 +303,7 @@
     {
         return;
     }
-    next_renewal_ = now + options_.renew_every;
+    next_renewal_ = now + options_.renew_interval;
     std::vector<task_attempt> running;
     for (const auto& [name, kept] : attempts_)
     {
--- a/packages/guard/src/interference.cpp
+++ b/packages/guard/src/interference.cpp
@@ -177,7 +177,7 @@
         const double use = now.use.at(filling);
         const double less = std::min(use, missing / harm);
         missing -= less * harm;
-        slow(filling, std::max(1 - less / use, options_.least_factor),
+        slow(filling, std::max(1 - less / use, options_.min_factor),
              {.serving = serving,
               .headroom = headroom,
               .known = true,
@@ -200,7 +200,7 @@
 {
     const auto [found, fresh] = pace_.try_emplace(filling, full_pace);
     found->second *= factor;
-    if (found->second < options_.least_pace)
+    if (found->second < options_.min_pace)
     {
         found->second = 0;
     }
--- a/packages/guard/src/run_reconciler.cpp
+++ b/packages/guard/src/run_reconciler.cpp
@@ -96,7 +96,7 @@
 // asked for any lease: only the longest one bounds it.
 void run_reconciler::expect_longest_lease(time_point from)
 {
-    const duration longest = from_seconds(to_seconds(options_.longest_lease) *
+    const duration longest = from_seconds(to_seconds(options_.max_lease) *
                                           (1 + options_.clock_drift));
     leased_until_ =
         std::max(leased_until_, from + longest + options_.lease_slack);
@@ -439,7 +439,7 @@
                        .fence = fence(),
                        .life = worker_.life};
     const duration left =
-        std::min({permit_until_ - now, options_.lease, options_.longest_lease});
+        std::min({permit_until_ - now, options_.lease, options_.max_lease});
     if (left > duration{0} && may_lease(now))
     {
         look.deadline_ms = lease_to(left, now);
--- a/packages/guard/src/run_reconciler_results.cpp
+++ b/packages/guard/src/run_reconciler_results.cpp
@@ -97,7 +97,7 @@
         kept.in_doubt = true;
         ++kept.unanswered;
         kept.next_call = now + options_.retry_after;
-        if (kept.unanswered >= options_.most_unanswered)
+        if (kept.unanswered >= options_.max_unanswered)
         {
             refuse(task, kept, std::string(to_string(result)), now);
         }
@@ -255,7 +255,7 @@
 // from a list that may leave its end out.
 void run_reconciler::settle(time_point sent, time_point now)
 {
-    const bool lists_all_ends = ended_.size() < options_.most_ends_listed;
+    const bool lists_all_ends = ended_.size() < options_.max_ends_listed;
     for (const ended_task& row : ended_)
     {
         record_ended(row.task, row.run, now);
--- a/packages/policy/include/springstair/detail/policy/admission.hpp
+++ b/packages/policy/include/springstair/detail/policy/admission.hpp
@@ -120,7 +120,7 @@
                                  const class_lane& lane) const;
     class_lane& lane_of(const class_name& name);
     void release(const attempt_name& attempt);
-    [[nodiscard]] double least_virtual_time() const;
+    [[nodiscard]] double min_virtual_time() const;
     [[nodiscard]] std::optional<choice> choose();
     [[nodiscard]] std::optional<choice> choose_in(workspace_lane& lane,
                                                   bool precedence);
--- a/packages/policy/include/springstair/detail/policy/outlier_detector.hpp
+++ b/packages/policy/include/springstair/detail/policy/outlier_detector.hpp
@@ -13,8 +13,8 @@
 {
     int failures_in_a_row = 5;
     duration first_ejection = std::chrono::seconds(1);
-    duration longest_ejection = std::chrono::seconds(30);
-    double most_ejected = 0.34;      ///< share of the known guards
+    duration max_ejection = std::chrono::seconds(30);
+    double max_ejected = 0.34;       ///< share of the known guards
     double bad_class_failures = 0.5; ///< above it, the class is to blame
 };
 
--- a/packages/policy/include/springstair/detail/policy/retry_budget.hpp
+++ b/packages/policy/include/springstair/detail/policy/retry_budget.hpp
@@ -53,8 +53,8 @@
 template <class Random>
 duration jittered(duration wait, Random& random)
 {
-    constexpr double most_jitter = 0.5;
-    std::uniform_real_distribution<double> share(0, most_jitter);
+    constexpr double max_jitter = 0.5;
+    std::uniform_real_distribution<double> share(0, max_jitter);
     return wait + from_seconds(to_seconds(wait) * share(random));
 }
 
--- a/packages/policy/src/admission.cpp
+++ b/packages/policy/src/admission.cpp
@@ -10,14 +10,14 @@
 {
 
 constexpr double learning_rate = 0.1;
-constexpr double least_service = 0.001;
+constexpr double min_service = 0.001;
 constexpr double deadline_share = 0.5;
-constexpr duration shortest_retry = std::chrono::milliseconds(100);
-constexpr duration longest_retry = std::chrono::seconds(5);
+constexpr duration min_retry_delay = std::chrono::milliseconds(100);
+constexpr duration max_retry_delay = std::chrono::seconds(5);
 
 duration bounded_retry(duration wait)
 {
-    return std::clamp(wait, shortest_retry, longest_retry);
+    return std::clamp(wait, min_retry_delay, max_retry_delay);
 }
 
 } // namespace
@@ -105,7 +105,7 @@
         return;
     }
     class_lane& lane = lane_of(found->second.of);
-    const double sample = std::max(least_service, to_seconds(service));
+    const double sample = std::max(min_service, to_seconds(service));
     lane.service += learning_rate * (sample - lane.service);
     release(attempt);
 }
@@ -170,7 +170,7 @@
     {
         return slot_refusal{.request = request,
                             .reason = refusal::busy,
-                            .retry_after = shortest_retry};
+                            .retry_after = min_retry_delay};
     }
     const auto length = static_cast<std::int64_t>(lane.waiting.size());
     if (!at_once && length >= row->max_queue)
@@ -199,7 +199,7 @@
            lane.running < row->max_in_flight;
 }
 
-double admission::least_virtual_time() const
+double admission::min_virtual_time() const
 {
     double least = virtual_time_;
     bool first = true;
@@ -246,8 +246,7 @@
 
 std::optional<admission::choice> admission::choose()
 {
-    const double lead =
-        least_virtual_time() + to_seconds(options_.critical_lead);
+    const double lead = min_virtual_time() + to_seconds(options_.critical_lead);
     std::optional<choice> best;
     for (auto& [name, workspace] : lanes_)
     {
--- a/packages/policy/src/outlier_detector.cpp
+++ b/packages/policy/src/outlier_detector.cpp
@@ -9,7 +9,7 @@
 {
 
 constexpr double class_learning_rate = 0.02;
-constexpr int most_doublings = 10;
+constexpr int max_doublings = 10;
 
 } // namespace
 
@@ -34,17 +34,17 @@
 {
     const auto count = static_cast<double>(ejected().size());
     const double most =
-        std::max(1.0, options_.most_ejected * static_cast<double>(known));
+        std::max(1.0, options_.max_ejected * static_cast<double>(known));
     return known > 1 && count + 1 <= most;
 }
 
 void outlier_detector::eject(time_point now, record_of_guard& record) const
 {
-    const int doublings = std::min(record.ejections, most_doublings);
+    const int doublings = std::min(record.ejections, max_doublings);
     const duration length = options_.first_ejection * (1 << doublings);
     record.ejected = true;
     record.probing = false;
-    record.until = now + std::min(length, options_.longest_ejection);
+    record.until = now + std::min(length, options_.max_ejection);
     ++record.ejections;
 }
 
@@ -98,7 +98,7 @@
     }
     const record_of_guard& record = found->second;
     const bool probe_out =
-        record.probing && now - record.probed <= options_.longest_ejection;
+        record.probing && now - record.probed <= options_.max_ejection;
     return repeatable && !probe_out && now >= record.until;
 }
 
--- a/packages/scheduler/include/springstair/detail/scheduler/crash_suspicion.hpp
+++ b/packages/scheduler/include/springstair/detail/scheduler/crash_suspicion.hpp
@@ -77,10 +77,10 @@
 /// @brief Executors that went with a start of a task, from which on one of them
 /// that surely went under it gives it up, with the suspicion of four crashes.
 /// The platform allows two starts more after the third.
-inline constexpr std::int64_t most_losses = 5;
+inline constexpr std::int64_t max_losses = 5;
 /// @brief Crashes that must surely have been under a task before its job may
 /// be told that it failed (platform).
-inline constexpr std::int64_t least_crashes = 2;
+inline constexpr std::int64_t min_crashes = 2;
 /// @brief Crashes surely under a task that give it up, at the suspicion of
 /// three whatever ran beside it, at less if it ran apart: the platform counts
 /// starts from here on, and a verdict can be lost with its holder before it is
@@ -166,9 +166,9 @@
 /// task.
 [[nodiscard]] constexpr bool is_given_up(const crash_verdict& of) noexcept
 {
-    if (of.crashes < least_crashes)
+    if (of.crashes < min_crashes)
     {
-        return of.crashes > 0 && of.losses >= most_losses &&
+        return of.crashes > 0 && of.losses >= max_losses &&
                of.suspicion >= four_crashes;
     }
     const bool alone = of.is_sole && of.is_sure;
--- a/packages/scheduler/include/springstair/detail/scheduler/entry_list.hpp
+++ b/packages/scheduler/include/springstair/detail/scheduler/entry_list.hpp
@@ -20,10 +20,10 @@
     duration order_age = std::chrono::milliseconds(500);
     /// Entries that a heartbeat is told of: enough that one of them still
     /// reaches the store when every other VM has lost it.
-    std::size_t most_peers = 6;
+    std::size_t max_peers = 6;
     /// Of them, those of the asking entry's own data centre come first; so
     /// many are of any other, in case that one is cut off.
-    std::size_t most_peers_elsewhere = 2;
+    std::size_t max_peers_elsewhere = 2;
     /// An entry with this many times the holder's processors takes its office:
     /// the holder's work grows with the fleet, and a small VM falls behind.
     double much_larger = 1.5;
--- a/packages/scheduler/include/springstair/detail/scheduler/fault_detector.hpp
+++ b/packages/scheduler/include/springstair/detail/scheduler/fault_detector.hpp
@@ -28,8 +28,8 @@
     double assumed_share = 0.02;
     /// Bounds of that share: below, one failure would be evidence enough;
     /// above, what all executors fail says nothing of one.
-    double least_share = 0.005;
-    double most_share = 0.2;
+    double min_share = 0.005;
+    double max_share = 0.2;
 };
 
 /// @brief Tells executors that fail what they start from runs that fail by
@@ -80,8 +80,8 @@
     /// @brief The present share of runs that fail, of all executors.
     [[nodiscard]] double share() const noexcept
     {
-        return std::clamp(failures_ / ends_, options_.least_share,
-                          options_.most_share);
+        return std::clamp(failures_ / ends_, options_.min_share,
+                          options_.max_share);
     }
 
 private:
--- a/packages/scheduler/include/springstair/detail/scheduler/interference_model.hpp
+++ b/packages/scheduler/include/springstair/detail/scheduler/interference_model.hpp
@@ -25,14 +25,14 @@
     /// (trials on both sites).
     double caution = 0.03;
     /// Two figures further apart say little: the load has changed too.
-    duration longest_gap = std::chrono::milliseconds(900);
+    duration max_gap = std::chrono::milliseconds(900);
     /// A headroom below this is saturated and no longer falls with harm; two
     /// such figures in a row say nothing.
-    double least_headroom = 0.2;
+    double min_headroom = 0.2;
     /// Changes of use below this are noise of the figures.
-    double least_change = 0.01;
+    double min_change = 0.01;
     /// Images that are told apart; of any further one nothing is learnt.
-    std::size_t most_images = 48;
+    std::size_t max_images = 48;
     /// Weight of what a predecessor knew, as that of @ref caution.
     double inherited = 0.05;
     /// Harms below this are not worth handing on.
--- a/packages/scheduler/include/springstair/detail/scheduler/placement.hpp
+++ b/packages/scheduler/include/springstair/detail/scheduler/placement.hpp
@@ -26,15 +26,15 @@
     double serving_use = 0.45;
     /// Headroom (target by tail) that a serving task must keep, by the learnt
     /// harm, for a fill to be placed beside it: the load moves meanwhile.
-    double least_headroom = 1.3;
+    double min_headroom = 1.3;
     /// No fill begins where its image is slowed below this pace, in percent:
     /// it would stand still there, hold memory and move again. With
     /// scheduler_options::return_backoff it buys heavy work 0.04 of its worth
     /// (mean of 40 played days).
-    std::int64_t least_pace = 50;
+    std::int64_t min_pace = 50;
     /// Headroom without fills where no figure is known yet: the middle of
     /// both sites' figures.
-    double usual_headroom = 2.0;
+    double default_headroom = 2.0;
     /// Score taken off a worker that has serving tasks of the same image:
     /// the fewer images serve there, the more images may fill.
     double same_image_bonus = 0.4;
--- a/packages/scheduler/include/springstair/detail/scheduler/ticket_cache.hpp
+++ b/packages/scheduler/include/springstair/detail/scheduler/ticket_cache.hpp
@@ -15,7 +15,7 @@
 struct ticket_options
 {
     /// Workers in one question; the latency objective allows for so many.
-    std::size_t most_workers = 30;
+    std::size_t max_workers = 30;
     /// A ticket is used no more when this little of its time remains: a start
     /// waits for the store and travels to its worker.
     duration reserve = std::chrono::milliseconds(400);
--- a/packages/scheduler/src/entry_list.cpp
+++ b/packages/scheduler/src/entry_list.cpp
@@ -149,8 +149,8 @@
     sort(now);
     std::vector<std::string> near;
     std::vector<std::string> elsewhere;
-    const std::size_t most_near =
-        options_.most_peers - options_.most_peers_elsewhere;
+    const std::size_t max_near =
+        options_.max_peers - options_.max_peers_elsewhere;
     const std::size_t begin = std::hash<std::string>{}(asking.address);
     for (std::size_t offset = 0; offset < order_.size(); ++offset)
     {
@@ -158,12 +158,12 @@
         const bool is_near = one.data_centre == asking.data_centre;
         auto& to = is_near ? near : elsewhere;
         const std::size_t most =
-            is_near ? most_near : options_.most_peers_elsewhere;
+            is_near ? max_near : options_.max_peers_elsewhere;
         if (one.address != asking.address && to.size() < most)
         {
             to.push_back(one.address);
         }
-        if (near.size() + elsewhere.size() == options_.most_peers)
+        if (near.size() + elsewhere.size() == options_.max_peers)
         {
             break;
         }
--- a/packages/scheduler/src/interference_model.cpp
+++ b/packages/scheduler/src/interference_model.cpp
@@ -27,7 +27,7 @@
     {
         return found->second;
     }
-    if (images_.size() >= options_.most_images)
+    if (images_.size() >= options_.max_images)
     {
         return std::nullopt;
     }
@@ -48,7 +48,7 @@
     for (const auto& [filling, change] : difference)
     {
         const auto index = index_of(filling);
-        if (index && std::abs(change) >= options_.least_change)
+        if (index && std::abs(change) >= options_.min_change)
         {
             out.emplace_back(*index, change);
         }
@@ -65,7 +65,7 @@
     past_figure& before = last_[from.task];
     const auto others = siblings.mean_without(from.task);
     const bool told = others && compare(from.image, *others, seen);
-    if (!told && now - before.at <= options_.longest_gap)
+    if (!told && now - before.at <= options_.max_gap)
     {
         compare(from.image, before.figure, seen);
     }
@@ -78,7 +78,7 @@
                                  const headroom_sample& with,
                                  const headroom_sample& seen)
 {
-    if (std::max(with.headroom, seen.headroom) < options_.least_headroom)
+    if (std::max(with.headroom, seen.headroom) < options_.min_headroom)
     {
         return false;
     }
--- a/packages/scheduler/src/placement.cpp
+++ b/packages/scheduler/src/placement.cpp
@@ -69,7 +69,7 @@
         }
         const auto known = at.headroom_alone.find(serving);
         const double alone = known == at.headroom_alone.end()
-                                 ? options.usual_headroom
+                                 ? options.default_headroom
                                  : known->second;
         least = std::min(least.value_or(alone - cost), alone - cost);
     }
@@ -80,7 +80,7 @@
                const placement_options& options)
 {
     const auto pace = at.paces.find(image);
-    return pace != at.paces.end() && pace->second < options.least_pace;
+    return pace != at.paces.end() && pace->second < options.min_pace;
 }
 
 bool has_fill_room(const worker_record& at, const placement_query& query,
@@ -94,7 +94,7 @@
         static_cast<double>(at.fill_cpu + query.step.demand.cpu_millis);
     return asked <= fill_room(at, options) &&
            headroom_with(at, query, options).value_or(no_interference) >=
-               options.least_headroom;
+               options.min_headroom;
 }
 
 // Where fills compete least, and where they harm least.
--- a/packages/scheduler/src/scheduler_core.cpp
+++ b/packages/scheduler/src/scheduler_core.cpp
@@ -11,7 +11,7 @@
 {
 
 // A job's age is only used to order it; clocks may jump.
-constexpr std::int64_t longest_age_ms = 600'000;
+constexpr std::int64_t max_age_ms = 600'000;
 
 } // namespace
 
@@ -38,7 +38,7 @@
 {
     const std::string id = what.id;
     const std::int64_t age =
-        std::clamp<std::int64_t>(unix_ms - what.accepted_ms, 0, longest_age_ms);
+        std::clamp<std::int64_t>(unix_ms - what.accepted_ms, 0, max_age_ms);
     accept(std::move(what), now - std::chrono::milliseconds(age));
     job_record& of = *job_of(id);
     if (!kept)
--- a/packages/scheduler/src/sibling_headroom.cpp
+++ b/packages/scheduler/src/sibling_headroom.cpp
@@ -8,7 +8,7 @@
 
 // An older figure is of another load: it swings over some ten seconds, and
 // figures come twice a second.
-constexpr duration longest_age = std::chrono::milliseconds(700);
+constexpr duration max_age = std::chrono::milliseconds(700);
 // Fewer others say more of themselves than of the load.
 constexpr std::size_t fewest_others = 2;
 
@@ -70,10 +70,10 @@
     {
         return;
     }
-    next_cleaning_ = now + longest_age / 2;
+    next_cleaning_ = now + max_age / 2;
     for (auto at = of_.begin(); at != of_.end();)
     {
-        if (now - at->second.at <= longest_age)
+        if (now - at->second.at <= max_age)
         {
             ++at;
             continue;
--- a/packages/scheduler/src/ticket_cache.cpp
+++ b/packages/scheduler/src/ticket_cache.cpp
@@ -40,7 +40,7 @@
         const bool holds = held != of.good.end() &&
                            now + options_.reserve < held->second.until;
         const bool bad = held == of.good.end() && of.asked.contains(life);
-        if (!holds && !bad && of.wanted.size() < options_.most_workers)
+        if (!holds && !bad && of.wanted.size() < options_.max_workers)
         {
             of.wanted.push_back(life);
         }
--- a/packages/table/src/table.cpp
+++ b/packages/table/src/table.cpp
@@ -9,11 +9,11 @@
 namespace
 {
 
-constexpr std::size_t most_rows = 10'000;
-constexpr std::size_t most_bytes = 900'000;
-constexpr std::size_t longest_name = 63;
+constexpr std::size_t max_rows = 10'000;
+constexpr std::size_t max_bytes = 900'000;
+constexpr std::size_t max_name = 63;
 constexpr std::size_t hash_length = 64;
-constexpr std::int64_t most_slots = 1'000;
+constexpr std::int64_t max_slots = 1'000;
 
 bool is_name(std::string_view text)
 {
@@ -21,7 +21,7 @@
     {
         return (c >= 'a' && c <= 'z') || (c >= '0' && c <= '9') || c == '-';
     };
-    return !text.empty() && text.size() <= longest_name &&
+    return !text.empty() && text.size() <= max_name &&
            std::all_of(text.begin(), text.end(), allowed);
 }
 
@@ -72,7 +72,7 @@
                   .max_in_flight = reader.integer("max_in_flight", 0),
                   .max_queue = reader.integer("max_queue", 64),
                   .reserved_slots =
-                      reader.integer("reserved_slots", 0, {.most = most_slots}),
+                      reader.integer("reserved_slots", 0, {.most = max_slots}),
                   .target_ms = reader.integer("target_ms", 0),
                   .repeatable = reader.boolean("repeatable", false)};
     if (row.reserved_slots > 0 && row.kind != class_kind::latency_critical)
@@ -172,7 +172,7 @@
     {
         reader.report("rows", "must be an object of rows");
     }
-    else if (rows->size() > most_rows || document.dump().size() > most_bytes)
+    else if (rows->size() > max_rows || document.dump().size() > max_bytes)
     {
         reader.report("rows", "is larger than the store can hold");
     }
--- a/packages/transport/include/springstair/detail/transport/http_server.hpp
+++ b/packages/transport/include/springstair/detail/transport/http_server.hpp
@@ -43,10 +43,10 @@
     std::string address = "127.0.0.1";
     std::uint16_t port = 0; ///< 0: any free one
     unsigned int threads = 2;
-    unsigned int most_connections = 4096;
+    unsigned int max_connections = 4096;
     std::size_t most_body_bytes = 16U << 20U;
     duration idle_timeout = std::chrono::seconds(30);
-    duration longest_upload = std::chrono::seconds(20);
+    duration max_upload = std::chrono::seconds(20);
 };
 
 /// @brief An HTTP/1.1 server on one address.
--- a/packages/transport/src/http_client.cpp
+++ b/packages/transport/src/http_client.cpp
@@ -29,14 +29,14 @@
 {
 
 constexpr int library_failed = 202;
-constexpr int longest_poll_ms = 1000;
+constexpr int max_poll_ms = 1000;
 constexpr int events_a_turn = 64;
 constexpr std::size_t kept_handles = 256;
 constexpr long kept_connections = 512;
 // A call is left to the library for so long after its time limit.
 constexpr duration library_slack = std::chrono::milliseconds(500);
 // Between two looks for calls that are overdue; each looks at all open ones.
-constexpr duration overdue_look_every = std::chrono::milliseconds(250);
+constexpr duration overdue_check_interval = std::chrono::milliseconds(250);
 
 int pending_error(int socket)
 {
@@ -136,13 +136,12 @@
     {
         if (!timer)
         {
-            return longest_poll_ms;
+            return max_poll_ms;
         }
         const duration left = std::max(duration{0}, *timer - boot_clock::now());
         const std::int64_t millis =
             std::chrono::ceil<std::chrono::milliseconds>(left).count();
-        return static_cast<int>(
-            std::min<std::int64_t>(millis, longest_poll_ms));
+        return static_cast<int>(std::min<std::int64_t>(millis, max_poll_ms));
     }
 
     void turn()
@@ -368,7 +367,7 @@
         {
             return;
         }
-        next_overdue_look = now + overdue_look_every;
+        next_overdue_look = now + overdue_check_interval;
         std::vector<CURL*> overdue;
         for (const auto& [handle, call] : open)
         {
--- a/packages/transport/src/http_server.cpp
+++ b/packages/transport/src/http_server.cpp
@@ -60,7 +60,7 @@
 
 constexpr int socket_failed = 201;
 constexpr std::size_t header_memory = 32U << 10U;
-constexpr duration longest_flush = std::chrono::seconds(2);
+constexpr duration max_flush = std::chrono::seconds(2);
 // Callers that are gone without a word hold 32 KB and a descriptor each; above
 // the queue of a crowded thin link.
 constexpr duration ack_timeout = std::chrono::seconds(5);
@@ -146,8 +146,7 @@
     {
         const bool too_large =
             of.received.size() + size > options.most_body_bytes;
-        const bool too_slow =
-            boot_clock::now() - of.since > options.longest_upload;
+        const bool too_slow = boot_clock::now() - of.since > options.max_upload;
         if (too_large || too_slow)
         {
             return MHD_NO;
@@ -194,7 +193,7 @@
     {
         const absl::MutexLock lock(&mutex);
         mutex.AwaitWithTimeout(absl::Condition(this, &state::nothing_open),
-                               absl::Microseconds(longest_flush.count()));
+                               absl::Microseconds(max_flush.count()));
     }
 
     void answer_all()
@@ -331,7 +330,7 @@
         MHD_USE_EPOLL_INTERNAL_THREAD | MHD_ALLOW_SUSPEND_RESUME, options.port,
         nullptr, nullptr, &on_access, state_.get(), MHD_OPTION_SOCK_ADDR,
         &address, MHD_OPTION_THREAD_POOL_SIZE, options.threads,
-        MHD_OPTION_CONNECTION_LIMIT, options.most_connections,
+        MHD_OPTION_CONNECTION_LIMIT, options.max_connections,
         MHD_OPTION_CONNECTION_TIMEOUT,
         static_cast<unsigned int>(to_seconds(options.idle_timeout)),
         MHD_OPTION_CONNECTION_MEMORY_LIMIT, header_memory,
--- a/tests/unit/crashes_by_themselves_tests.cpp
+++ b/tests/unit/crashes_by_themselves_tests.cpp
@@ -79,7 +79,7 @@
         for (const std::string& id : bad)
         {
             CHECK(fleet.at.shown(id) == job_state::failed);
-            CHECK(fleet.crashes(id) <= most_crashes + most_starts_after);
+            CHECK(fleet.crashes(id) <= max_crashes + max_starts_after);
         }
         CHECK(passing.unserved() == 0);
         CHECK(fleet.at.shown(lasts) == job_state::running);
--- a/tests/unit/crashing_fleet.hpp
+++ b/tests/unit/crashing_fleet.hpp
@@ -5,9 +5,9 @@
 namespace springstair::tests
 {
 
-inline constexpr std::int64_t most_crashes = 3;
+inline constexpr std::int64_t max_crashes = 3;
 // The platform's bound on starts after the third crash, less one.
-inline constexpr std::int64_t most_starts_after = 2;
+inline constexpr std::int64_t max_starts_after = 2;
 
 // Workers whose executors crash under some tasks and return some seconds later.
 class crashing_fleet
--- a/tests/unit/crashing_task_tests.cpp
+++ b/tests/unit/crashing_task_tests.cpp
@@ -55,7 +55,7 @@
     passing.run(seconds(20), milliseconds(100));
     fleet.run(seconds(10));
     CHECK(fleet.at.shown(bad) == job_state::failed);
-    CHECK(fleet.crashes(bad) <= most_crashes);
+    CHECK(fleet.crashes(bad) <= max_crashes);
     CHECK(passing.unserved() == 0);
 }
 
@@ -68,7 +68,7 @@
     passing.run(seconds(40), milliseconds(100));
     fleet.run(seconds(10));
     CHECK(fleet.at.shown(bad) == job_state::failed);
-    CHECK(fleet.crashes(bad) <= most_crashes + most_starts_after);
+    CHECK(fleet.crashes(bad) <= max_crashes + max_starts_after);
     CHECK(passing.unserved() == 0);
 }
 
@@ -81,7 +81,7 @@
     passing.run(seconds(45), milliseconds(100));
     fleet.run(seconds(10));
     CHECK(fleet.at.shown(bad) == job_state::failed);
-    CHECK(fleet.crashes(bad) <= most_crashes + most_starts_after);
+    CHECK(fleet.crashes(bad) <= max_crashes + max_starts_after);
     CHECK(passing.unserved() == 0);
 }
 
@@ -102,7 +102,7 @@
     for (const std::string& id : bad)
     {
         CHECK(fleet.at.shown(id) == job_state::failed);
-        CHECK(fleet.crashes(id) <= most_crashes + most_starts_after);
+        CHECK(fleet.crashes(id) <= max_crashes + max_starts_after);
     }
     CHECK(passing.unserved() == 0);
 }
@@ -120,7 +120,7 @@
     }
     fleet.run(seconds(15));
     CHECK(fleet.at.shown(bad) == job_state::failed);
-    CHECK(fleet.crashes(bad) <= most_crashes + most_starts_after);
+    CHECK(fleet.crashes(bad) <= max_crashes + max_starts_after);
     CHECK(passing.unserved() == 0);
 }
 
@@ -139,7 +139,7 @@
     for (const std::string& id : bad)
     {
         CHECK(fleet.at.shown(id) == job_state::failed);
-        CHECK(fleet.crashes(id) <= most_crashes + most_starts_after);
+        CHECK(fleet.crashes(id) <= max_crashes + max_starts_after);
     }
     CHECK(passing.unserved() == 0);
 }
@@ -276,7 +276,7 @@
         for (const std::string& id : bad)
         {
             CHECK(fleet.at.shown(id) == job_state::failed);
-            CHECK(fleet.crashes(id) <= most_crashes + most_starts_after);
+            CHECK(fleet.crashes(id) <= max_crashes + max_starts_after);
         }
         fleet.run(seconds(5));
         CHECK(passing.unserved() == 0);
--- a/tests/unit/edge_tests.cpp
+++ b/tests/unit/edge_tests.cpp
@@ -320,7 +320,7 @@
 
 TEST_CASE("the supervisor restarts a part, and gives up on a hopeless one")
 {
-    supervisor parts({.most_restarts = 3});
+    supervisor parts({.max_restarts = 3});
     int runs = 0;
     std::atomic<bool> other_began = false;
     bool other_stopped = false;
@@ -352,7 +352,7 @@
 TEST_CASE("classes beyond the bound share a label")
 {
     metrics numbers;
-    for (std::size_t index = 0; index < metrics::most_classes + 10; ++index)
+    for (std::size_t index = 0; index < metrics::max_classes + 10; ++index)
     {
         numbers.count("refused", {"w", "c" + std::to_string(index)}, "r");
     }
--- a/tests/unit/freed_room_tests.cpp
+++ b/tests/unit/freed_room_tests.cpp
@@ -71,9 +71,9 @@
                                    { return !one.second.fits(room); });
     }
 
-    [[nodiscard]] std::size_t most_queued() const
+    [[nodiscard]] std::size_t max_queued() const
     {
-        return most_queued_;
+        return max_queued_;
     }
 
     [[nodiscard]] bool all_ended() const
@@ -135,7 +135,7 @@
                                         .revision = at_.revision};
             }
             at_.core.committed(*batch, at_.revision, at_.now);
-            most_queued_ = std::max(most_queued_, batch->size());
+            max_queued_ = std::max(max_queued_, batch->size());
         }
         for (const addressed_orders& one : at_.core.take_orders())
         {
@@ -146,7 +146,7 @@
     holder at_{{.jobs_per_commit = 2, .lasting_batch_window = duration{0}}};
     std::mt19937 random_;
     bool submits_ = true;
-    std::size_t most_queued_ = 0;
+    std::size_t max_queued_ = 0;
 };
 
 } // namespace
@@ -165,7 +165,7 @@
             store.turn();
             REQUIRE_FALSE(store.counts_more_than_fits());
         }
-        CHECK(store.most_queued() == 2);
+        CHECK(store.max_queued() == 2);
         store.calm();
         for (int turn = 0; turn < 4000 && !store.all_ended(); ++turn)
         {
--- a/tests/unit/interference_model_tests.cpp
+++ b/tests/unit/interference_model_tests.cpp
@@ -152,7 +152,7 @@
 
 TEST_CASE("images beyond the bound are taken as any other unknown one")
 {
-    interference_model model({.most_images = 2});
+    interference_model model({.max_images = 2});
     time_point now{std::chrono::hours(1)};
     for (int count = 0; count < 50; ++count)
     {
--- a/tests/unit/job_world.hpp
+++ b/tests/unit/job_world.hpp
@@ -177,7 +177,7 @@
     void hold_call(std::size_t index, const Order& what,
                    const std::shared_ptr<run_reconciler>& keeper)
     {
-        later(milliseconds(draw(longest_wait_ms)),
+        later(milliseconds(draw(max_wait_ms)),
               [this, index, what, to = incarnation_at(index)]
               { carry_out_late(index, what, to); });
         later(call_limit, [this, keeper, what, sent = now_]
--- a/tests/unit/job_world_checks.cpp
+++ b/tests/unit/job_world_checks.cpp
@@ -32,8 +32,7 @@
         guard_process& guard = guards_[index];
         if (chance(faults_.busy))
         {
-            guard.executor.busy_until =
-                now_ + milliseconds(draw(longest_wait_ms));
+            guard.executor.busy_until = now_ + milliseconds(draw(max_wait_ms));
         }
         if (chance(faults_.look_silent))
         {
--- a/tests/unit/job_world_guards.cpp
+++ b/tests/unit/job_world_guards.cpp
@@ -40,7 +40,7 @@
 // some time.
 duration job_world::time_away()
 {
-    return milliseconds(draw(2) == 0 ? 0 : draw(longest_away_ms));
+    return milliseconds(draw(2) == 0 ? 0 : draw(max_away_ms));
 }
 
 // Births tell lives apart and do not order them.
@@ -355,15 +355,15 @@
                              { return &one.executor == &at; });
     const bool in_touch = now_ - guard->began >= in_touch_after &&
                           now_ - guard->cut_until >= in_touch_after;
-    if (!in_touch || !crashing_.contains(task) || crashes_[task] < most_crashes)
+    if (!in_touch || !crashing_.contains(task) || crashes_[task] < max_crashes)
     {
         return;
     }
-    if (++starts_after_[task] > most_starts_after)
+    if (++starts_after_[task] > max_starts_after)
     {
         tell(task);
     }
-    RC_ASSERT(starts_after_[task] <= most_starts_after);
+    RC_ASSERT(starts_after_[task] <= max_starts_after);
 }
 
 void job_world::check_start(const task_name& name) const
--- a/tests/unit/job_world_holders.cpp
+++ b/tests/unit/job_world_holders.cpp
@@ -341,7 +341,7 @@
     const bool is_cut = now_ < guards_[index].cut_until;
     if (chance(faults_.push_again))
     {
-        later(milliseconds(draw(longest_wait_ms)),
+        later(milliseconds(draw(max_wait_ms)),
               [this, index, orders = one.orders]
               { hear_orders(index, orders); });
     }
--- a/tests/unit/job_world_parts.hpp
+++ b/tests/unit/job_world_parts.hpp
@@ -21,10 +21,10 @@
 constexpr std::int64_t most_attempts = 3;
 constexpr std::size_t guard_count = 4;
 constexpr std::int64_t crashes_to_give_up = 2;
-constexpr std::int64_t most_crashes = 3;
+constexpr std::int64_t max_crashes = 3;
 // Of a task under which so many executors have crashed, by guards in touch:
 // neither started nor cut off for so long before.
-constexpr std::int64_t most_starts_after = 2;
+constexpr std::int64_t max_starts_after = 2;
 constexpr duration in_touch_after = seconds(3);
 constexpr std::size_t data_centre_count = 2;
 // No run begins in a data centre later than this after it was closed.
@@ -32,12 +32,12 @@
 // A watch may hear nothing of a change for so long (platform).
 constexpr int deaf_watch_ms = 1000;
 // A call on a connection waits unread at an executor or a guard for so long.
-constexpr int longest_wait_ms = 2000;
+constexpr int max_wait_ms = 2000;
 // A guard gives up a call that has had no answer for so long.
 constexpr duration call_limit = milliseconds(300);
-constexpr duration longest_lease = seconds(6);
+constexpr duration max_lease = seconds(6);
 // An executor that starts again under its id is away for so long.
-constexpr int longest_away_ms = 3000;
+constexpr int max_away_ms = 3000;
 constexpr std::int64_t middle_birth_ms = 1'776'000'000'000;
 
 // Chances in a hundred thousand, at each step or message.
@@ -111,7 +111,7 @@
     // A longer lease than the longest is cut down to that (platform).
     void extend_to(std::int64_t asked, time_point now)
     {
-        const std::int64_t most = clock(now) + to_milliseconds(longest_lease);
+        const std::int64_t most = clock(now) + to_milliseconds(max_lease);
         deadline = std::max(deadline, std::min(asked, most));
     }
 
--- a/tests/unit/request_world_tests.cpp
+++ b/tests/unit/request_world_tests.cpp
@@ -104,7 +104,7 @@
             const bool repeatable = one.request.of.work_class == "fast";
             RC_ASSERT(repeatable || one.runs <= 1);
         }
-        RC_ASSERT(most_busy_ <= slots);
+        RC_ASSERT(max_busy_ <= slots);
         RC_ASSERT(started_while_leaving_ == 0);
         RC_ASSERT(cut_by_drain_ == 0);
         RC_ASSERT(asked_.size() > 10U);
@@ -127,10 +127,10 @@
         return std::uniform_int_distribution<int>(0, 99)(random_) < percent;
     }
 
-    duration delay(int most_ms)
+    duration delay(int max_ms)
     {
         return milliseconds(
-            std::uniform_int_distribution<int>(0, most_ms)(random_));
+            std::uniform_int_distribution<int>(0, max_ms)(random_));
     }
 
     void later(duration wait, std::function<void()> what)
@@ -349,8 +349,8 @@
         started_while_leaving_ += side.stopped ? 1 : 0;
         ++asked_.at(runs_of_.at(name)).runs;
         side.executing[name.value] = 1;
-        most_busy_ = std::max(most_busy_,
-                              static_cast<std::int64_t>(side.executing.size()));
+        max_busy_ = std::max(max_busy_,
+                             static_cast<std::int64_t>(side.executing.size()));
         const duration service = milliseconds(5) + delay(60);
         const int life = side.life;
         if (chance(rates_.executor_lost))
@@ -457,7 +457,7 @@
     std::map<request_number, asked> asked_;
     std::map<attempt_name, request_number> runs_of_;
     request_number next_number_ = 0;
-    std::int64_t most_busy_ = 0;
+    std::int64_t max_busy_ = 0;
     int started_while_leaving_ = 0;
     int cut_by_drain_ = 0;
 };
--- a/tests/unit/restarted_executor_tests.cpp
+++ b/tests/unit/restarted_executor_tests.cpp
@@ -297,7 +297,7 @@
     at.now += seconds(3);
     at.answer(first, 2);
     CHECK(at.keeper.report(at.now).lease_ms >
-          to_milliseconds(at.options.longest_lease));
+          to_milliseconds(at.options.max_lease));
     // A process that comes later is above both, and so is a later holder.
     const auto fence_of = [&](guard_admission admission)
     {
@@ -345,7 +345,7 @@
     }
     const worker_report report = at.keeper.report(at.now);
     CHECK_FALSE(report.lapsed);
-    CHECK(report.lease_ms > to_milliseconds(at.options.longest_lease));
+    CHECK(report.lease_ms > to_milliseconds(at.options.max_lease));
 }
 
 TEST_CASE("a guard takes the orders of a holder that knows of no births")
--- a/tests/unit/restarted_guard_tests.cpp
+++ b/tests/unit/restarted_guard_tests.cpp
@@ -31,7 +31,7 @@
 using std::chrono::seconds;
 
 constexpr duration turn_length = milliseconds(10);
-constexpr duration report_every = milliseconds(100);
+constexpr duration report_interval = milliseconds(100);
 // A start that is read later does nothing.
 constexpr duration start_limit = seconds(2);
 
@@ -186,7 +186,7 @@
         }
         if (at.keeper->take_report_due() || now >= at.next_report)
         {
-            at.next_report = now + report_every;
+            at.next_report = now + report_interval;
             report(at);
         }
     }
--- a/tests/unit/task_world_tests.cpp
+++ b/tests/unit/task_world_tests.cpp
@@ -331,7 +331,7 @@
             task_core_options{.name = {"e" + std::to_string(index)},
                               .incarnation = std::to_string(side.life),
                               .shards = 3,
-                              .snapshot_every = 7,
+                              .snapshot_interval = 7,
                               .seed = static_cast<std::uint64_t>(draw(1000))});
         side.core->on_table(table::parse(
             {{"revision", 1},
