--- a/packages/daemon/src/job_guard_role.cpp
+++ b/packages/daemon/src/job_guard_role.cpp
@@ -26,7 +26,7 @@
 constexpr duration report_timeout = std::chrono::milliseconds(700);
 constexpr duration report_retry = std::chrono::milliseconds(120);
 // Ends within this time travel in one report.
-constexpr duration report_interval = std::chrono::milliseconds(8);
+constexpr duration min_report_interval = std::chrono::milliseconds(8);
 // The key is watched only while no holder answers.
 constexpr duration leader_watch_wait = std::chrono::seconds(2);
 constexpr int incarnation_bytes_of_guard = 6;
@@ -358,7 +358,7 @@
         }
         if (keeper_.take_report_due() && !holder_.has_failed())
         {
-            next_report_ = std::min(next_report_, now + report_interval);
+            next_report_ = std::min(next_report_, now + min_report_interval);
         }
         if (!reporting_ && now >= next_report_)
         {
