--- a/bench/office.cpp
+++ b/bench/office.cpp
@@ -168,7 +168,7 @@
             .guard = name,
             .address = "10.1.0.48:7720",
             .incarnation = "5eab792cbe01",
-            .worker = {.life = "i-" + name,
+            .worker = {.executor = "i-" + name,
                        .service = "s",
                        .data_centre = "pos-a",
                        .rack = "r" + std::to_string(index % racks),
--- a/bench/slopes.cpp
+++ b/bench/slopes.cpp
@@ -254,7 +254,7 @@
         .address = "10.0.0.1:7720",
         .incarnation = "i",
         .sequence = sequence,
-        .worker = {.life = name, .service = "s", .capacity = worker_room},
+        .worker = {.executor = name, .service = "s", .capacity = worker_room},
         .looked = true,
         .answering = true};
     return report;
--- a/packages/daemon/src/job_guard_role.cpp
+++ b/packages/daemon/src/job_guard_role.cpp
@@ -96,9 +96,10 @@
             {
                 on_heartbeat(*beat);
             }
-            else if (const auto life = platform::decode_leave(arrival.request))
+            else if (const auto executor =
+                         platform::decode_leave(arrival.request))
             {
-                keeper_.on_leave(*life);
+                keeper_.on_leave(*executor);
             }
             else
             {
@@ -116,8 +117,8 @@
     // Numbers order the heartbeats of one life; the keeper orders lives.
     void on_heartbeat(const platform::worker_heartbeat& beat)
     {
-        const executor_incarnation& life = beat.worker.life;
-        heard_executor& from = executors_[life];
+        const executor_incarnation& executor = beat.worker.executor;
+        heard_executor& from = executors_[executor];
         if (beat.sequence <= from.sequence)
         {
             return;
@@ -128,28 +129,28 @@
             from.address = beat.address;
         }
         keeper_.on_worker(beat.worker, beat.clock_ms, boot_clock::now());
-        if (keeper_.worker().life != life)
+        if (keeper_.worker().executor != executor)
         {
             log_event(event_id::executor_unproven,
-                      {{"life", life.text()},
-                       {"present", keeper_.worker().life.text()}});
+                      {{"life", executor.text()},
+                       {"present", keeper_.worker().executor.text()}});
         }
     }
 
     void on_polled(const poll_executor& what, const http_result& result,
                    time_point sent)
     {
-        const executor_incarnation before = keeper_.worker().life;
-        keeper_.on_polled(what.life, platform::decode_result(result),
+        const executor_incarnation before = keeper_.worker().executor;
+        keeper_.on_polled(what.executor, platform::decode_result(result),
                           platform::decode_poll(result), sent,
                           boot_clock::now());
-        if (keeper_.worker().life == before)
+        if (keeper_.worker().executor == before)
         {
             return;
         }
         log_event(event_id::worker_lost,
                   {{"life", before.text()},
-                   {"next", keeper_.worker().life.text()},
+                   {"next", keeper_.worker().executor.text()},
                    {"why", "its address is another life's"}});
         std::erase_if(executors_,
                       [&](const auto& one) { return one.first == before; });
@@ -160,9 +161,9 @@
         std::visit([this](const auto& what) { send(what); }, action);
     }
 
-    const std::string& address_of(const executor_incarnation& life) const
+    const std::string& address_of(const executor_incarnation& executor) const
     {
-        const auto found = executors_.find(life);
+        const auto found = executors_.find(executor);
         const bool known =
             found != executors_.end() && !found->second.address.empty();
         return known ? found->second.address : process_.from.executor;
@@ -171,7 +172,7 @@
     template <class Order, class Done>
     void call_executor(const Order& what, Done done)
     {
-        process_.client.send(platform::encode(what, address_of(what.life)),
+        process_.client.send(platform::encode(what, address_of(what.executor)),
                              process_.on_control<http_result>(std::move(done)));
     }
 
--- a/packages/guard/include/springstair/detail/guard/run_reconciler.hpp
+++ b/packages/guard/include/springstair/detail/guard/run_reconciler.hpp
@@ -106,7 +106,7 @@
     start_order order;
     std::int64_t deadline_ms = 0;
     std::int64_t fence = 0;
-    executor_incarnation life;
+    executor_incarnation executor;
 };
 
 /// @brief Stop a run.
@@ -114,7 +114,7 @@
 {
     stop_order order;
     std::int64_t fence = 0;
-    executor_incarnation life;
+    executor_incarnation executor;
 };
 
 /// @brief Let a run work at a share of its speed, in percent.
@@ -124,7 +124,7 @@
     std::int64_t run = 0;
     std::int64_t percent = 100;
     std::int64_t fence = 0;
-    executor_incarnation life;
+    executor_incarnation executor;
 };
 
 /// @brief Extend the lease, acknowledge ends and ask for both lists.
@@ -137,7 +137,7 @@
     std::optional<time_point> connected_before;
     std::int64_t wait_ms = 0;
     std::int64_t fence = 0;
-    executor_incarnation life;
+    executor_incarnation executor;
 };
 
 /// @brief One thing to do.
@@ -159,7 +159,7 @@
     void on_worker(const worker_description& what, std::int64_t clock_ms,
                    time_point now);
     /// @brief The executor said that it ends.
-    void on_leave(const executor_incarnation& life);
+    void on_leave(const executor_incarnation& executor);
     /// @brief Orders came. @return false if they are of an older holder or
     /// for another incarnation
     bool on_orders(const guard_orders& orders, time_point now);
--- a/packages/guard/src/run_reconciler.cpp
+++ b/packages/guard/src/run_reconciler.cpp
@@ -106,7 +106,8 @@
 // unknown, or while the executor may have started again.
 bool run_reconciler::may_lease(time_point now) const
 {
-    const bool may_be_over = unconfirmed_.what.life.id == worker_.life.id;
+    const bool may_be_over =
+        unconfirmed_.what.executor.id == worker_.executor.id;
     return knows_clock_ && !may_be_over && !is_silent(now);
 }
 
@@ -147,7 +148,7 @@
         return false;
     }
     epoch_ = orders.epoch;
-    if (worker_.life.empty() || !orders.life.may_be(worker_.life))
+    if (worker_.executor.empty() || !orders.executor.may_be(worker_.executor))
     {
         return false;
     }
@@ -227,8 +228,9 @@
 {
     for (stop_order& order : std::exchange(superseded_stops_, {}))
     {
-        out.emplace_back(stop_run{
-            .order = std::move(order), .fence = fence(), .life = worker_.life});
+        out.emplace_back(stop_run{.order = std::move(order),
+                                  .fence = fence(),
+                                  .executor = worker_.executor});
     }
 }
 
@@ -276,7 +278,7 @@
 std::vector<executor_action> run_reconciler::due(time_point now)
 {
     std::vector<executor_action> out;
-    if (worker_.life.empty() || epoch_ == 0)
+    if (worker_.executor.empty() || epoch_ == 0)
     {
         return out;
     }
@@ -387,7 +389,7 @@
                                   .run = run.order.run,
                                   .percent = wanted,
                                   .fence = fence(),
-                                  .life = worker_.life});
+                                  .executor = worker_.executor});
 }
 
 void run_reconciler::act_on_run(const std::string& task, tracked_run& run,
@@ -403,7 +405,7 @@
         run.call_open = true;
         out.emplace_back(stop_run{.order = {.task = task, .run = run.order.run},
                                   .fence = fence(),
-                                  .life = worker_.life});
+                                  .executor = worker_.executor});
         return;
     }
     const duration left = std::min(permit_until_ - now, options_.start_limit);
@@ -420,7 +422,7 @@
     out.emplace_back(start_run{.order = run.order,
                                .deadline_ms = lease_to(left, now),
                                .fence = fence(),
-                               .life = worker_.life});
+                               .executor = worker_.executor});
 }
 
 // The next life of an executor counts its ends from 1 again. It would forget
@@ -437,7 +439,7 @@
     poll_executor look{.acknowledged = acknowledged_,
                        .wait_ms = to_milliseconds(options_.poll_wait),
                        .fence = fence(),
-                       .life = worker_.life};
+                       .executor = worker_.executor};
     const duration left =
         std::min({permit_until_ - now, options_.lease, options_.max_lease});
     if (left > duration{0} && may_lease(now))
--- a/packages/guard/src/run_reconciler_incarnations.cpp
+++ b/packages/guard/src/run_reconciler_incarnations.cpp
@@ -11,9 +11,9 @@
 void run_reconciler::on_worker(const worker_description& what,
                                std::int64_t clock_ms, time_point now)
 {
-    if (worker_.life != what.life)
+    if (worker_.executor != what.executor)
     {
-        if (ended_incarnations_.contains(what.life))
+        if (ended_incarnations_.contains(what.executor))
         {
             return;
         }
@@ -22,7 +22,7 @@
             on_unconfirmed_heartbeat(what, clock_ms, now);
             return;
         }
-        begin_incarnation(what.life, now);
+        begin_incarnation(what.executor, now);
     }
     report_due_ = report_due_ || worker_ != what;
     worker_ = what;
@@ -39,14 +39,14 @@
                                               std::int64_t clock_ms,
                                               time_point now)
 {
-    if (unconfirmed_.what.life != what.life)
+    if (unconfirmed_.what.executor != what.executor)
     {
         unconfirmed_ = {};
     }
     unconfirmed_.what = what;
     unconfirmed_.clock_ms = clock_ms;
     unconfirmed_.heard = now;
-    if (what.life.id == worker_.life.id)
+    if (what.executor.id == worker_.executor.id)
     {
         expect_longest_lease(now + options_.silence);
     }
@@ -60,7 +60,7 @@
     remember_incarnation(now);
     failing_since_.reset();
     unhealthy_ = false;
-    if (next.id == worker_.life.id)
+    if (next.id == worker_.executor.id)
     {
         carry_uncertain_starts(now);
     }
@@ -121,12 +121,12 @@
     time_point now)
 {
     unconfirmed_.asking = false;
-    const executor_incarnation& asked = unconfirmed_.what.life;
-    const bool names_it = asked.id != worker_.life.id;
+    const executor_incarnation& asked = unconfirmed_.what.executor;
+    const bool names_it = asked.id != worker_.executor.id;
     if (look)
     {
         const executor_incarnation there(asked.id, look->born_ms);
-        if (!names_it && there.may_be(worker_.life))
+        if (!names_it && there.may_be(worker_.executor))
         {
             ended_incarnations_.insert(asked);
             unconfirmed_ = {};
@@ -158,13 +158,13 @@
                                         time_point now)
 {
     worker_description next = worker_;
-    next.life = who;
+    next.executor = who;
     next.service.clear();
     next.draining = false;
     next.leaves_ms = 0;
-    ended_incarnations_.insert(worker_.life);
+    ended_incarnations_.insert(worker_.executor);
     begin_incarnation(who, now);
-    if (who == unconfirmed_.what.life)
+    if (who == unconfirmed_.what.executor)
     {
         next = unconfirmed_.what;
         clock_ms_ = unconfirmed_.clock_ms;
@@ -177,9 +177,9 @@
     report_due_ = true;
 }
 
-void run_reconciler::on_leave(const executor_incarnation& life)
+void run_reconciler::on_leave(const executor_incarnation& executor)
 {
-    if (worker_.life.may_be(life))
+    if (worker_.executor.may_be(executor))
     {
         worker_.draining = true;
         report_due_ = true;
@@ -189,14 +189,14 @@
 void run_reconciler::poll_unconfirmed(time_point now,
                                       std::vector<executor_action>& out)
 {
-    if (unconfirmed_.what.life.empty() || unconfirmed_.asking ||
+    if (unconfirmed_.what.executor.empty() || unconfirmed_.asking ||
         now < unconfirmed_.next_ask)
     {
         return;
     }
     unconfirmed_.asking = true;
-    out.emplace_back(
-        poll_executor{.fence = fence(), .life = unconfirmed_.what.life});
+    out.emplace_back(poll_executor{.fence = fence(),
+                                   .executor = unconfirmed_.what.executor});
 }
 
 // ---------------------------------------------------------------------------
@@ -227,7 +227,7 @@
     }
     if (!over_.begun.empty())
     {
-        over_.life = worker_.life;
+        over_.executor = worker_.executor;
         over_.lost_ms = vm_clock_ms(failing_since_.value_or(now));
         former_.push_back({.what = std::exchange(over_, {})});
     }
@@ -241,7 +241,8 @@
 // one's: its lists show it, and no crash speaks of it.
 void run_reconciler::drop_surviving_runs()
 {
-    if (former_.empty() || former_.back().what.life.id != worker_.life.id)
+    if (former_.empty() ||
+        former_.back().what.executor.id != worker_.executor.id)
     {
         return;
     }
--- a/packages/guard/src/run_reconciler_results.cpp
+++ b/packages/guard/src/run_reconciler_results.cpp
@@ -66,7 +66,7 @@
     const std::string& task = what.order.task;
     const auto found = runs_.find(task);
     if (found == runs_.end() || found->second.order.run != what.order.run ||
-        what.life != worker_.life)
+        what.executor != worker_.executor)
     {
         return;
     }
@@ -131,7 +131,8 @@
     const std::string& task = what.order.task;
     const auto found = runs_.find(task);
     if (found == runs_.end() || found->second.order.run != what.order.run ||
-        found->second.at != stage::stopping || what.life != worker_.life)
+        found->second.at != stage::stopping ||
+        what.executor != worker_.executor)
     {
         return;
     }
@@ -160,16 +161,17 @@
                                const std::optional<executor_snapshot>& look,
                                time_point sent, time_point now)
 {
-    if (!unconfirmed_.what.life.empty() && asked == unconfirmed_.what.life)
+    if (!unconfirmed_.what.executor.empty() &&
+        asked == unconfirmed_.what.executor)
     {
-        const bool is_of_another_executor = asked.id != worker_.life.id;
+        const bool is_of_another_executor = asked.id != worker_.executor.id;
         on_unconfirmed_polled(result, look, now);
         if (!is_of_another_executor)
         {
             return; // starts that it took meanwhile may be missing
         }
     }
-    if (asked != worker_.life)
+    if (asked != worker_.executor)
     {
         return;
     }
--- a/packages/jobs/include/springstair/detail/jobs/advice.hpp
+++ b/packages/jobs/include/springstair/detail/jobs/advice.hpp
@@ -15,7 +15,7 @@
 struct advice_query
 {
     std::string step; ///< step_group(): job, round and step
-    std::vector<executor_incarnation> lives;
+    std::vector<executor_incarnation> executors;
 
     bool operator==(const advice_query&) const = default;
 };
--- a/packages/jobs/include/springstair/detail/jobs/executor_incarnation.hpp
+++ b/packages/jobs/include/springstair/detail/jobs/executor_incarnation.hpp
@@ -56,12 +56,12 @@
 
 /// @brief Writes a life as two members of a message. Older versions read the
 /// first one alone.
-inline void put_incarnation(json& to, const executor_incarnation& life)
+inline void put_incarnation(json& to, const executor_incarnation& executor)
 {
-    to["life"] = life.id;
-    if (life.born_ms != 0)
+    to["life"] = executor.id;
+    if (executor.born_ms != 0)
     {
-        to["born_ms"] = life.born_ms;
+        to["born_ms"] = executor.born_ms;
     }
 }
 
--- a/packages/jobs/include/springstair/detail/jobs/progress.hpp
+++ b/packages/jobs/include/springstair/detail/jobs/progress.hpp
@@ -11,14 +11,14 @@
 {
     task_position at;
     bool done = false;
-    std::int64_t runs = 0;      ///< number of the newest run; 0: none yet
-    std::int64_t failures = 0;  ///< runs that ended by a failure
-    std::string guard;          ///< where the newest run may be; empty: nowhere
-    executor_incarnation life;  ///< of the executor there
-    std::string checkpoint;     ///< to resume from; empty: none
-    std::int64_t suspicion = 0; ///< of crashing the executors that start it
-    std::int64_t crashes = 0;   ///< of executors, surely under it
-    std::int64_t judged_run = 0; ///< the newest whose crash is in there
+    std::int64_t runs = 0;     ///< number of the newest run; 0: none yet
+    std::int64_t failures = 0; ///< runs that ended by a failure
+    std::string guard;         ///< where the newest run may be; empty: nowhere
+    executor_incarnation executor; ///< of the executor there
+    std::string checkpoint;        ///< to resume from; empty: none
+    std::int64_t suspicion = 0;    ///< of crashing the executors that start it
+    std::int64_t crashes = 0;      ///< of executors, surely under it
+    std::int64_t judged_run = 0;   ///< the newest whose crash is in there
     std::int64_t losses = 0; ///< executors that went with a start, sure or not
 
     bool operator==(const task_progress&) const = default;
--- a/packages/jobs/include/springstair/detail/jobs/worker_messages.hpp
+++ b/packages/jobs/include/springstair/detail/jobs/worker_messages.hpp
@@ -17,8 +17,8 @@
 /// @brief One incarnation of the executor beside a guard.
 struct worker_description
 {
-    executor_incarnation life; ///< empty: none is known
-    std::string service;       ///< the pool that it belongs to
+    executor_incarnation executor; ///< empty: none is known
+    std::string service;           ///< the pool that it belongs to
     std::string data_centre;
     std::string rack;
     std::vector<std::string> labels; ///< its kind and its rack among them
@@ -111,7 +111,7 @@
 /// what went with it.
 struct past_incarnation
 {
-    executor_incarnation life;
+    executor_incarnation executor;
     /// When looks at it began to fail, by the clock of worker_report::sent_ms;
     /// 0 if that is not known. An executor that crashes closes its connections,
     /// so it went then; one that falls silent went up to a look earlier.
@@ -222,7 +222,7 @@
 struct guard_orders
 {
     std::int64_t epoch = 0;
-    executor_incarnation life; ///< that is meant
+    executor_incarnation executor; ///< that is meant
     /// The guard's incarnation that is meant: no other takes the starts. A
     /// copy that comes late may be of a run that the guard has given back, of
     /// which its next process knows nothing.
--- a/packages/jobs/src/progress.cpp
+++ b/packages/jobs/src/progress.cpp
@@ -12,9 +12,9 @@
 {
     json row = json::array({task.at.round, task.at.step, task.at.index,
                             task.done ? 1 : 0, task.runs, task.failures,
-                            task.guard, task.life.id, task.checkpoint});
+                            task.guard, task.executor.id, task.checkpoint});
     const bool has_losses = task.losses > 0;
-    const bool has_birth = task.life.born_ms != 0 || has_losses;
+    const bool has_birth = task.executor.born_ms != 0 || has_losses;
     if (task.suspicion > 0 || has_birth)
     {
         row.push_back(task.suspicion);
@@ -23,7 +23,7 @@
     }
     if (has_birth)
     {
-        row.push_back(task.life.born_ms);
+        row.push_back(task.executor.born_ms);
     }
     if (has_losses)
     {
@@ -42,8 +42,8 @@
             .runs = row.at(4),
             .failures = row.at(5),
             .guard = row.at(6),
-            .life = {row.at(7).get<std::string>(),
-                     has_birth ? row.at(12).get<std::int64_t>() : 0},
+            .executor = {row.at(7).get<std::string>(),
+                         has_birth ? row.at(12).get<std::int64_t>() : 0},
             .checkpoint = row.at(8),
             .suspicion = has_suspicion ? row.at(9).get<std::int64_t>() : 0,
             .crashes = has_suspicion ? row.at(10).get<std::int64_t>() : 0,
--- a/packages/jobs/src/worker_messages.cpp
+++ b/packages/jobs/src/worker_messages.cpp
@@ -33,13 +33,13 @@
           {"rack", from.rack},          {"labels", from.labels},
           {"capacity", from.capacity},  {"draining", from.draining},
           {"leaves_ms", from.leaves_ms}};
-    put_incarnation(to, from.life);
+    put_incarnation(to, from.executor);
 }
 
 void from_json(const json& from, worker_description& to)
 {
     const worker_description none;
-    to = {.life = incarnation_in(from),
+    to = {.executor = incarnation_in(from),
           .service = from.value("service", none.service),
           .data_centre = from.value("data_centre", none.data_centre),
           .rack = from.value("rack", none.rack),
@@ -52,12 +52,12 @@
 void to_json(json& to, const past_incarnation& from)
 {
     to = {{"lost_ms", from.lost_ms}, {"begun", from.begun}};
-    put_incarnation(to, from.life);
+    put_incarnation(to, from.executor);
 }
 
 void from_json(const json& from, past_incarnation& to)
 {
-    to = {.life = incarnation_in(from),
+    to = {.executor = incarnation_in(from),
           .lost_ms = from.value("lost_ms", std::int64_t{0}),
           .begun = from.value("begun", std::vector<begun_run>{})};
 }
@@ -71,14 +71,14 @@
           {"acknowledged", from.acknowledged},
           {"starts_until_ms", from.starts_until_ms},
           {"closed", from.closed}};
-    put_incarnation(to, from.life);
+    put_incarnation(to, from.executor);
 }
 
 void from_json(const json& from, guard_orders& to)
 {
     const guard_orders none;
     to = {.epoch = from.value("epoch", none.epoch),
-          .life = incarnation_in(from),
+          .executor = incarnation_in(from),
           .incarnation = from.value("incarnation", none.incarnation),
           .starts = from.value("starts", none.starts),
           .stops = from.value("stops", none.stops),
--- a/packages/scheduler/include/springstair/detail/scheduler/job_record.hpp
+++ b/packages/scheduler/include/springstair/detail/scheduler/job_record.hpp
@@ -17,7 +17,7 @@
 {
     std::int64_t number = 0;
     std::string guard;
-    executor_incarnation life; ///< of the executor
+    executor_incarnation executor; ///< of the executor
     std::string ticket; ///< of the advice that let it run there; or empty
     std::int64_t placed_in = 0;    ///< the job's change that recorded it
     bool ordered = false;          ///< a start was sent in this office
--- a/packages/scheduler/include/springstair/detail/scheduler/scheduler_core.hpp
+++ b/packages/scheduler/include/springstair/detail/scheduler/scheduler_core.hpp
@@ -435,7 +435,7 @@
                                      const worker_report& from);
     void follow_restart(worker_record& at, const runs_after_restart& runs,
                         const executor_incarnation& next, time_point now);
-    void rebind_run(const task_name& name, const executor_incarnation& life,
+    void rebind_run(const task_name& name, const executor_incarnation& executor,
                     time_point now);
     [[nodiscard]] static bool is_judged(const job_record& of,
                                         const job_task& task, std::int64_t run);
--- a/packages/scheduler/include/springstair/detail/scheduler/ticket_cache.hpp
+++ b/packages/scheduler/include/springstair/detail/scheduler/ticket_cache.hpp
@@ -37,14 +37,15 @@
     /// @brief A step needs a worker. Notes a question about those that were
     /// not asked about, unless one for the step waits already.
     void want(const std::string& step,
-              const std::vector<executor_incarnation>& lives, time_point now);
+              const std::vector<executor_incarnation>& executors,
+              time_point now);
     /// @brief The question that has waited longest; nothing while one is out
     /// or none waits.
     std::optional<advice_query> next_question(time_point now);
     /// @brief What came of the question that is out; nothing if no answer.
     void answered(const std::optional<advice_answer>& answer, time_point now);
     /// @brief A worker did not take its ticket: it is asked about again.
-    void refused(const std::string& step, const executor_incarnation& life);
+    void refused(const std::string& step, const executor_incarnation& executor);
     /// @brief The step needs no worker any more.
     void forget(const std::string& step);
 
--- a/packages/scheduler/src/job_record.cpp
+++ b/packages/scheduler/src/job_record.cpp
@@ -122,7 +122,7 @@
              .runs = task.runs,
              .failures = task.failures,
              .guard = task.run ? task.run->guard : std::string(),
-             .life = task.run ? task.run->life : executor_incarnation(),
+             .executor = task.run ? task.run->executor : executor_incarnation(),
              .checkpoint = task.done ? std::string() : task.checkpoint,
              .suspicion = task.done ? 0 : task.suspicion,
              .crashes = task.crashes,
@@ -154,8 +154,9 @@
         task->losses = from.losses;
         if (!from.guard.empty())
         {
-            task->run = task_run{
-                .number = from.runs, .guard = from.guard, .life = from.life};
+            task->run = task_run{.number = from.runs,
+                                 .guard = from.guard,
+                                 .executor = from.executor};
         }
     }
 }
--- a/packages/scheduler/src/placement.cpp
+++ b/packages/scheduler/src/placement.cpp
@@ -22,7 +22,8 @@
 
 bool has_ticket(const worker_record& at, const placement_query& query)
 {
-    return query.tickets == nullptr || query.tickets->contains(at.what.life);
+    return query.tickets == nullptr ||
+           query.tickets->contains(at.what.executor);
 }
 
 bool is_open_to(const worker_record& at, const placement_query& query)
@@ -189,7 +190,7 @@
 bool takes_runs(const worker_record& at, const std::string& service,
                 time_point now, const placement_options& options)
 {
-    return at.what.service == service && !at.what.life.empty() &&
+    return at.what.service == service && !at.what.executor.empty() &&
            !at.what.draining && at.answering && !at.closed &&
            !at.lease_must_expire && !at.isolated_suspect &&
            now - at.reported < options.report_age && now >= at.ejected_until;
--- a/packages/scheduler/src/scheduler_core.cpp
+++ b/packages/scheduler/src/scheduler_core.cpp
@@ -136,7 +136,8 @@
                                     const worker_record& at)
 {
     return task != nullptr && task->run && task->run->number == run &&
-           task->run->guard == at.guard && task->run->life == at.what.life;
+           task->run->guard == at.guard &&
+           task->run->executor == at.what.executor;
 }
 
 const job_record* scheduler_core::find(const std::string& id) const
@@ -172,7 +173,7 @@
             continue;
         }
         orders.epoch = epoch_;
-        orders.life = at->second.what.life;
+        orders.executor = at->second.what.executor;
         orders.incarnation = at->second.incarnation;
         orders.acknowledged = at->second.acknowledged;
         orders.starts_until_ms = starts_until_ms(at->second);
--- a/packages/scheduler/src/scheduler_ends.cpp
+++ b/packages/scheduler/src/scheduler_ends.cpp
@@ -193,7 +193,7 @@
     ++at.ejections;
     note(event_id::worker_ejected,
          {{"guard", at.guard},
-          {"life", at.what.life.text()},
+          {"life", at.what.executor.text()},
           {"for_ms", std::to_string(to_milliseconds(pause))},
           {"fleet_fails_percent", std::to_string(static_cast<int>(
                                       full_percent * failures_.share()))}});
--- a/packages/scheduler/src/scheduler_losses.cpp
+++ b/packages/scheduler/src/scheduler_losses.cpp
@@ -13,22 +13,22 @@
                                          const worker_report& from,
                                          time_point now)
 {
-    if (at.what.life.empty() || at.what.life == from.worker.life)
+    if (at.what.executor.empty() || at.what.executor == from.worker.executor)
     {
         return;
     }
-    if (at.what.life.may_be(from.worker.life))
+    if (at.what.executor.may_be(from.worker.executor))
     {
         for (const task_name& name : at.held)
         {
-            rebind_run(name, from.worker.life, now);
+            rebind_run(name, from.worker.executor, now);
         }
         return;
     }
     const bool is_witnessed =
         at.witness == from.incarnation ||
-        std::ranges::find(from.former, at.what.life, &past_incarnation::life) !=
-            from.former.end();
+        std::ranges::find(from.former, at.what.executor,
+                          &past_incarnation::executor) != from.former.end();
     auto suspects =
         is_witnessed ? std::map<task_name, std::int64_t>{} : unproven_runs(at);
     const runs_after_restart runs = after_restart(at.held, from);
@@ -38,7 +38,7 @@
     }
     lose_worker(at, runs.over, end_proof::incarnation_ended(), now);
     outbox_.erase(at.guard); // meant for the life before
-    follow_restart(at, runs, from.worker.life, now);
+    follow_restart(at, runs, from.worker.executor, now);
     suspect_unwitnessed(at, suspects, now);
     at.went = at.lost;
     at.noted = 0;
@@ -59,7 +59,8 @@
     {
         const task_run& run = *job_of(name.job)->find(name.at)->run;
         const std::string text = name.text();
-        const bool is_same_executor = run.life.id == from.worker.life.id;
+        const bool is_same_executor =
+            run.executor.id == from.worker.executor.id;
         const bool guard_knows = run.told_incarnation == from.incarnation;
         const bool is_taken = lists_running(from, text, run.number) ||
                               lists_end(from, text, run.number);
@@ -103,12 +104,12 @@
 }
 
 void scheduler_core::rebind_run(const task_name& name,
-                                const executor_incarnation& life,
+                                const executor_incarnation& executor,
                                 time_point now)
 {
     job_record& of = *job_of(name.job);
     task_run& run = *of.find(name.at)->run;
-    run.life = life;
+    run.executor = executor;
     run.seen = false;
     run.last_progress_at = now;
     ++of.change;
@@ -236,7 +237,7 @@
 {
     note(event_id::worker_lost,
          {{"guard", at.guard},
-          {"life", at.what.life.text()},
+          {"life", at.what.executor.text()},
           {"runs", std::to_string(runs.size())},
           {"report_age_ms", std::to_string(to_milliseconds(now - at.reported))},
           {"why", over.why()}});
@@ -260,12 +261,12 @@
     {
         task_run& run = *job_of(name.job)->find(name.at)->run;
         run.ordered = true;
-        if (!run.life.may_be(at.what.life))
+        if (!run.executor.may_be(at.what.executor))
         {
             former.insert(name);
             continue;
         }
-        run.life = at.what.life;
+        run.executor = at.what.executor;
         adopt_run(at, name, now);
     }
     const runs_after_restart runs = after_restart(former, from);
@@ -277,7 +278,7 @@
             adopt_run(at, name, now);
         }
     }
-    follow_restart(at, runs, at.what.life, now);
+    follow_restart(at, runs, at.what.executor, now);
     lose_runs(runs.over, end_proof::past_incarnation_ended(), now);
     suspect_unwitnessed(at, suspects, now);
 }
@@ -295,8 +296,9 @@
         {
             const task_run& run = *job_of(name.job)->find(name.at)->run;
             const bool is_witnessed =
-                std::ranges::find(from.former, run.life,
-                                  &past_incarnation::life) != from.former.end();
+                std::ranges::find(from.former, run.executor,
+                                  &past_incarnation::executor) !=
+                from.former.end();
             if (!is_witnessed)
             {
                 out.emplace(name, run.number);
@@ -350,7 +352,7 @@
              {{"task", name.text()},
               {"run", std::to_string(run.number)},
               {"guard", run.guard},
-              {"life", run.life.text()},
+              {"life", run.executor.text()},
               {"why", over.why()},
               {"shown_ms", std::to_string(to_milliseconds(shown_at_work(run)))},
               {"beside", std::to_string(lost.size() - 1)}});
@@ -369,8 +371,8 @@
     std::set<executor_incarnation> told;
     for (const past_incarnation& one : from.former)
     {
-        told.insert(one.life);
-        if (at.judged_incarnations.insert(one.life).second)
+        told.insert(one.executor);
+        if (at.judged_incarnations.insert(one.executor).second)
         {
             at.went = end_of(one, at, from, now);
             judge_crash(at, one, now);
--- a/packages/scheduler/src/scheduler_placing.cpp
+++ b/packages/scheduler/src/scheduler_placing.cpp
@@ -147,13 +147,13 @@
         candidates.begin(), candidates.end(),
         [](const worker_record* left, const worker_record* right)
         { return left->room().cpu_millis > right->room().cpu_millis; });
-    std::vector<executor_incarnation> lives;
-    lives.reserve(candidates.size());
+    std::vector<executor_incarnation> executors;
+    executors.reserve(candidates.size());
     for (const worker_record* at : candidates)
     {
-        lives.push_back(at->what.life);
+        executors.push_back(at->what.executor);
     }
-    advice_.want(group, lives, now);
+    advice_.want(group, executors, now);
     return advice_.tickets(group, now);
 }
 
@@ -342,10 +342,10 @@
     use_room(of, of.step_at(where), at);
     ++of.change;
     task.runs = number;
-    const auto ticket = tickets.find(at.what.life);
+    const auto ticket = tickets.find(at.what.executor);
     task.run = task_run{.number = number,
                         .guard = at.guard,
-                        .life = at.what.life,
+                        .executor = at.what.executor,
                         .ticket = ticket == tickets.end() ? std::string()
                                                           : ticket->second,
                         .placed_in = of.change,
@@ -362,7 +362,7 @@
          {{"task", name.text()},
           {"run", std::to_string(number)},
           {"guard", at.guard},
-          {"life", at.what.life.text()},
+          {"life", at.what.executor.text()},
           {"report_age_ms", std::to_string(to_milliseconds(now - at.reported))},
           {"waited_ms",
            std::to_string(to_milliseconds(now - task.ready_since))}});
--- a/packages/scheduler/src/scheduler_reports.cpp
+++ b/packages/scheduler/src/scheduler_reports.cpp
@@ -18,7 +18,7 @@
     answer.holds = true;
     worker_record& at = worker_of(from, now);
     answer.orders.epoch = epoch_;
-    answer.orders.life = at.what.life;
+    answer.orders.executor = at.what.executor;
     answer.orders.acknowledged = at.acknowledged;
     if (!is_admitted(at, from, answer))
     {
@@ -35,9 +35,9 @@
     at.reported = now;
     // A life that its guard has not heard itself may be a former one, and only
     // a whole report shows what a new one has taken.
-    const bool knows_incarnation =
-        !from.worker.life.empty() &&
-        ((from.looked && from.whole) || from.worker.life == at.what.life);
+    const bool knows_incarnation = !from.worker.executor.empty() &&
+                                   ((from.looked && from.whole) ||
+                                    from.worker.executor == at.what.executor);
     const bool has_lapsed = knows_incarnation && from.lapsed;
     check_lease_must_expire(at, from, knows_incarnation);
     const duration lease_grant = has_lapsed || at.lease_must_expire
@@ -61,7 +61,7 @@
     {
         lose_lapsed(at, from, now);
     }
-    else if (from.looked && from.worker.life == at.what.life)
+    else if (from.looked && from.worker.executor == at.what.executor)
     {
         if (!at.lease_must_expire)
         {
@@ -79,7 +79,7 @@
         }
         drain_leaving_worker(at, answer.orders, now);
     }
-    answer.orders.life = at.what.life;
+    answer.orders.executor = at.what.executor;
     answer.orders.incarnation = at.incarnation;
     answer.orders.acknowledged = acknowledge(at);
     answer.orders.starts_until_ms = starts_until_ms(at);
@@ -108,7 +108,7 @@
         note(event_id::guard_unproven, {{"guard", from.guard},
                                         {"incarnation", from.incarnation},
                                         {"present", at.incarnation},
-                                        {"life", from.worker.life.text()}});
+                                        {"life", from.worker.executor.text()}});
     }
     answer.admission = {.epoch = epoch_, .number = at.offered};
     return false;
@@ -125,7 +125,7 @@
         at.reported = now;
         may_place_ = true;
         note(event_id::worker_known,
-             {{"guard", from.guard}, {"life", from.worker.life.text()}});
+             {{"guard", from.guard}, {"life", from.worker.executor.text()}});
     }
     return at;
 }
@@ -209,7 +209,7 @@
         if (refusal.reason == no_ticket_reason)
         {
             advice_.refused(step_group(of->what().id, of->position_of(*task)),
-                            at.what.life);
+                            at.what.executor);
         }
         task->not_before = now + options_.refused_backoff;
         close_run(*of, *task, end_proof::refused_by_worker(), now);
--- a/packages/scheduler/src/scheduler_writing.cpp
+++ b/packages/scheduler/src/scheduler_writing.cpp
@@ -209,7 +209,7 @@
             const auto at =
                 due ? workers_.find(task.run->guard) : workers_.end();
             if (at == workers_.end() || task.run->stopping ||
-                at->second.what.life != task.run->life)
+                at->second.what.executor != task.run->executor)
             {
                 continue;
             }
--- a/packages/scheduler/src/ticket_cache.cpp
+++ b/packages/scheduler/src/ticket_cache.cpp
@@ -13,18 +13,18 @@
     {
         return out;
     }
-    for (const auto& [life, held] : found->second.good)
+    for (const auto& [executor, held] : found->second.good)
     {
         if (now + options_.reserve < held.until)
         {
-            out.emplace(life, held.text);
+            out.emplace(executor, held.text);
         }
     }
     return out;
 }
 
 void ticket_cache::want(const std::string& step,
-                        const std::vector<executor_incarnation>& lives,
+                        const std::vector<executor_incarnation>& executors,
                         time_point now)
 {
     step_record& of = steps_[step];
@@ -34,15 +34,15 @@
         return;
     }
     of.since = now;
-    for (const executor_incarnation& life : lives)
+    for (const executor_incarnation& executor : executors)
     {
-        const auto held = of.good.find(life);
+        const auto held = of.good.find(executor);
         const bool holds = held != of.good.end() &&
                            now + options_.reserve < held->second.until;
-        const bool bad = held == of.good.end() && of.asked.contains(life);
+        const bool bad = held == of.good.end() && of.asked.contains(executor);
         if (!holds && !bad && of.wanted.size() < options_.max_workers)
         {
-            of.wanted.push_back(life);
+            of.wanted.push_back(executor);
         }
     }
 }
@@ -69,7 +69,7 @@
         return std::nullopt;
     }
     out_ = advice_query{.step = waiting->first,
-                        .lives = std::move(waiting->second.wanted)};
+                        .executors = std::move(waiting->second.wanted)};
     waiting->second.wanted.clear();
     out_since_ = now;
     return out_;
@@ -93,25 +93,25 @@
     }
     const time_point until =
         out_since_ + std::chrono::milliseconds(answer->valid_ms);
-    for (const executor_incarnation& life : question.lives)
+    for (const executor_incarnation& executor : question.executors)
     {
-        of.asked.insert(life);
-        of.good.erase(life);
+        of.asked.insert(executor);
+        of.good.erase(executor);
     }
-    for (const auto& [life, text] : answer->tickets)
+    for (const auto& [executor, text] : answer->tickets)
     {
-        of.good[life] = {.text = text, .until = until};
+        of.good[executor] = {.text = text, .until = until};
     }
 }
 
 void ticket_cache::refused(const std::string& step,
-                           const executor_incarnation& life)
+                           const executor_incarnation& executor)
 {
     const auto found = steps_.find(step);
     if (found != steps_.end())
     {
-        found->second.good.erase(life);
-        found->second.asked.erase(life);
+        found->second.good.erase(executor);
+        found->second.asked.erase(executor);
     }
 }
 
--- a/packages/scheduler/src/wait_report.cpp
+++ b/packages/scheduler/src/wait_report.cpp
@@ -33,7 +33,7 @@
         return wait_cause::bound;
     }
     const bool has_ticket =
-        query.tickets == nullptr || query.tickets->contains(at.what.life);
+        query.tickets == nullptr || query.tickets->contains(at.what.executor);
     return has_ticket ? wait_cause::harm : wait_cause::ticket;
 }
 
--- a/tests/unit/adapter_tests.cpp
+++ b/tests/unit/adapter_tests.cpp
@@ -222,7 +222,7 @@
     CHECK(beat->address == "10.0.0.1:1");
     CHECK(beat->clock_ms == 5);
     CHECK(beat->sequence == 4);
-    CHECK(beat->worker == worker_description{.life = "i-7",
+    CHECK(beat->worker == worker_description{.executor = "i-7",
                                              .service = "s",
                                              .data_centre = "z",
                                              .rack = "r1-3",
@@ -255,8 +255,9 @@
     };
     const auto told =
         adapter::decode_heartbeat(beat(R"(, "born": 1776000000001)"));
-    CHECK(told->worker.life == executor_incarnation("i-7", 1'776'000'000'001));
-    CHECK(adapter::decode_heartbeat(beat(""))->worker.life ==
+    CHECK(told->worker.executor ==
+          executor_incarnation("i-7", 1'776'000'000'001));
+    CHECK(adapter::decode_heartbeat(beat(""))->worker.executor ==
           executor_incarnation("i-7"));
     for (const char* const wrong : {R"("1776000000001")", "1.5", "-1", "null"})
     {
@@ -306,7 +307,7 @@
                                             .checkpoint = "c"},
                                   .deadline_ms = 900,
                                   .fence = 7,
-                                  .life = "i-7"},
+                                  .executor = "i-7"},
                         "10.0.0.1:1");
     CHECK(start.url == "http://10.0.0.1:1/springstair/run-start");
     CHECK(start.headers.at("Target-Executor") == "i-7");
@@ -369,7 +370,7 @@
 TEST_CASE("a question for advice, and what its answer means")
 {
     const advice_query asked{.step = "a.0.1",
-                             .lives = {{"x-1", 1'776'000'000'000}, "x-2"}};
+                             .executors = {{"x-1", 1'776'000'000'000}, "x-2"}};
     const http_call call = adapter::encode(asked, "10.0.0.9:1");
     CHECK(call.url == "http://10.0.0.9:1/springstair/advise");
     CHECK(json::parse(*call.body) ==
@@ -541,7 +542,7 @@
                    .runs = 3,
                    .failures = 1,
                    .guard = "g",
-                   .life = "l",
+                   .executor = "l",
                    .checkpoint = "c"},
                   {.at = {.round = 1}, .done = true, .runs = 1}}};
     CHECK(decode_progress(encode(kept)) == kept);
@@ -555,7 +556,7 @@
     {
         return decode_progress(R"({"state": 1, "tasks": [)" + row + "]}")
             .tasks.at(0)
-            .life;
+            .executor;
     };
     CHECK(incarnation_of(R"([0,0,0,0,1,0,"g","i-7",""])") ==
           executor_incarnation("i-7"));
@@ -563,7 +564,7 @@
           executor_incarnation("i-7"));
     const job_progress kept{
         .state = job_state::running,
-        .tasks = {{.runs = 1, .guard = "g", .life = {"i-7", 5}}}};
+        .tasks = {{.runs = 1, .guard = "g", .executor = {"i-7", 5}}}};
     CHECK(decode_progress(encode(kept)) == kept);
     // What an older version reads stands where it was.
     const json row = json::parse(encode(kept)).at("tasks").at(0);
@@ -573,21 +574,21 @@
 
 TEST_CASE("messages tell of births beside what older versions read")
 {
-    const executor_incarnation life("i-7", 5);
-    const json order = guard_orders{.epoch = 1, .life = life};
+    const executor_incarnation executor("i-7", 5);
+    const json order = guard_orders{.epoch = 1, .executor = executor};
     CHECK(order.at("life") == "i-7");
-    CHECK(order.get<guard_orders>().life == life);
-    const json what = worker_description{.life = life, .service = "s"};
+    CHECK(order.get<guard_orders>().executor == executor);
+    const json what = worker_description{.executor = executor, .service = "s"};
     CHECK(what.at("life") == "i-7");
     CHECK(what.get<worker_description>() ==
-          worker_description{.life = life, .service = "s"});
-    const json over = past_incarnation{.life = life};
-    CHECK(over.get<past_incarnation>().life == life);
-    CHECK(json{{"life", "i-7"}}.get<guard_orders>().life ==
+          worker_description{.executor = executor, .service = "s"});
+    const json over = past_incarnation{.executor = executor};
+    CHECK(over.get<past_incarnation>().executor == executor);
+    CHECK(json{{"life", "i-7"}}.get<guard_orders>().executor ==
           executor_incarnation("i-7"));
-    CHECK(life.may_be(executor_incarnation("i-7")));
-    CHECK_FALSE(life.may_be({"i-7", 6}));
-    CHECK_FALSE(life.may_be(executor_incarnation("i-8")));
+    CHECK(executor.may_be(executor_incarnation("i-7")));
+    CHECK_FALSE(executor.may_be({"i-7", 6}));
+    CHECK_FALSE(executor.may_be(executor_incarnation("i-8")));
 }
 
 TEST_CASE("reports and answers pass the wire unchanged")
@@ -598,7 +599,7 @@
         .epoch = 7,
         .incarnation = "i",
         .sequence = 3,
-        .worker = {.life = "l", .service = "s"},
+        .worker = {.executor = "l", .service = "s"},
         .looked = true,
         .answering = true,
         .lease_ms = 12,
@@ -614,7 +615,7 @@
         .holder = "h:1",
         .permit_ms = 4000,
         .orders = {.epoch = 7,
-                   .life = "l",
+                   .executor = "l",
                    .starts = {{.task = "t", .run = 1, .fills = true}},
                    .stops = {{.task = "u", .run = 2}},
                    .acknowledged = 9},
--- a/tests/unit/certain_end_tests.cpp
+++ b/tests/unit/certain_end_tests.cpp
@@ -39,8 +39,9 @@
 
     void heartbeat()
     {
-        keeper_.on_worker({.life = life(), .service = "s", .capacity = room},
-                          clock(), at_.now);
+        keeper_.on_worker(
+            {.executor = executor(), .service = "s", .capacity = room}, clock(),
+            at_.now);
     }
 
     // The guard's process ends, and another one begins.
@@ -67,7 +68,7 @@
     {
         keeper_.on_orders(
             {.epoch = at_.core.epoch(),
-             .life = life(),
+             .executor = executor(),
              .incarnation = incarnation_,
              .starts = {at_.started.at(task)},
              .starts_until_ms = at_.core.workers().at(name_).starts_until_ms},
@@ -115,7 +116,7 @@
     bool answers = true; ///< its answers come back
 
 private:
-    [[nodiscard]] std::string life() const
+    [[nodiscard]] std::string executor() const
     {
         return name_ + "-1";
     }
@@ -148,8 +149,8 @@
         }
         if (!hears || !answers)
         {
-            keeper_.on_polled(life(), order_result::unanswered, std::nullopt,
-                              at_.now, at_.now);
+            keeper_.on_polled(executor(), order_result::unanswered,
+                              std::nullopt, at_.now, at_.now);
             return;
         }
         executor_snapshot look{.clock_ms = clock()};
@@ -157,7 +158,7 @@
         {
             look.running.push_back({.task = task, .run = run});
         }
-        keeper_.on_polled(life(), order_result::accepted, look, at_.now,
+        keeper_.on_polled(executor(), order_result::accepted, look, at_.now,
                           at_.now);
     }
 
@@ -321,7 +322,7 @@
     at.say("g1");
     const std::int64_t since_boot_ms = 1000;
     report.incarnation += "i";
-    report.worker.life.id += "i";
+    report.worker.executor.id += "i";
     report.sent_ms = since_boot_ms;
     const report_answer answer = at.say("g1");
     REQUIRE(answer.permit_ms > 0);
@@ -339,8 +340,8 @@
 public:
     busy_guard()
     {
-        keeper.on_worker({.life = "w1", .service = "s", .capacity = room}, 1000,
-                         now);
+        keeper.on_worker({.executor = "w1", .service = "s", .capacity = room},
+                         1000, now);
         hear({});
         looked(0);
     }
@@ -348,7 +349,7 @@
     void hear(guard_orders orders)
     {
         orders.epoch = 5;
-        orders.life = "w1";
+        orders.executor = "w1";
         report_answer answer{.holds = true, .permit_ms = 4000};
         answer.orders = std::move(orders);
         keeper.on_answer(answer, keeper.report(now), now, now);
@@ -404,23 +405,23 @@
     SUBCASE("it runs")
     {
         guard.keeper.on_started({.order = {.task = task, .run = 1},
-                                 .life = guard.keeper.worker().life},
+                                 .executor = guard.keeper.worker().executor},
                                 order_result::accepted, guard.now);
     }
     SUBCASE("a guard that was started again finds it over")
     {
         guard.keeper.on_started({.order = {.task = task, .run = 1},
-                                 .life = guard.keeper.worker().life},
+                                 .executor = guard.keeper.worker().executor},
                                 order_result::stale, guard.now);
     }
     SUBCASE("it is stopped")
     {
         guard.keeper.on_started({.order = {.task = task, .run = 1},
-                                 .life = guard.keeper.worker().life},
+                                 .executor = guard.keeper.worker().executor},
                                 order_result::accepted, guard.now);
         guard.hear({.stops = {{.task = task, .run = 1}}});
         guard.keeper.on_stopped({.order = {.task = task, .run = 1},
-                                 .life = guard.keeper.worker().life},
+                                 .executor = guard.keeper.worker().executor},
                                 order_result::accepted, guard.now);
     }
     guard.looked(listed_at_once);
--- a/tests/unit/closed_data_centre_tests.cpp
+++ b/tests/unit/closed_data_centre_tests.cpp
@@ -77,11 +77,11 @@
 {
     guard_by_hand()
     {
-        keeper.on_worker({.life = "x", .service = "s", .capacity = room}, 0,
+        keeper.on_worker({.executor = "x", .service = "s", .capacity = room}, 0,
                          now);
         keeper.on_answer({.holds = true,
                           .permit_ms = 4000,
-                          .orders = {.epoch = 7, .life = "x"}},
+                          .orders = {.epoch = 7, .executor = "x"}},
                          keeper.report(now), now, now);
         look();
     }
@@ -96,7 +96,7 @@
     void order(bool closed, std::vector<start_order> starts)
     {
         keeper.on_orders({.epoch = 7,
-                          .life = "x",
+                          .executor = "x",
                           .starts = std::move(starts),
                           .closed = closed},
                          now);
@@ -264,7 +264,7 @@
     with.order(false, {{.task = "j.0.0.0", .run = 1}});
     REQUIRE(with.due<start_run>().size() == 1);
     with.keeper.on_started({.order = {.task = "j.0.0.0", .run = 1},
-                            .life = with.keeper.worker().life},
+                            .executor = with.keeper.worker().executor},
                            order_result::unanswered, with.now);
     with.order(true, {});
     with.now += milliseconds(200);
@@ -278,7 +278,7 @@
     with.order(false, {{.task = "j.0.0.0", .run = 1}});
     REQUIRE(with.due<start_run>().size() == 1);
     with.keeper.on_started({.order = {.task = "j.0.0.0", .run = 1},
-                            .life = with.keeper.worker().life},
+                            .executor = with.keeper.worker().executor},
                            order_result::accepted, with.now);
     with.look({{.task = "j.0.0.0", .run = 1}});
     with.order(true, {});
--- a/tests/unit/crashing_fleet.hpp
+++ b/tests/unit/crashing_fleet.hpp
@@ -214,7 +214,7 @@
     past_incarnation former_of(const std::string& guard,
                                const worker_state& worker)
     {
-        past_incarnation over{.life = at.worker(guard).worker.life,
+        past_incarnation over{.executor = at.worker(guard).worker.executor,
                               .lost_ms =
                                   to_milliseconds(worker.gone - time_point{})};
         for (const auto& [run, since] : worker.since)
@@ -240,7 +240,7 @@
     {
         worker_report& report = at.worker(guard);
         report.former = {former_of(guard, worker)};
-        report.worker.life = guard + "-" + std::to_string(++worker.lives);
+        report.worker.executor = guard + "-" + std::to_string(++worker.lives);
         report.running.clear();
         report.ended.clear();
         report.refused.clear();
--- a/tests/unit/crashing_task_tests.cpp
+++ b/tests/unit/crashing_task_tests.cpp
@@ -185,12 +185,12 @@
                             .run = at.started[id + ".0.0.0"].run,
                             .is_sure = is_sure || crash < 3};
         worker_report& report = at.worker("g1");
-        report.former = {{.life = report.worker.life, .begun = {own}}};
+        report.former = {{.executor = report.worker.executor, .begun = {own}}};
         if (crash < 3 || !other.task.empty())
         {
             report.former.front().begun.push_back(other);
         }
-        report.worker.life = "g1-" + std::to_string(crash + 1);
+        report.worker.executor = "g1-" + std::to_string(crash + 1);
         report.running.clear();
         at.started.clear();
         at.say("g1");
@@ -242,11 +242,11 @@
         }
         REQUIRE(at.runs(task));
         worker_report& report = at.worker("g1");
-        report.former = {{.life = report.worker.life,
+        report.former = {{.executor = report.worker.executor,
                           .begun = {{.task = task,
                                      .run = at.started[task].run,
                                      .is_sure = crash <= sure}}}};
-        report.worker.life = "g1-" + std::to_string(crash + 1);
+        report.worker.executor = "g1-" + std::to_string(crash + 1);
         report.running.clear();
         at.started.clear();
         at.say("g1");
--- a/tests/unit/foreign_words_tests.cpp
+++ b/tests/unit/foreign_words_tests.cpp
@@ -156,7 +156,7 @@
             {
                 const auto beat = decode(text);
                 RC_ASSERT(beat.has_value());
-                RC_ASSERT(beat->worker.life == "i-7");
+                RC_ASSERT(beat->worker.executor == "i-7");
                 RC_ASSERT(!beat->worker.service.empty());
                 RC_ASSERT(!beat->address.empty());
                 RC_ASSERT(beat->worker.capacity.cpu_millis >= 0);
--- a/tests/unit/holder_by_hand.hpp
+++ b/tests/unit/holder_by_hand.hpp
@@ -119,7 +119,7 @@
             report = {.guard = guard,
                       .address = guard + ":1",
                       .incarnation = "i",
-                      .worker = {.life = guard + "-1",
+                      .worker = {.executor = guard + "-1",
                                  .service = "s",
                                  .capacity = room},
                       .looked = true,
--- a/tests/unit/interference_model_tests.cpp
+++ b/tests/unit/interference_model_tests.cpp
@@ -173,7 +173,7 @@
     {
         workers[name] = {
             .guard = name,
-            .what = {.life = "l",
+            .what = {.executor = "l",
                      .service = "v",
                      .capacity = {.cpu_millis = 10'000, .memory_mb = 10'000}},
             .reported = now};
--- a/tests/unit/job_world.hpp
+++ b/tests/unit/job_world.hpp
@@ -101,7 +101,8 @@
     void end_report(std::size_t index,
                     const std::shared_ptr<run_reconciler>& of, duration pause);
     // An end that the holder acknowledges is in the store.
-    void note_acknowledged(std::size_t index, const executor_incarnation& life,
+    void note_acknowledged(std::size_t index,
+                           const executor_incarnation& executor,
                            std::int64_t number);
 
     // Workers
@@ -187,7 +188,7 @@
     [[nodiscard]] const executor_incarnation&
     incarnation_at(std::size_t index) const
     {
-        return guards_[index].executor.life;
+        return guards_[index].executor.incarnation;
     }
 
     // What waits at an executor goes with the life that it was sent to,
@@ -228,7 +229,7 @@
     executor_snapshot look_of(const fake_executor& at) const;
     std::int64_t draw_percent(const fake_executor::at_work& work) const;
     std::optional<order_result> refusal(fake_executor& at,
-                                        const executor_incarnation& life,
+                                        const executor_incarnation& executor,
                                         std::int64_t fence) const;
     order_result carry_out(std::size_t index, const start_run& what);
     void start(fake_executor& at, const std::string& task, std::int64_t run);
--- a/tests/unit/job_world_checks.cpp
+++ b/tests/unit/job_world_checks.cpp
@@ -170,7 +170,8 @@
 
 void job_world::tell(const run_interval& one) const
 {
-    const std::string guard = one.life.substr(0, one.life.find("-life"));
+    const std::string guard =
+        one.executor.substr(0, one.executor.find("-life"));
     for (const std::string& line : story_)
     {
         const bool concerns = line.find(one.task) != std::string::npos ||
@@ -188,9 +189,9 @@
                    : to_milliseconds(when - time_point{} -
                                      std::chrono::hours(1));
     };
-    RC_LOG() << one.task << " run " << one.run << " on " << one.life << " from "
-             << at(one.begin) << " to " << at(one.end) << " " << one.how
-             << "\n";
+    RC_LOG() << one.task << " run " << one.run << " on " << one.executor
+             << " from " << at(one.begin) << " to " << at(one.end) << " "
+             << one.how << "\n";
 }
 
 void job_world::tell(const std::string& task) const
--- a/tests/unit/job_world_guards.cpp
+++ b/tests/unit/job_world_guards.cpp
@@ -27,7 +27,7 @@
     }
     const bool keeps_id = guard.lives > 0 && draw(2) == 0;
     const duration away = keeps_id ? time_away() : duration{0};
-    guard.executor = {.life = next_incarnation(guard, keeps_id),
+    guard.executor = {.incarnation = next_incarnation(guard, keeps_id),
                       .rate = draw(2) == 0 ? 1.0 : 0.98,
                       .born = now_ + away};
     if (!guard.keeper)
@@ -102,7 +102,8 @@
     {
         return; // it is away
     }
-    const worker_description what{.life = guards_[index].executor.life,
+    const worker_description what{.executor =
+                                      guards_[index].executor.incarnation,
                                   .service = "s",
                                   .data_centre = data_centre_of(index),
                                   .capacity = capacity};
@@ -116,7 +117,7 @@
           [this, index, what, clock]
           {
               // Numbers order the heartbeats of one life.
-              if (guards_[index].executor.life != what.life)
+              if (guards_[index].executor.incarnation != what.executor)
               {
                   guards_[index].keeper->on_worker(what, clock, now_);
               }
@@ -174,7 +175,7 @@
               }
               const report_answer answer =
                   to->core->report(out, now_, to->verified);
-              note_acknowledged(index, answer.orders.life,
+              note_acknowledged(index, answer.orders.executor,
                                 answer.orders.acknowledged);
               later(delay(),
                     [this, index, out, sent, answer, keeper]
@@ -198,11 +199,11 @@
 }
 
 void job_world::note_acknowledged(std::size_t index,
-                                  const executor_incarnation& life,
+                                  const executor_incarnation& executor,
                                   std::int64_t number)
 {
     fake_executor& at = guards_[index].executor;
-    if (at.life != life)
+    if (at.incarnation != executor)
     {
         return;
     }
@@ -242,13 +243,13 @@
                        time_point sent, order_result result,
                        const std::optional<executor_snapshot>& look)
 {
-    to.on_polled(what.life, result, look, sent, now_);
+    to.on_polled(what.executor, result, look, sent, now_);
 }
 
 executor_snapshot job_world::look_of(const fake_executor& at) const
 {
     executor_snapshot out{.clock_ms = at.clock(now_),
-                          .born_ms = at.life.born_ms};
+                          .born_ms = at.incarnation.born_ms};
     for (const auto& [task, work] : at.running)
     {
         out.running.push_back({.task = task,
@@ -270,15 +271,15 @@
 }
 
 // Why an executor does nothing for a call; nothing if it takes it.
-std::optional<order_result> job_world::refusal(fake_executor& at,
-                                               const executor_incarnation& life,
-                                               std::int64_t fence) const
+std::optional<order_result>
+job_world::refusal(fake_executor& at, const executor_incarnation& executor,
+                   std::int64_t fence) const
 {
     if (now_ < at.busy_until || now_ < at.born)
     {
         return order_result::unhealthy;
     }
-    if (at.life.id != life.id)
+    if (at.incarnation.id != executor.id)
     {
         return order_result::other_life;
     }
@@ -293,7 +294,7 @@
 order_result job_world::carry_out(std::size_t index, const start_run& what)
 {
     fake_executor& at = guards_[index].executor;
-    if (const auto refused = refusal(at, what.life, what.fence))
+    if (const auto refused = refusal(at, what.executor, what.fence))
     {
         return *refused;
     }
@@ -330,8 +331,10 @@
     const auto name = *task_name::parse(task);
     const job_step& of =
         jobs_.at(name.job).steps[static_cast<std::size_t>(name.at.step)];
-    past_.push_back(
-        {.task = task, .run = run, .life = at.life.text(), .begin = now_});
+    past_.push_back({.task = task,
+                     .run = run,
+                     .executor = at.incarnation.text(),
+                     .begin = now_});
     count_start_after_crashes(task, at);
     at.running[task] = {.run = run,
                         .done_at = now_ + milliseconds(100 + draw(1500)),
@@ -402,7 +405,7 @@
 order_result job_world::carry_out(std::size_t index, const stop_run& what)
 {
     fake_executor& at = guards_[index].executor;
-    if (const auto refused = refusal(at, what.life, what.fence))
+    if (const auto refused = refusal(at, what.executor, what.fence))
     {
         return *refused;
     }
@@ -412,10 +415,11 @@
     if (found != at.running.end() && found->second.run <= what.order.run)
     {
         later(milliseconds(50),
-              [this, index, task, life = at.life]
+              [this, index, task, incarnation = at.incarnation]
               {
                   fake_executor& now_at = guards_[index].executor;
-                  if (now_at.life == life && now_at.running.contains(task))
+                  if (now_at.incarnation == incarnation &&
+                      now_at.running.contains(task))
                   {
                       end(now_at, task, run_end::stopped);
                   }
@@ -433,7 +437,7 @@
 order_result job_world::carry_out(std::size_t index, const poll_executor& what)
 {
     fake_executor& at = guards_[index].executor;
-    if (const auto refused = refusal(at, what.life, what.fence))
+    if (const auto refused = refusal(at, what.executor, what.fence))
     {
         return *refused;
     }
--- a/tests/unit/job_world_parts.hpp
+++ b/tests/unit/job_world_parts.hpp
@@ -73,7 +73,7 @@
 {
     std::string task;
     std::int64_t run = 0;
-    std::string life;
+    std::string executor;
     time_point begin;
     time_point end = time_point::max();
     std::string how;
@@ -97,7 +97,7 @@
         resources demand;
     };
 
-    executor_incarnation life;
+    executor_incarnation incarnation;
     double rate = 1; ///< of its clock
     time_point born; ///< in the future while it is away
     std::int64_t fence = 0;
--- a/tests/unit/late_message_tests.cpp
+++ b/tests/unit/late_message_tests.cpp
@@ -29,7 +29,7 @@
               .worker = before.worker,
               .looked = true,
               .answering = true};
-    report.worker.life.id += "i";
+    report.worker.executor.id += "i";
     return before;
 }
 
@@ -76,7 +76,7 @@
     at.say("g1");
     late.sequence += 5;
     at.core.report(late, at.now, at.verified);
-    CHECK(at.core.workers().at("g1").what.life == "g1-1i");
+    CHECK(at.core.workers().at("g1").what.executor == "g1-1i");
     // It still hears its guard.
     at.submit({step_of(1)});
     at.turn();
@@ -87,8 +87,8 @@
 {
     run_reconciler keeper;
     time_point now{std::chrono::hours(1)};
-    const worker_description live{.life = "w2", .service = "s"};
-    const worker_description former{.life = "w1", .service = "s"};
+    const worker_description live{.executor = "w2", .service = "s"};
+    const worker_description former{.executor = "w1", .service = "s"};
     keeper.on_worker(live, 5, now);
     keeper.on_answer({.holds = true, .permit_ms = 4000, .orders = {.epoch = 5}},
                      keeper.report(now), now, now);
@@ -96,7 +96,7 @@
     keeper.on_polled("w2", order_result::accepted, executor_snapshot{}, now,
                      now);
     keeper.on_worker(former, 9000, now);
-    CHECK(keeper.worker().life == "w2");
+    CHECK(keeper.worker().executor == "w2");
     CHECK(keeper.report(now).looked);
     // Its address is asked who lives there.
     const auto actions = keeper.due(now + milliseconds(1));
@@ -106,32 +106,32 @@
                       {
                           const auto* const look =
                               std::get_if<poll_executor>(&one);
-                          return look != nullptr && look->life == "w1" &&
+                          return look != nullptr && look->executor == "w1" &&
                                  !look->deadline_ms && look->acknowledged == 0;
                       });
     CHECK(asks == 1);
     SUBCASE("another life answers")
     {
         keeper.on_polled("w1", order_result::other_life, {}, now, now);
-        CHECK(keeper.worker().life == "w2");
+        CHECK(keeper.worker().executor == "w2");
     }
     SUBCASE("nobody answers")
     {
         keeper.on_polled("w1", order_result::unanswered, {}, now, now);
-        CHECK(keeper.worker().life == "w2");
+        CHECK(keeper.worker().executor == "w2");
     }
     SUBCASE("it lives")
     {
         keeper.on_polled("w1", order_result::accepted, executor_snapshot{}, now,
                          now);
-        CHECK(keeper.worker().life == "w1");
+        CHECK(keeper.worker().executor == "w1");
         CHECK(keeper.report(now).looked);
         // What lived there before is surely past.
         keeper.on_worker(live, 7, now);
         for (const executor_action& one : keeper.due(now + milliseconds(1)))
         {
             const auto* const look = std::get_if<poll_executor>(&one);
-            CHECK((look == nullptr || look->life == "w1"));
+            CHECK((look == nullptr || look->executor == "w1"));
         }
     }
 }
@@ -140,12 +140,12 @@
 {
     run_reconciler keeper;
     time_point now{std::chrono::hours(1)};
-    keeper.on_worker({.life = "w1", .service = "s"}, 9000, now);
+    keeper.on_worker({.executor = "w1", .service = "s"}, 9000, now);
     keeper.on_answer({.holds = true, .permit_ms = 4000, .orders = {.epoch = 5}},
                      keeper.report(now), now, now);
     static_cast<void>(keeper.due(now));
     keeper.on_polled("w1", order_result::other_life, {}, now, now);
-    CHECK(keeper.worker().life.empty());
-    keeper.on_worker({.life = "w2", .service = "s"}, 5, now);
-    CHECK(keeper.worker().life == "w2");
+    CHECK(keeper.worker().executor.empty());
+    keeper.on_worker({.executor = "w2", .service = "s"}, 5, now);
+    CHECK(keeper.worker().executor == "w2");
 }
--- a/tests/unit/office_load_tests.cpp
+++ b/tests/unit/office_load_tests.cpp
@@ -153,7 +153,7 @@
 {
     run_reconciler keeper;
     time_point now{std::chrono::hours(1)};
-    keeper.on_worker({.life = "w1", .service = "s"}, 1000, now);
+    keeper.on_worker({.executor = "w1", .service = "s"}, 1000, now);
     const auto look = [&](std::vector<ended_task> ended)
     {
         keeper.on_polled(
@@ -167,7 +167,7 @@
     {
         report_answer out{.holds = true, .permit_ms = 4000};
         out.orders.epoch = epoch;
-        out.orders.life = "w1";
+        out.orders.executor = "w1";
         keeper.on_answer(out, keeper.report(now), now, now);
     };
     answer(5);
@@ -194,10 +194,11 @@
 {
     run_reconciler keeper;
     time_point now{std::chrono::hours(1)};
-    keeper.on_worker({.life = "w1", .service = "s"}, 1000, now);
+    keeper.on_worker({.executor = "w1", .service = "s"}, 1000, now);
     report_answer out{.holds = true, .permit_ms = 4000};
-    out.orders = {
-        .epoch = 5, .life = "w1", .starts = {{.task = "j.0.0.0", .run = 1}}};
+    out.orders = {.epoch = 5,
+                  .executor = "w1",
+                  .starts = {{.task = "j.0.0.0", .run = 1}}};
     keeper.on_answer(out, keeper.report(now), now, now);
     const auto look = [&](std::vector<ended_task> ended)
     {
@@ -211,9 +212,9 @@
     look({first});
     CHECK(keeper.take_report_due());
     REQUIRE_FALSE(keeper.due(now).empty());
-    keeper.on_started(
-        {.order = {.task = "j.0.0.0", .run = 1}, .life = keeper.worker().life},
-        order_result::accepted, now);
+    keeper.on_started({.order = {.task = "j.0.0.0", .run = 1},
+                       .executor = keeper.worker().executor},
+                      order_result::accepted, now);
     CHECK_FALSE(keeper.take_report_due());
     look({});
     CHECK_FALSE(keeper.take_report_due());
--- a/tests/unit/resent_call_tests.cpp
+++ b/tests/unit/resent_call_tests.cpp
@@ -334,7 +334,7 @@
     const start_run start{.order = {.task = "j.0.0.0", .run = 1},
                           .deadline_ms = 900,
                           .fence = 7,
-                          .life = "i-7"};
+                          .executor = "i-7"};
     const http_result result =
         client.send_and_wait(platform::encode(start, server.address()));
     CHECK(server.carried_out() == 1 + 1);
--- a/tests/unit/restarted_executor_tests.cpp
+++ b/tests/unit/restarted_executor_tests.cpp
@@ -64,7 +64,7 @@
 public:
     restarted_worker()
     {
-        at.worker("g1").worker.life = {"i-1", 1};
+        at.worker("g1").worker.executor = {"i-1", 1};
         at.say("g1");
         at.submit({step_of(1)});
         at.turn();
@@ -73,7 +73,7 @@
         at.worker("g2");
         at.say("g2");
         row = at.worker("g1").running.at(0);
-        at.worker("g1").worker.life = {"i-1", 2};
+        at.worker("g1").worker.executor = {"i-1", 2};
         at.worker("g1").running.clear();
         at.started.clear();
     }
@@ -160,10 +160,10 @@
 TEST_CASE("a life without a birth may be the one that is there")
 {
     restarted_worker with;
-    with.at.worker("g1").worker.life = executor_incarnation("i-1");
+    with.at.worker("g1").worker.executor = executor_incarnation("i-1");
     with.at.worker("g1").running = {with.row};
     with.hear();
-    with.at.worker("g1").worker.life = {"i-1", 2};
+    with.at.worker("g1").worker.executor = {"i-1", 2};
     with.hear();
     CHECK_FALSE(with.at.runs(with.task));
     CHECK(with.at.stopped.empty());
@@ -173,17 +173,17 @@
 {
     time_point now{std::chrono::hours(1)};
     run_reconciler keeper({}, "guard process");
-    const worker_description what{.life = {"i-1", 1}, .service = "s"};
+    const worker_description what{.executor = {"i-1", 1}, .service = "s"};
     const auto look = [&](std::int64_t born)
     {
-        keeper.on_polled(keeper.worker().life, order_result::accepted,
+        keeper.on_polled(keeper.worker().executor, order_result::accepted,
                          executor_snapshot{.clock_ms = 5, .born_ms = born}, now,
                          now);
     };
     keeper.on_worker(what, 5, now);
     const guard_orders orders{
         .epoch = 7,
-        .life = what.life,
+        .executor = what.executor,
         .incarnation = "guard process",
         .starts = {{.task = "j.0.0.0",
                     .run = 1,
@@ -192,10 +192,10 @@
     keeper.on_answer(answer, keeper.report(now), now, now);
     look(1);
     REQUIRE(keeper.due(now).size() == 2); // the start, and a look
-    keeper.on_started({.order = orders.starts.at(0), .life = what.life},
+    keeper.on_started({.order = orders.starts.at(0), .executor = what.executor},
                       order_result::unanswered, now);
     look(2);
-    CHECK(keeper.worker().life == executor_incarnation("i-1", 2));
+    CHECK(keeper.worker().executor == executor_incarnation("i-1", 2));
     CHECK(keeper.worker().service.empty());
     CHECK_FALSE(keeper.report(now).looked);
     now += milliseconds(20);
@@ -208,7 +208,7 @@
         }
     }
     REQUIRE(stops.size() == 1);
-    CHECK(stops.at(0).life == executor_incarnation("i-1", 2));
+    CHECK(stops.at(0).executor == executor_incarnation("i-1", 2));
     look(2);
     CHECK(keeper.report(now).starting == std::vector<std::string>{"j.0.0.0"});
     keeper.on_stopped(stops.at(0), order_result::accepted, now);
@@ -217,7 +217,7 @@
     REQUIRE(keeper.report(now).refused.size() == 1);
     CHECK(keeper.report(now).refused.at(0).reason == "executor_restarted");
     // Its own heartbeat tells what it can run.
-    keeper.on_worker({.life = {"i-1", 2}, .service = "s"}, 5, now);
+    keeper.on_worker({.executor = {"i-1", 2}, .service = "s"}, 5, now);
     CHECK(keeper.worker().service == "s");
 }
 
@@ -245,7 +245,7 @@
 
     void beat(std::int64_t born)
     {
-        keeper.on_worker({.life = {"i-1", born}, .service = "s"}, clock_ms,
+        keeper.on_worker({.executor = {"i-1", born}, .service = "s"}, clock_ms,
                          now);
     }
 
@@ -266,14 +266,14 @@
     void answer(const poll_executor& to, std::int64_t born)
     {
         keeper.on_polled(
-            to.life, order_result::accepted,
+            to.executor, order_result::accepted,
             executor_snapshot{.clock_ms = clock_ms, .born_ms = born}, now, now);
     }
 
     void let_fail(const poll_executor& look)
     {
-        keeper.on_polled(look.life, order_result::unanswered, std::nullopt, now,
-                         now);
+        keeper.on_polled(look.executor, order_result::unanswered, std::nullopt,
+                         now, now);
     }
 
     static constexpr std::int64_t clock_ms = 5;
@@ -291,7 +291,7 @@
     REQUIRE(held_back.deadline_ms.has_value());
     at.answer(held_back, 2); // the next life answers
     const poll_executor first = at.look_due();
-    REQUIRE(first.life == executor_incarnation("i-1", 2));
+    REQUIRE(first.executor == executor_incarnation("i-1", 2));
     CHECK(first.fence > held_back.fence);
     // Until that fence was there, any call of before could still be taken.
     at.now += seconds(3);
@@ -302,7 +302,7 @@
     const auto fence_of = [&](guard_admission admission)
     {
         run_reconciler next(at.options, "another");
-        next.on_worker({.life = {"i-1", 2}, .service = "s"}, 5, at.now);
+        next.on_worker({.executor = {"i-1", 2}, .service = "s"}, 5, at.now);
         next.on_answer({.holds = true,
                         .orders = {.epoch = admission.epoch},
                         .admission = admission},
@@ -352,16 +352,16 @@
 {
     const time_point now{std::chrono::hours(1)};
     run_reconciler keeper({}, "guard process");
-    keeper.on_worker({.life = {"i-1", 1}, .service = "s"}, 5, now);
+    keeper.on_worker({.executor = {"i-1", 1}, .service = "s"}, 5, now);
     guard_orders orders{.epoch = 7,
-                        .life = executor_incarnation("i-1"),
+                        .executor = executor_incarnation("i-1"),
                         .incarnation = "guard process",
                         .starts = {{.task = "j.0.0.0", .run = 1}}};
     CHECK(keeper.on_orders(orders, now));
     CHECK(keeper.report(now).starting.size() == 1);
-    orders.life = {"i-1", 2};
+    orders.executor = {"i-1", 2};
     CHECK_FALSE(keeper.on_orders(orders, now));
-    orders.life = executor_incarnation("i-2");
+    orders.executor = executor_incarnation("i-2");
     CHECK_FALSE(keeper.on_orders(orders, now));
 }
 
@@ -371,10 +371,10 @@
 {
     time_point now{std::chrono::hours(1)};
     run_reconciler keeper({}, "guard process");
-    const worker_description what{.life = {"i-1", 1}, .service = "s"};
+    const worker_description what{.executor = {"i-1", 1}, .service = "s"};
     keeper.on_worker(what, 5, now);
     guard_orders orders{.epoch = 7,
-                        .life = what.life,
+                        .executor = what.executor,
                         .incarnation = "guard process",
                         .starts = {{.task = "j.0.0.0",
                                     .run = 1,
@@ -383,7 +383,7 @@
     keeper.on_answer(answer, keeper.report(now), now, now);
     const auto look = [&](std::vector<ended_task> ended)
     {
-        keeper.on_polled(what.life, order_result::accepted,
+        keeper.on_polled(what.executor, order_result::accepted,
                          executor_snapshot{.clock_ms = 5,
                                            .born_ms = 1,
                                            .ended = std::move(ended)},
@@ -424,7 +424,7 @@
     }
     REQUIRE(at.where.at(task) == "g2");
     worker_report& back = at.worker("g1");
-    back.worker.life = executor_incarnation("g1-1", 5);
+    back.worker.executor = executor_incarnation("g1-1", 5);
     back.running.clear();
     back.ended = {{.number = 1, .task = task, .run = 1, .how = run_end::done}};
     back.lease_ms = 1500;
--- a/tests/unit/restarted_guard_tests.cpp
+++ b/tests/unit/restarted_guard_tests.cpp
@@ -38,7 +38,7 @@
 // An executor that may leave starts unread in its socket.
 struct fake_worker
 {
-    std::string life;
+    std::string executor;
     resources capacity = tests::room;
     order_result to_starts = order_result::accepted;
     order_result to_stops = order_result::accepted;
@@ -80,7 +80,7 @@
         for (const char* name : {"a", "b"})
         {
             workers[name].guard = name;
-            workers[name].worker.life = std::string(name) + "-1";
+            workers[name].worker.executor = std::string(name) + "-1";
             begin_guard(name);
         }
         turn(seconds(1));
@@ -171,7 +171,7 @@
 
     void beat(guarded_worker& at) const
     {
-        at.keeper->on_worker({.life = at.worker.life,
+        at.keeper->on_worker({.executor = at.worker.executor,
                               .service = "s",
                               .capacity = at.worker.capacity},
                              to_milliseconds(now - time_point{}), now);
@@ -243,7 +243,8 @@
                                     .run = run,
                                     .percent = look.clock_ms / 100 % 100});
         }
-        at.keeper->on_polled(what.life, order_result::accepted, look, now, now);
+        at.keeper->on_polled(what.executor, order_result::accepted, look, now,
+                             now);
     }
 
     std::int64_t revision_ = 100;
@@ -335,17 +336,18 @@
 {
     const time_point now{std::chrono::hours(1)};
     run_reconciler keeper;
-    keeper.on_worker({.life = "w1", .service = "s"}, 1000, now);
-    const guard_orders orders{
-        .epoch = 5, .life = "w1", .starts = {{.task = "j.0.0.0", .run = 1}}};
+    keeper.on_worker({.executor = "w1", .service = "s"}, 1000, now);
+    const guard_orders orders{.epoch = 5,
+                              .executor = "w1",
+                              .starts = {{.task = "j.0.0.0", .run = 1}}};
     report_answer lease_grant{.holds = true, .permit_ms = 4000};
-    lease_grant.orders = {.epoch = 5, .life = "w1"};
+    lease_grant.orders = {.epoch = 5, .executor = "w1"};
     keeper.on_answer(lease_grant, keeper.report(now), now, now);
     keeper.on_orders(orders, now);
     keeper.due(now);
-    keeper.on_started(
-        {.order = {.task = "j.0.0.0", .run = 1}, .life = keeper.worker().life},
-        order_result::no_room, now);
+    keeper.on_started({.order = {.task = "j.0.0.0", .run = 1},
+                       .executor = keeper.worker().executor},
+                      order_result::no_room, now);
     const worker_report told = keeper.report(now);
     REQUIRE(told.refused.size() == 1);
     keeper.on_answer(lease_grant, told, now, now);
@@ -365,20 +367,21 @@
 {
     time_point now{std::chrono::hours(1)};
     run_reconciler keeper;
-    keeper.on_worker({.life = "w1", .service = "s"}, 1000, now);
-    guard_orders orders{
-        .epoch = 5, .life = "w1", .starts = {{.task = "j.0.0.0", .run = 2}}};
+    keeper.on_worker({.executor = "w1", .service = "s"}, 1000, now);
+    guard_orders orders{.epoch = 5,
+                        .executor = "w1",
+                        .starts = {{.task = "j.0.0.0", .run = 2}}};
     report_answer lease_grant{.holds = true, .permit_ms = 4000};
-    lease_grant.orders = {.epoch = 5, .life = "w1"};
+    lease_grant.orders = {.epoch = 5, .executor = "w1"};
     keeper.on_answer(lease_grant, keeper.report(now), now, now);
     keeper.on_orders(orders, now);
     keeper.due(now);
-    keeper.on_started({.order = orders.starts[0], .life = "w1"},
+    keeper.on_started({.order = orders.starts[0], .executor = "w1"},
                       order_result::no_room, now);
     const stop_order earlier{.task = "j.0.0.0", .run = 1};
-    keeper.on_orders({.epoch = 5, .life = "w1", .stops = {earlier}}, now);
+    keeper.on_orders({.epoch = 5, .executor = "w1", .stops = {earlier}}, now);
     keeper.due(now);
-    keeper.on_stopped({.order = earlier, .life = "w1"}, order_result::stale,
+    keeper.on_stopped({.order = earlier, .executor = "w1"}, order_result::stale,
                       now);
     now += seconds(1);
     keeper.on_polled("w1", order_result::accepted,
@@ -395,12 +398,13 @@
 {
     const time_point now{std::chrono::hours(1)};
     run_reconciler keeper({}, "second");
-    keeper.on_worker({.life = "w1", .service = "s"}, 1000, now);
+    keeper.on_worker({.executor = "w1", .service = "s"}, 1000, now);
     report_answer lease_grant{.holds = true, .permit_ms = 4000};
-    lease_grant.orders = {.epoch = 5, .life = "w1", .incarnation = "second"};
+    lease_grant.orders = {
+        .epoch = 5, .executor = "w1", .incarnation = "second"};
     keeper.on_answer(lease_grant, keeper.report(now), now, now);
     guard_orders orders{.epoch = 5,
-                        .life = "w1",
+                        .executor = "w1",
                         .incarnation = "first",
                         .starts = {{.task = "j.0.0.0", .run = 1}},
                         .stops = {{.task = "j.0.0.1", .run = 1}}};
--- a/tests/unit/restarting_executor.hpp
+++ b/tests/unit/restarting_executor.hpp
@@ -306,7 +306,8 @@
     void carry_out(const poll_executor& what)
     {
         const http_result got = call(what);
-        keeper.on_polled(what.life, springstair::platform::decode_result(got),
+        keeper.on_polled(what.executor,
+                         springstair::platform::decode_result(got),
                          springstair::platform::decode_poll(got), now, now);
     }
 
--- a/tests/unit/run_reconciler_tests.cpp
+++ b/tests/unit/run_reconciler_tests.cpp
@@ -21,9 +21,10 @@
 public:
     guard()
     {
-        keeper.on_worker(
-            {.life = "w1", .service = "s", .capacity = {.cpu_millis = 4000}},
-            1000, now);
+        keeper.on_worker({.executor = "w1",
+                          .service = "s",
+                          .capacity = {.cpu_millis = 4000}},
+                         1000, now);
         answer({});
     }
 
@@ -34,7 +35,7 @@
         report_answer out{.holds = true, .permit_ms = permit_ms};
         out.orders = orders;
         out.orders.epoch = epoch;
-        out.orders.life = "w1";
+        out.orders.executor = "w1";
         keeper.on_answer(out, keeper.report(now), now, now);
     }
 
@@ -111,7 +112,7 @@
         REQUIRE(starts.size() == 1);
         CHECK(starts[0].deadline_ms <= at.clock() + 2000);
         at.keeper.on_started({.order = {.task = "j.0.0.0", .run = 1},
-                              .life = at.keeper.worker().life},
+                              .executor = at.keeper.worker().executor},
                              order_result::unanswered, at.now);
         at.now += milliseconds(150);
         at.looked({});
@@ -120,7 +121,7 @@
     CHECK(at.keeper.report(at.now).refused.empty());
     REQUIRE(at.due<stop_run>().size() == 1);
     at.keeper.on_stopped({.order = {.task = "j.0.0.0", .run = 1},
-                          .life = at.keeper.worker().life},
+                          .executor = at.keeper.worker().executor},
                          order_result::accepted, at.now);
     at.looked({});
     CHECK(at.keeper.report(at.now).refused.empty());
@@ -155,7 +156,7 @@
         at.start("j.0.0.0");
         at.due<start_run>();
         at.keeper.on_started({.order = {.task = "j.0.0.0", .run = 1},
-                              .life = at.keeper.worker().life},
+                              .executor = at.keeper.worker().executor},
                              one.result, at.now);
         CHECK(at.keeper.report(at.now).refused.size() ==
               (one.refused_by_worker ? 1 : 0));
@@ -167,16 +168,16 @@
 TEST_CASE("orders of an older holder or for another life are not taken")
 {
     guard at;
-    CHECK_FALSE(at.keeper.on_orders({.epoch = 4, .life = "w1"}, at.now));
-    CHECK_FALSE(at.keeper.on_orders({.epoch = 6, .life = "w0"}, at.now));
-    CHECK(at.keeper.on_orders({.epoch = 6, .life = "w1"}, at.now));
-    CHECK_FALSE(at.keeper.on_orders({.epoch = 5, .life = "w1"}, at.now));
+    CHECK_FALSE(at.keeper.on_orders({.epoch = 4, .executor = "w1"}, at.now));
+    CHECK_FALSE(at.keeper.on_orders({.epoch = 6, .executor = "w0"}, at.now));
+    CHECK(at.keeper.on_orders({.epoch = 6, .executor = "w1"}, at.now));
+    CHECK_FALSE(at.keeper.on_orders({.epoch = 5, .executor = "w1"}, at.now));
 }
 
 TEST_CASE("an older holder's answer renews no permit")
 {
     guard at;
-    at.keeper.on_orders({.epoch = 9, .life = "w1"}, at.now);
+    at.keeper.on_orders({.epoch = 9, .executor = "w1"}, at.now);
     const time_point before = at.keeper.lease_granted_until();
     at.now += seconds(1);
     at.answer({}, 5);
@@ -207,7 +208,7 @@
 {
     guard at;
     at.start("j.0.0.0");
-    at.keeper.on_worker({.life = "w1", .service = "s", .draining = true},
+    at.keeper.on_worker({.executor = "w1", .service = "s", .draining = true},
                         at.clock(), at.now);
     CHECK(at.due<start_run>().empty());
     CHECK(at.keeper.report(at.now).refused.size() == 1);
@@ -230,11 +231,11 @@
     at.start("j.0.0.0");
     at.due<start_run>();
     at.keeper.on_started({.order = {.task = "j.0.0.0", .run = 1},
-                          .life = at.keeper.worker().life},
+                          .executor = at.keeper.worker().executor},
                          order_result::accepted, at.now);
     at.looked({{.task = "j.0.0.0", .run = 1}});
-    at.keeper.on_worker({.life = "w2", .service = "s"}, 5, at.now);
-    CHECK(at.keeper.report(at.now).worker.life == "w1"); // until it answers
+    at.keeper.on_worker({.executor = "w2", .service = "s"}, 5, at.now);
+    CHECK(at.keeper.report(at.now).worker.executor == "w1"); // until it answers
     at.keeper.on_polled("w2", order_result::fenced, {}, at.now, at.now);
     const worker_report report = at.keeper.report(at.now);
     CHECK(report.running.empty());
@@ -383,9 +384,9 @@
     {
         at.start("a");
         REQUIRE(at.due<start_run>().size() == 1);
-        at.keeper.on_started(
-            {.order = {.task = "a", .run = 1}, .life = at.keeper.worker().life},
-            order_result::unhealthy, at.now);
+        at.keeper.on_started({.order = {.task = "a", .run = 1},
+                              .executor = at.keeper.worker().executor},
+                             order_result::unhealthy, at.now);
     }
     SUBCASE("a look")
     {
@@ -408,24 +409,24 @@
     }
     at.due<start_run>();
     at.keeper.on_started({.order = {.task = "listed", .run = 1},
-                          .life = at.keeper.worker().life},
+                          .executor = at.keeper.worker().executor},
+                         order_result::accepted, at.now);
+    at.keeper.on_started({.order = {.task = "taken", .run = 1},
+                          .executor = at.keeper.worker().executor},
                          order_result::accepted, at.now);
-    at.keeper.on_started(
-        {.order = {.task = "taken", .run = 1}, .life = at.keeper.worker().life},
-        order_result::accepted, at.now);
     at.keeper.on_started({.order = {.task = "refused", .run = 1},
-                          .life = at.keeper.worker().life},
+                          .executor = at.keeper.worker().executor},
                          order_result::unhealthy, at.now);
     at.now += milliseconds(500);
     at.looked({{.task = "listed", .run = 1}, {.task = "taken", .run = 1}},
               {{.number = 1, .task = "ended", .run = 1}});
     at.now += milliseconds(100);
-    at.keeper.on_worker({.life = "w2", .service = "s"}, 5, at.now);
+    at.keeper.on_worker({.executor = "w2", .service = "s"}, 5, at.now);
     at.keeper.on_polled("w2", order_result::accepted, executor_snapshot{},
                         at.now, at.now);
     const auto former = at.keeper.report(at.now).former;
     REQUIRE(former.size() == 1);
-    CHECK(former[0].life == "w1");
+    CHECK(former[0].executor == "w1");
     const std::vector<begun_run> begun{
         {.task = "listed", .run = 1, .at_work_ms = 500, .is_sure = true},
         {.task = "taken", .run = 1, .at_work_ms = 500, .is_sure = true},
--- a/tests/unit/scheduler_tests.cpp
+++ b/tests/unit/scheduler_tests.cpp
@@ -24,7 +24,7 @@
     const auto orders = at.core.take_orders();
     REQUIRE(orders.size() == 1);
     CHECK(orders[0].orders.epoch == 7);
-    CHECK(orders[0].orders.life == "g1-1");
+    CHECK(orders[0].orders.executor == "g1-1");
     CHECK(orders[0].orders.starts.at(0).task == what.id + ".0.0.0");
 }
 
@@ -301,7 +301,7 @@
     const auto question = at.core.next_question(at.now);
     REQUIRE(question.has_value());
     CHECK(question->step == what.id + ".0.0");
-    CHECK(question->lives.size() == 2);
+    CHECK(question->executors.size() == 2);
     at.core.advised(
         advice_answer{.tickets = {{"g2-1", "pass"}}, .valid_ms = 3000}, at.now);
     at.turn();
@@ -318,7 +318,7 @@
     at.turn(milliseconds(400));
     const auto again = at.core.next_question(at.now);
     REQUIRE(again.has_value());
-    CHECK(again->lives == std::vector<executor_incarnation>{"g2-1"});
+    CHECK(again->executors == std::vector<executor_incarnation>{"g2-1"});
 }
 
 TEST_CASE("priority goes first, then the earliest objective")
@@ -441,7 +441,7 @@
     const std::string task = what.id + ".0.0.0";
     at.turn();
     worker_report& report = at.worker("g1");
-    report.worker.life = "g1-2";
+    report.worker.executor = "g1-2";
     report.running.clear();
     at.say("g1");
     at.turn();
@@ -457,7 +457,7 @@
     const auto batch = at.core.next_commit(at.now);
     REQUIRE(batch.has_value());
     at.core.committed(*batch, 9, at.now);
-    at.worker("g1").worker.life = "g1-2";
+    at.worker("g1").worker.executor = "g1-2";
     const report_answer answer = at.say("g1");
     CHECK(answer.orders.starts.empty());
     CHECK(at.core.take_orders().empty());
@@ -722,9 +722,9 @@
     at.turn();
     worker_report old = at.worker("g1");
     old.sequence = 1;
-    old.worker.life = "g1-0";
+    old.worker.executor = "g1-0";
     at.core.report(old, at.now, at.now);
-    CHECK(at.core.workers().at("g1").what.life == "g1-1");
+    CHECK(at.core.workers().at("g1").what.executor == "g1-1");
     CHECK(at.core.workers().at("g1").held.size() == 1);
 }
 
--- a/tests/unit/ticket_tests.cpp
+++ b/tests/unit/ticket_tests.cpp
@@ -25,7 +25,7 @@
     const auto question = book.next_question(now);
     REQUIRE(question.has_value());
     CHECK(question->step == "j.0.0");
-    CHECK(question->lives == three);
+    CHECK(question->executors == three);
     CHECK_FALSE(book.next_question(now).has_value());
     book.want("j.0.0", three, now); // it is out already
     book.answered(advice_answer{.tickets = {{"a", "t"}}, .valid_ms = 3000},
@@ -35,7 +35,7 @@
     book.answered(std::nullopt, now);
     // Those that were not good stay so; others may be.
     book.want("j.0.0", {"a", "b", "c", "d"}, now);
-    CHECK(book.next_question(now)->lives ==
+    CHECK(book.next_question(now)->executors ==
           std::vector<executor_incarnation>{"d"});
 }
 
@@ -53,7 +53,7 @@
     now += milliseconds(200);
     CHECK(book.tickets("j.0.0", now).empty());
     book.want("j.0.0", three, now);
-    CHECK(book.next_question(now)->lives ==
+    CHECK(book.next_question(now)->executors ==
           std::vector<executor_incarnation>{"a"});
 }
 
@@ -68,7 +68,7 @@
     CHECK_FALSE(book.next_question(now).has_value());
     now += seconds(1);
     book.want("j.0.0", three, now);
-    CHECK(book.next_question(now)->lives == three);
+    CHECK(book.next_question(now)->executors == three);
 }
 
 TEST_CASE("a ticket that a worker does not take is asked for again")
@@ -82,7 +82,7 @@
     book.refused("j.0.0", "a");
     CHECK(book.tickets("j.0.0", now).empty());
     book.want("j.0.0", three, now);
-    CHECK(book.next_question(now)->lives ==
+    CHECK(book.next_question(now)->executors ==
           std::vector<executor_incarnation>{"a"});
 }
 
--- a/tests/unit/unasked_run_tests.cpp
+++ b/tests/unit/unasked_run_tests.cpp
@@ -93,9 +93,9 @@
 {
     run_reconciler keeper;
     time_point now{std::chrono::hours(1)};
-    keeper.on_worker({.life = "w1", .service = "s"}, 1000, now);
+    keeper.on_worker({.executor = "w1", .service = "s"}, 1000, now);
     report_answer answer{.holds = true, .permit_ms = 0, .orders = {.epoch = 5}};
-    answer.orders.life = "w1";
+    answer.orders.executor = "w1";
     answer.orders.stops = {{.task = "ghost.0.0.0", .run = 3}};
     keeper.on_answer(answer, keeper.report(now), now, now);
     for (int call = 0; call < 3; ++call)
@@ -112,12 +112,12 @@
             });
         CHECK(asked == 1);
         keeper.on_stopped({.order = {.task = "ghost.0.0.0", .run = 3},
-                           .life = keeper.worker().life},
+                           .executor = keeper.worker().executor},
                           order_result::unanswered, now);
         now += seconds(1);
     }
     keeper.on_stopped({.order = {.task = "ghost.0.0.0", .run = 3},
-                       .life = keeper.worker().life},
+                       .executor = keeper.worker().executor},
                       order_result::accepted, now);
 }
 
@@ -129,14 +129,14 @@
 {
     permitted_guard()
     {
-        keeper.on_worker({.life = "w1", .service = "s"}, 1000, now);
+        keeper.on_worker({.executor = "w1", .service = "s"}, 1000, now);
         hear({});
     }
 
     void hear(guard_orders orders)
     {
         orders.epoch = 5;
-        orders.life = "w1";
+        orders.executor = "w1";
         report_answer answer{.holds = true, .permit_ms = 4000};
         answer.orders = std::move(orders);
         keeper.on_answer(answer, keeper.report(now), now, now);
@@ -180,7 +180,7 @@
     at.keeper.due(at.now); // its call is open
     at.hear({.stops = {{.task = "j.0.0.0", .run = 2}}});
     at.keeper.on_started({.order = {.task = "j.0.0.0", .run = 1},
-                          .life = at.keeper.worker().life},
+                          .executor = at.keeper.worker().executor},
                          order_result::accepted, at.now);
     CHECK(at.stops_due() == std::set<std::int64_t>{1});
 }
@@ -192,7 +192,7 @@
     at.hear({.starts = {{.task = "j.0.0.0", .run = 3}}});
     at.keeper.due(at.now);
     at.keeper.on_started({.order = {.task = "j.0.0.0", .run = 3},
-                          .life = at.keeper.worker().life},
+                          .executor = at.keeper.worker().executor},
                          order_result::accepted, at.now);
     at.look_shows(
         {{.task = "j.0.0.0", .run = 1}, {.task = "j.0.0.0", .run = 3}});
