--- a/packages/scheduler/include/springstair/detail/scheduler/crash_suspicion.hpp
+++ b/packages/scheduler/include/springstair/detail/scheduler/crash_suspicion.hpp
@@ -41,7 +41,7 @@
     double closed_share = 0.2;
     /// A worker is kept for a suspect no longer than this, until the others
     /// there have proved themselves or ended.
-    duration kept_for = std::chrono::seconds(3);
+    duration max_isolation_wait = std::chrono::seconds(3);
     /// A suspect that has waited for so long may close any worker: a job may
     /// have nothing running for three seconds at most.
     duration share_bound_for = std::chrono::milliseconds(1500);
--- a/packages/scheduler/include/springstair/detail/scheduler/entry_list.hpp
+++ b/packages/scheduler/include/springstair/detail/scheduler/entry_list.hpp
@@ -132,7 +132,7 @@
 private:
     struct heard_entry
     {
-        entry_heartbeat what;
+        entry_heartbeat heartbeat;
         time_point at{};
     };
 
--- a/packages/scheduler/include/springstair/detail/scheduler/job_record.hpp
+++ b/packages/scheduler/include/springstair/detail/scheduler/job_record.hpp
@@ -74,9 +74,9 @@
     /// @brief A job of which nothing has run.
     explicit job_record(job what);
 
-    [[nodiscard]] const job& what() const noexcept
+    [[nodiscard]] const job& definition() const noexcept
     {
-        return what_;
+        return definition_;
     }
     [[nodiscard]] job_state state() const noexcept
     {
@@ -139,7 +139,7 @@
     std::int64_t critical_path_ms = 0; ///< its longest chain, by the guesses
 
 private:
-    job what_;
+    job definition_;
     job_state state_ = job_state::pending;
     std::vector<std::size_t> first_of_step_; ///< offsets within a round
     std::size_t tasks_per_round_ = 0;
--- a/packages/scheduler/include/springstair/detail/scheduler/worker_ledger.hpp
+++ b/packages/scheduler/include/springstair/detail/scheduler/worker_ledger.hpp
@@ -26,13 +26,13 @@
 {
     std::string guard;
     std::string address; ///< of its guard
-    worker_description what;
+    worker_description description;
     resources used;             ///< by runs that may be there
-    resources settled;          ///< the part of it that lasting runs have
+    resources lasting_used;     ///< the part of it that lasting runs have
     resources claimed;          ///< kept free for a task that waits
     std::int64_t fill_cpu = 0;  ///< asked for by runs that fill
     std::int64_t fill_runs = 0; ///< their number
-    std::set<task_name> held;   ///< tasks whose newest run may be there
+    std::set<task_name> assigned_tasks; ///< tasks whose newest run may be there
     /// Of those, the ones not yet seen at work for a while.
     std::set<task_name> unproven;
     /// Of the unproven, those that are suspected of crashing executors.
@@ -41,7 +41,7 @@
     std::optional<task_name> isolated_suspect;
     /// The suspect that waits for the others there to prove themselves, and
     /// until when: nothing else is started meanwhile.
-    std::optional<task_name> kept_for;
+    std::optional<task_name> reserved_for;
     time_point reserved_until{};
     /// Former lives that its guard still tells of and that were judged.
     std::set<executor_incarnation> judged_incarnations;
@@ -51,14 +51,14 @@
     time_point
         incarnation_since{}; ///< when its executor's life was first reported
     /// When looks at its executor began to fail, or its guard fell silent.
-    time_point lost{};
-    time_point went{};         ///< the same of its executor's former life
-    std::string incarnation;   ///< of its guard
-    std::int64_t sequence = 0; ///< of the newest report
-    std::int64_t offered = 0;  ///< newest admission number
-    std::string offered_to;    ///< incarnation that it was given to
-    bool answering = true;     ///< its guard hears from it
-    bool closed = false;       ///< its data centre takes no new runs
+    time_point lost_at{};
+    time_point previously_lost_at{}; ///< the same of its executor's former life
+    std::string incarnation;         ///< of its guard
+    std::int64_t sequence = 0;       ///< of the newest report
+    std::int64_t offered = 0;        ///< newest admission number
+    std::string offered_to;          ///< incarnation that it was given to
+    bool answering = true;           ///< its guard hears from it
+    bool closed = false;             ///< its data centre takes no new runs
     /// Its lease has to run out before anything listed there is acknowledged.
     bool lease_must_expire = false;
     /// Its guard's clock reads at least so much more than ours.
@@ -89,7 +89,7 @@
     std::map<std::string, double> filling; ///< newest use, share of capacity
 
     /// @brief What is left, by the ledger.
-    [[nodiscard]] resources room() const noexcept;
+    [[nodiscard]] resources free_capacity() const noexcept;
     /// @brief What is left for others than the task that has a claim.
     [[nodiscard]] resources unreserved_capacity() const noexcept;
     /// @brief What would be left if all runs but lasting ones had ended.
--- a/packages/scheduler/src/entry_list.cpp
+++ b/packages/scheduler/src/entry_list.cpp
@@ -55,8 +55,8 @@
 void entry_list::note(const entry_heartbeat& from, time_point now)
 {
     const auto [found, is_new] = entries_.try_emplace(from.address);
-    is_sorted_ = is_sorted_ && !is_new && found->second.what == from;
-    found->second = {.what = from, .at = now};
+    is_sorted_ = is_sorted_ && !is_new && found->second.heartbeat == from;
+    found->second = {.heartbeat = from, .at = now};
 }
 
 void entry_list::clear()
@@ -77,9 +77,9 @@
     order_.clear();
     for (const auto& [address, entry] : entries_)
     {
-        if (!entry.what.store_away)
+        if (!entry.heartbeat.store_away)
         {
-            order_.push_back(entry.what);
+            order_.push_back(entry.heartbeat);
         }
     }
     std::ranges::sort(order_, {}, place_of);
--- a/packages/scheduler/src/job_order.cpp
+++ b/packages/scheduler/src/job_order.cpp
@@ -25,7 +25,7 @@
         from_seconds(to_seconds(chain) * queue->stretch) +
         std::chrono::milliseconds(queue->target_ms);
     const duration age = now - of.accepted;
-    const bool lasting = of.what().steps.front().lasting;
+    const bool lasting = of.definition().steps.front().lasting;
     job_prospect prospect = job_prospect::in_time;
     if (!lasting && age > objective)
     {
@@ -38,7 +38,7 @@
             .moment = (of.accepted + objective).time_since_epoch() /
                       options.one_moment,
             .smallness =
-                lasting ? -of.what().steps.front().demand.cpu_millis : 0,
+                lasting ? -of.definition().steps.front().demand.cpu_millis : 0,
             .objective = of.accepted + objective,
             .order = of.order};
 }
--- a/packages/scheduler/src/job_record.cpp
+++ b/packages/scheduler/src/job_record.cpp
@@ -5,15 +5,16 @@
 namespace springstair
 {
 
-job_record::job_record(job what) : what_(std::move(what))
+job_record::job_record(job what) : definition_(std::move(what))
 {
-    critical_path_ms = what_.critical_path_ms();
-    for (const job_step& step : what_.steps)
+    critical_path_ms = definition_.critical_path_ms();
+    for (const job_step& step : definition_.steps)
     {
         first_of_step_.push_back(tasks_per_round_);
         tasks_per_round_ += static_cast<std::size_t>(step.count);
     }
-    tasks_.resize(tasks_per_round_ * static_cast<std::size_t>(what_.rounds()));
+    tasks_.resize(tasks_per_round_ *
+                  static_cast<std::size_t>(definition_.rounds()));
 }
 
 void job_record::enter(job_state next) noexcept
@@ -28,10 +29,10 @@
 job_task* job_record::find(const task_position& at)
 {
     const bool exists =
-        at.round >= 0 && at.round < what_.rounds() && at.step >= 0 &&
-        at.step < static_cast<std::int64_t>(what_.steps.size()) &&
+        at.round >= 0 && at.round < definition_.rounds() && at.step >= 0 &&
+        at.step < static_cast<std::int64_t>(definition_.steps.size()) &&
         at.index >= 0 &&
-        at.index < what_.steps[static_cast<std::size_t>(at.step)].count;
+        at.index < definition_.steps[static_cast<std::size_t>(at.step)].count;
     if (!exists)
     {
         return nullptr;
@@ -47,7 +48,7 @@
         static_cast<std::size_t>(round) * tasks_per_round_ +
         first_of_step_[number];
     return std::span(tasks_).subspan(
-        first, static_cast<std::size_t>(what_.steps[number].count));
+        first, static_cast<std::size_t>(definition_.steps[number].count));
 }
 
 std::span<job_task> job_record::tasks_of(std::int64_t round, std::int64_t step)
@@ -73,12 +74,12 @@
 
 const job_step& job_record::step_at(const task_position& at) const
 {
-    return what_.steps[static_cast<std::size_t>(at.step)];
+    return definition_.steps[static_cast<std::size_t>(at.step)];
 }
 
 bool job_record::is_open(std::int64_t round, std::int64_t step) const
 {
-    const job_step& of = what_.steps[static_cast<std::size_t>(step)];
+    const job_step& of = definition_.steps[static_cast<std::size_t>(step)];
     return std::all_of(
         of.after.begin(), of.after.end(),
         [&](std::size_t before)
--- a/packages/scheduler/src/placement.cpp
+++ b/packages/scheduler/src/placement.cpp
@@ -23,13 +23,13 @@
 bool has_ticket(const worker_record& at, const placement_query& query)
 {
     return query.tickets == nullptr ||
-           query.tickets->contains(at.what.executor);
+           query.tickets->contains(at.description.executor);
 }
 
 bool is_open_to(const worker_record& at, const placement_query& query)
 {
-    return !at.kept_for ||
-           (query.suspect != nullptr && *query.suspect == *at.kept_for);
+    return !at.reserved_for ||
+           (query.suspect != nullptr && *query.suspect == *at.reserved_for);
 }
 
 double share(std::int64_t part, std::int64_t whole)
@@ -42,7 +42,7 @@
 double fill_room(const worker_record& at, const placement_options& options)
 {
     const auto serving = static_cast<double>(at.serving_cpu);
-    return static_cast<double>(at.what.capacity.cpu_millis) -
+    return static_cast<double>(at.description.capacity.cpu_millis) -
            options.serving_use * serving -
            (static_cast<double>(at.used.cpu_millis) - serving);
 }
@@ -53,7 +53,7 @@
                                     const placement_query& query,
                                     const placement_options& options)
 {
-    const auto whole = static_cast<double>(at.what.capacity.cpu_millis);
+    const auto whole = static_cast<double>(at.description.capacity.cpu_millis);
     std::optional<double> least;
     for (const auto& [serving, runs] : at.serving_runs)
     {
@@ -124,7 +124,7 @@
              const placement_options& options)
 {
     const job_step& step = query.step;
-    const resources& capacity = at.what.capacity;
+    const resources& capacity = at.description.capacity;
     double value = 0;
     if (step.fills)
     {
@@ -142,7 +142,7 @@
         value += options.other_image_penalty * others;
         value -= same ? options.same_image_bonus : 0;
     }
-    if (!step.data_rack.empty() && step.data_rack != at.what.rack)
+    if (!step.data_rack.empty() && step.data_rack != at.description.rack)
     {
         value += options.far_penalty;
     }
@@ -174,7 +174,7 @@
 {
     return may_run(at, query, options) &&
            reserved_by(query.step)
-               .fits(query.step.lasting ? at.room()
+               .fits(query.step.lasting ? at.free_capacity()
                                         : at.unreserved_capacity()) &&
            (!query.step.fills || query.ignore_interference ||
             has_fill_room(at, query, options));
@@ -182,7 +182,7 @@
 
 bool has_label(const worker_record& at, const std::string& label)
 {
-    const auto& labels = at.what.labels;
+    const auto& labels = at.description.labels;
     return label.empty() ||
            std::find(labels.begin(), labels.end(), label) != labels.end();
 }
@@ -190,10 +190,11 @@
 bool takes_runs(const worker_record& at, const std::string& service,
                 time_point now, const placement_options& options)
 {
-    return at.what.service == service && !at.what.executor.empty() &&
-           !at.what.draining && at.answering && !at.closed &&
-           !at.lease_must_expire && !at.isolated_suspect &&
-           now - at.reported < options.report_age && now >= at.ejected_until;
+    return at.description.service == service &&
+           !at.description.executor.empty() && !at.description.draining &&
+           at.answering && !at.closed && !at.lease_must_expire &&
+           !at.isolated_suspect && now - at.reported < options.report_age &&
+           now >= at.ejected_until;
 }
 
 bool is_below_step_bound(const worker_record& at, const placement_query& query)
@@ -240,7 +241,8 @@
                              asked.fits(at.eventual_capacity()) &&
                              may_run(at, query, options);
         if (will_do &&
-            (best == nullptr || at.room().cpu_millis > best->room().cpu_millis))
+            (best == nullptr ||
+             at.free_capacity().cpu_millis > best->free_capacity().cpu_millis))
         {
             best = &at;
         }
--- a/packages/scheduler/src/scheduler_closing.cpp
+++ b/packages/scheduler/src/scheduler_closing.cpp
@@ -14,7 +14,7 @@
     const closing_change change = data_centres_.take(known);
     for (auto& [guard, at] : workers_)
     {
-        at.closed = data_centres_.is_closed(at.what.data_centre);
+        at.closed = data_centres_.is_closed(at.description.data_centre);
     }
     may_place_ = may_place_ || !change.opened.empty();
     if (!begun_)
@@ -67,7 +67,9 @@
     std::size_t runs = 0;
     for (const auto& [guard, at] : workers_)
     {
-        runs += at.what.data_centre == data_centre ? at.held.size() : 0;
+        runs += at.description.data_centre == data_centre
+                    ? at.assigned_tasks.size()
+                    : 0;
     }
     return static_cast<std::int64_t>(runs);
 }
--- a/packages/scheduler/src/scheduler_core.cpp
+++ b/packages/scheduler/src/scheduler_core.cpp
@@ -52,7 +52,7 @@
         if (task.run)
         {
             inherited_runs_[task.run->guard].insert(
-                {of.what().id, of.position_of(task)});
+                {of.definition().id, of.position_of(task)});
         }
     }
 }
@@ -93,13 +93,13 @@
         task.ready_since = now;
     }
     job_record& of = *fresh;
-    jobs_.emplace(of.what().id, std::move(fresh));
-    note(event_id::job_known, {{"job", of.what().id},
-                               {"queue", of.what().queue},
+    jobs_.emplace(of.definition().id, std::move(fresh));
+    note(event_id::job_known, {{"job", of.definition().id},
+                               {"queue", of.definition().queue},
                                {"tasks", std::to_string(of.tasks().size())}});
     may_place_ = true;
-    placeable_jobs_.insert(of.what().id);
-    if (of.what().steps.front().lasting)
+    placeable_jobs_.insert(of.definition().id);
+    if (of.definition().steps.front().lasting)
     {
         last_lasting_ = std::max(last_lasting_, now);
     }
@@ -137,7 +137,7 @@
 {
     return task != nullptr && task->run && task->run->number == run &&
            task->run->guard == at.guard &&
-           task->run->executor == at.what.executor;
+           task->run->executor == at.description.executor;
 }
 
 const job_record* scheduler_core::find(const std::string& id) const
@@ -148,7 +148,7 @@
 
 void scheduler_core::want(job_record& of, time_point now)
 {
-    const std::string& id = of.what().id;
+    const std::string& id = of.definition().id;
     may_place_ = true;
     placeable_jobs_.insert(id);
     if (of.change > of.kept && is_dirty_.insert(id).second)
@@ -173,7 +173,7 @@
             continue;
         }
         orders.epoch = epoch_;
-        orders.executor = at->second.what.executor;
+        orders.executor = at->second.description.executor;
         orders.incarnation = at->second.incarnation;
         orders.acknowledged = at->second.acknowledged;
         orders.starts_until_ms = starts_until_ms(at->second);
@@ -217,8 +217,8 @@
                          [&](const auto& entry)
                          {
                              const job_record& of = *entry.second;
-                             return of.what().queue == queue && !of.begun &&
-                                    !is_final(of.state());
+                             return of.definition().queue == queue &&
+                                    !of.begun && !is_final(of.state());
                          });
 }
 
@@ -264,9 +264,10 @@
     }
     for (auto& [guard, at] : workers_)
     {
-        if (now >= at.lease_ends && !at.held.empty())
+        if (now >= at.lease_ends && !at.assigned_tasks.empty())
         {
-            lose_worker(at, at.held, end_proof::lease_bound_passed(), now);
+            lose_worker(at, at.assigned_tasks, end_proof::lease_bound_passed(),
+                        now);
         }
     }
     const duration reach = options_.lease_horizon +
--- a/packages/scheduler/src/scheduler_diagnostics.cpp
+++ b/packages/scheduler/src/scheduler_diagnostics.cpp
@@ -33,8 +33,8 @@
     const auto waiting = std::ranges::count_if(tasks, &job_task::is_waiting);
     const wait_report found = explain_wait(workers_, query, options_.placement);
     note(event_id::tasks_wait,
-         {{"job", of.what().id},
-          {"queue", of.what().queue},
+         {{"job", of.definition().id},
+          {"queue", of.definition().queue},
           {"step", std::to_string(at.step)},
           {"tasks", std::to_string(waiting)},
           {"waited_ms", std::to_string(to_milliseconds(waited))},
@@ -104,7 +104,7 @@
         note(
             event_id::job_service,
             {{"job", id},
-             {"queue", of.what().queue},
+             {"queue", of.definition().queue},
              {"tasks", std::to_string(of.tasks().size())},
              {"cpu_millis", std::to_string(sample_service(of).reserved_millis)},
              {"at_work", percent(account.at_work, account.tasks)},
--- a/packages/scheduler/src/scheduler_ends.cpp
+++ b/packages/scheduler/src/scheduler_ends.cpp
@@ -13,7 +13,7 @@
 // The tasks of steps that the end of a task has opened wait from now on.
 void begin_waits(job_record& of, const task_position& done, time_point now)
 {
-    const auto& steps = of.what().steps;
+    const auto& steps = of.definition().steps;
     for (std::size_t step = 0; step < steps.size(); ++step)
     {
         const auto& after = steps[step].after;
@@ -44,7 +44,7 @@
     const auto at = workers_.find(run.guard);
     if (at != workers_.end())
     {
-        release(at->second, step, {of.what().id, where});
+        release(at->second, step, {of.definition().id, where});
         update_fault_score(at->second, of, run, how, now);
     }
     task.run.reset();
@@ -102,7 +102,7 @@
         }
         else if (member.run && !member.run->stopping)
         {
-            const task_name name{of.what().id, of.position_of(member)};
+            const task_name name{of.definition().id, of.position_of(member)};
             order_stop(*member.run, name.text(), outbox_[member.run->guard]);
         }
         member.ready_since = now;
@@ -116,7 +116,7 @@
     ++task.failures;
     task.avoided.insert(run.guard);
     const job_step& step = of.step_at(of.position_of(task));
-    const queue_row* const queue = table_.queue(of.what().queue);
+    const queue_row* const queue = table_.queue(of.definition().queue);
     const bool exhausted = !step.lasting && queue != nullptr &&
                            task.failures >= queue->most_attempts;
     if (!exhausted)
@@ -137,8 +137,9 @@
     {
         return;
     }
-    why.insert(why.begin(),
-               {"task", task_name{of.what().id, of.position_of(task)}.text()});
+    why.insert(
+        why.begin(),
+        {"task", task_name{of.definition().id, of.position_of(task)}.text()});
     finish(of, job_state::failed, now, std::move(why));
     stop_all(of);
 }
@@ -161,7 +162,7 @@
     const bool elsewhere = std::ranges::any_of(
         of.tasks(), [&](const job_task& task)
         { return task.avoided.size() > task.avoided.count(at.guard); });
-    return at.failed_job != of.what().id && !elsewhere;
+    return at.failed_job != of.definition().id && !elsewhere;
 }
 
 // A worker that fails what it starts gets no work for a while.
@@ -175,7 +176,7 @@
     }
     const bool failed = how == run_end::failed;
     at.fault_score = failures_.fault_score_after(at.fault_score, failed);
-    at.failed_job = failed ? of.what().id : at.failed_job;
+    at.failed_job = failed ? of.definition().id : at.failed_job;
     if (at.fault_score == 0)
     {
         at.ejections = 0;
@@ -193,7 +194,7 @@
     ++at.ejections;
     note(event_id::worker_ejected,
          {{"guard", at.guard},
-          {"life", at.what.executor.text()},
+          {"life", at.description.executor.text()},
           {"for_ms", std::to_string(to_milliseconds(pause))},
           {"fleet_fails_percent", std::to_string(static_cast<int>(
                                       full_percent * failures_.share()))}});
@@ -208,12 +209,12 @@
     of.urgent_commit = true;
     forget_advice(of);
     finished_.push_back(
-        {.queue = of.what().queue,
+        {.queue = of.definition().queue,
          .state = state,
          .age = age,
          .to_start = of.first_start.value_or(now) - of.accepted});
-    why.insert(why.begin(), {{"job", of.what().id},
-                             {"queue", of.what().queue},
+    why.insert(why.begin(), {{"job", of.definition().id},
+                             {"queue", of.definition().queue},
                              {"state", std::string(to_string(state))},
                              {"age_ms", std::to_string(to_milliseconds(age))}});
     note(event_id::job_ended, std::move(why));
@@ -221,13 +222,13 @@
 
 void scheduler_core::forget_advice(const job_record& of)
 {
-    const auto steps = static_cast<std::int64_t>(of.what().steps.size());
-    for (std::int64_t round = 0; round < of.what().rounds(); ++round)
+    const auto steps = static_cast<std::int64_t>(of.definition().steps.size());
+    for (std::int64_t round = 0; round < of.definition().rounds(); ++round)
     {
         for (std::int64_t step = 0; step < steps; ++step)
         {
             advice_.forget(
-                step_group(of.what().id, {.round = round, .step = step}));
+                step_group(of.definition().id, {.round = round, .step = step}));
         }
     }
 }
@@ -250,7 +251,7 @@
         {
             continue;
         }
-        const task_name name{of.what().id, of.position_of(task)};
+        const task_name name{of.definition().id, of.position_of(task)};
         order_stop(*task.run, name.text(), outbox_[task.run->guard]);
     }
 }
--- a/packages/scheduler/src/scheduler_learning.cpp
+++ b/packages/scheduler/src/scheduler_learning.cpp
@@ -33,7 +33,7 @@
         {
             beside[step.image] += static_cast<double>(row.load) /
                                   static_cast<double>(std::max<std::int64_t>(
-                                      at.what.capacity.cpu_millis, 1));
+                                      at.description.capacity.cpu_millis, 1));
         }
         else if (step.latency_target_ms > 0 && row.load > 0)
         {
--- a/packages/scheduler/src/scheduler_leases.cpp
+++ b/packages/scheduler/src/scheduler_leases.cpp
@@ -51,7 +51,7 @@
     const bool awaited_before = at.lease_must_expire;
     // What was noted once is on its way to be acknowledged.
     const std::int64_t noted =
-        at.what.executor == from.worker.executor ? at.noted : 0;
+        at.description.executor == from.worker.executor ? at.noted : 0;
     const auto end = std::ranges::find_if(
         from.ended, [&](const ended_task& one)
         { return one.number > noted && is_end_given_up(at, one); });
--- a/packages/scheduler/src/scheduler_losses.cpp
+++ b/packages/scheduler/src/scheduler_losses.cpp
@@ -13,13 +13,14 @@
                                          const worker_report& from,
                                          time_point now)
 {
-    if (at.what.executor.empty() || at.what.executor == from.worker.executor)
+    if (at.description.executor.empty() ||
+        at.description.executor == from.worker.executor)
     {
         return;
     }
-    if (at.what.executor.may_be(from.worker.executor))
+    if (at.description.executor.may_be(from.worker.executor))
     {
-        for (const task_name& name : at.held)
+        for (const task_name& name : at.assigned_tasks)
         {
             rebind_run(name, from.worker.executor, now);
         }
@@ -27,11 +28,11 @@
     }
     const bool is_witnessed =
         at.witness == from.incarnation ||
-        std::ranges::find(from.former, at.what.executor,
+        std::ranges::find(from.former, at.description.executor,
                           &past_incarnation::executor) != from.former.end();
     auto suspects =
         is_witnessed ? std::map<task_name, std::int64_t>{} : unproven_runs(at);
-    const runs_after_restart runs = after_restart(at.held, from);
+    const runs_after_restart runs = after_restart(at.assigned_tasks, from);
     for (const task_name& name : runs.taken)
     {
         suspects.erase(name);
@@ -40,7 +41,7 @@
     outbox_.erase(at.guard); // meant for the life before
     follow_restart(at, runs, from.worker.executor, now);
     suspect_unwitnessed(at, suspects, now);
-    at.went = at.lost;
+    at.previously_lost_at = at.lost_at;
     at.noted = 0;
     at.acknowledged = 0;
     at.uncommitted_ends.clear();
@@ -129,7 +130,7 @@
 scheduler_core::unproven_runs(const worker_record& at)
 {
     std::map<task_name, std::int64_t> runs;
-    for (const task_name& name : at.held)
+    for (const task_name& name : at.assigned_tasks)
     {
         const task_run& run = *job_of(name.job)->find(name.at)->run;
         if (is_likely_cause({.at_work = shown_at_work(run)},
@@ -173,7 +174,7 @@
     {
         return now - std::chrono::milliseconds(from.sent_ms - over.lost_ms);
     }
-    return at.went == time_point{} ? now : at.went;
+    return at.previously_lost_at == time_point{} ? now : at.previously_lost_at;
 }
 
 // Whether half of the executors of its rack went at the same moment. Others
@@ -182,28 +183,29 @@
 bool scheduler_core::went_with_its_rack(const worker_record& at,
                                         time_point now) const
 {
-    if (at.what.rack.empty())
+    if (at.description.rack.empty())
     {
         return false; // nobody said what it shares with others
     }
     const auto is_together = [&](time_point other)
     {
-        return other != time_point{} && std::chrono::abs(other - at.went) <=
-                                            options_.suspicion.same_fault;
+        return other != time_point{} &&
+               std::chrono::abs(other - at.previously_lost_at) <=
+                   options_.suspicion.same_fault;
     };
     std::size_t all = 0;
     std::size_t gone = 0;
     for (const auto& [guard, other] : workers_)
     {
-        if (other.what.rack != at.what.rack)
+        if (other.description.rack != at.description.rack)
         {
             continue;
         }
         ++all;
         const bool away = !other.answering ||
                           now - other.reported >= options_.placement.report_age;
-        const bool went =
-            is_together(other.went) || (away && is_together(other.lost));
+        const bool went = is_together(other.previously_lost_at) ||
+                          (away && is_together(other.lost_at));
         gone += &other == &at || went ? 1 : 0;
     }
     return gone > 1 && 2 * gone >= all;
@@ -217,7 +219,7 @@
                                  time_point now)
 {
     std::set<task_name> seen;
-    for (const task_name& name : at.held)
+    for (const task_name& name : at.assigned_tasks)
     {
         const task_run& run = *job_of(name.job)->find(name.at)->run;
         if (run.seen || lists_running(from, name.text(), run.number))
@@ -237,7 +239,7 @@
 {
     note(event_id::worker_lost,
          {{"guard", at.guard},
-          {"life", at.what.executor.text()},
+          {"life", at.description.executor.text()},
           {"runs", std::to_string(runs.size())},
           {"report_age_ms", std::to_string(to_milliseconds(now - at.reported))},
           {"why", over.why()}});
@@ -261,12 +263,12 @@
     {
         task_run& run = *job_of(name.job)->find(name.at)->run;
         run.ordered = true;
-        if (!run.executor.may_be(at.what.executor))
+        if (!run.executor.may_be(at.description.executor))
         {
             former.insert(name);
             continue;
         }
-        run.executor = at.what.executor;
+        run.executor = at.description.executor;
         adopt_run(at, name, now);
     }
     const runs_after_restart runs = after_restart(former, from);
@@ -278,7 +280,7 @@
             adopt_run(at, name, now);
         }
     }
-    follow_restart(at, runs, at.what.executor, now);
+    follow_restart(at, runs, at.description.executor, now);
     lose_runs(runs.over, end_proof::past_incarnation_ended(), now);
     suspect_unwitnessed(at, suspects, now);
 }
@@ -374,7 +376,7 @@
         told.insert(one.executor);
         if (at.judged_incarnations.insert(one.executor).second)
         {
-            at.went = end_of(one, at, from, now);
+            at.previously_lost_at = end_of(one, at, from, now);
             judge_crash(at, one, now);
         }
     }
@@ -405,7 +407,7 @@
         const bool is_suspect = is_unproven_suspect(facts, options_.suspicion);
         facts.beside_suspect = company.suspects > (is_suspect ? 1 : 0);
         const task_position where = of->position_of(*task);
-        counts[task_name{of->what().id, where}] = {
+        counts[task_name{of->definition().id, where}] = {
             .run = begun.run,
             .added = added_suspicion(facts, options_.suspicion),
             .is_sole =
--- a/packages/scheduler/src/scheduler_moves.cpp
+++ b/packages/scheduler/src/scheduler_moves.cpp
@@ -17,7 +17,7 @@
         {
             continue;
         }
-        for (const task_name& name : at.held)
+        for (const task_name& name : at.assigned_tasks)
         {
             if (moves >= options_.max_relocations_per_report)
             {
@@ -42,7 +42,7 @@
     job_record& of = *job_of(name.job);
     const job_step& step = of.step_at(name.at);
     const task_run& run = *of.find(name.at)->run;
-    const queue_row* const queue = table_.queue(of.what().queue);
+    const queue_row* const queue = table_.queue(of.definition().queue);
     return step.fills && step.checkpoints && step.image == image && run.seen &&
            !run.stopping && queue != nullptr && !queue->advice;
 }
@@ -57,7 +57,7 @@
     const worker_record* const other =
         choose_worker(workers_,
                       {.step = of.step_at(name.at),
-                       .service = table_.queue(of.what().queue)->service,
+                       .service = table_.queue(of.definition().queue)->service,
                        .group = group,
                        .avoided = here,
                        .harm = interference_model_,
@@ -106,7 +106,7 @@
         {
             return;
         }
-        if (asked.fits(at.what.capacity))
+        if (asked.fits(at.description.capacity))
         {
             blocked.push_back(&at);
         }
@@ -115,9 +115,9 @@
     for (worker_record* const at : blocked)
     {
         const auto leaves =
-            std::ranges::find_if(at->held, [&](const task_name& name)
+            std::ranges::find_if(at->assigned_tasks, [&](const task_name& name)
                                  { return is_preemptible(name); });
-        if (leaves != at->held.end() &&
+        if (leaves != at->assigned_tasks.end() &&
             is_welcome_elsewhere(*leaves, *at, query.now))
         {
             move(*leaves, *at, full_percent, outbox_[at->guard], query.now);
@@ -131,7 +131,7 @@
 resources scheduler_core::room_after_stops(const worker_record& at)
 {
     resources room = at.eventual_capacity();
-    for (const task_name& name : at.held)
+    for (const task_name& name : at.assigned_tasks)
     {
         job_record& of = *job_of(name.job);
         const job_step& step = of.step_at(name.at);
@@ -150,7 +150,7 @@
     job_record& of = *job_of(name.job);
     const job_step& step = of.step_at(name.at);
     const task_run& run = *of.find(name.at)->run;
-    const queue_row* const queue = table_.queue(of.what().queue);
+    const queue_row* const queue = table_.queue(of.definition().queue);
     if (!step.lasting || step.gang || !run.seen || run.stopping ||
         queue == nullptr || queue->advice)
     {
@@ -167,13 +167,13 @@
 void scheduler_core::drain_leaving_worker(worker_record& at, guard_orders& out,
                                           time_point /*now*/)
 {
-    if (!at.what.draining || at.what.leaves_ms == 0)
+    if (!at.description.draining || at.description.leaves_ms == 0)
     {
         return;
     }
-    const bool late =
-        std::chrono::milliseconds(at.what.leaves_ms) < options_.leave_margin;
-    for (const task_name& name : at.held)
+    const bool late = std::chrono::milliseconds(at.description.leaves_ms) <
+                      options_.leave_margin;
+    for (const task_name& name : at.assigned_tasks)
     {
         job_record& of = *job_of(name.job);
         task_run& run = *of.find(name.at)->run;
--- a/packages/scheduler/src/scheduler_placing.cpp
+++ b/packages/scheduler/src/scheduler_placing.cpp
@@ -61,12 +61,12 @@
     for (auto& [guard, at] : workers_)
     {
         at.claimed = {};
-        if (at.kept_for && !is_isolation_valid(at, last_pass_))
+        if (at.reserved_for && !is_isolation_valid(at, last_pass_))
         {
-            at.kept_for.reset();
+            at.reserved_for.reset();
         }
         isolated_workers_ +=
-            (at.isolated_suspect || at.kept_for) && at.answering ? 1 : 0;
+            (at.isolated_suspect || at.reserved_for) && at.answering ? 1 : 0;
     }
 }
 
@@ -76,16 +76,16 @@
     for (const std::string& id : placeable_jobs_)
     {
         job_record& of = *job_of(id);
-        order.emplace_back(
-            rank_of(of, table_.queue(of.what().queue), now, options_.order),
-            &of);
+        order.emplace_back(rank_of(of, table_.queue(of.definition().queue), now,
+                                   options_.order),
+                           &of);
     }
     std::sort(order.begin(), order.end());
     for (const auto& [rank, of] : order)
     {
         if (!place_job(*of, now, unix_ms))
         {
-            placeable_jobs_.erase(of->what().id);
+            placeable_jobs_.erase(of->definition().id);
         }
     }
 }
@@ -98,18 +98,18 @@
     {
         return false;
     }
-    const queue_row* const queue = table_.queue(of.what().queue);
+    const queue_row* const queue = table_.queue(of.definition().queue);
     if (queue == nullptr)
     {
         return true;
     }
-    const std::int64_t due = rounds_due(of.what(), unix_ms);
-    bool more = due < of.what().rounds();
+    const std::int64_t due = rounds_due(of.definition(), unix_ms);
+    bool more = due < of.definition().rounds();
     if (more)
     {
-        next_due_ms_ = std::min(next_due_ms_, due_ms_of(of.what(), due));
+        next_due_ms_ = std::min(next_due_ms_, due_ms_of(of.definition(), due));
     }
-    const auto steps = static_cast<std::int64_t>(of.what().steps.size());
+    const auto steps = static_cast<std::int64_t>(of.definition().steps.size());
     for (std::int64_t round = 0; round < due; ++round)
     {
         for (std::int64_t step = 0; step < steps; ++step)
@@ -119,7 +119,7 @@
                 continue;
             }
             const bool gang =
-                of.what().steps[static_cast<std::size_t>(step)].gang;
+                of.definition().steps[static_cast<std::size_t>(step)].gang;
             const bool left = gang ? place_gang(of, *queue, round, step, now)
                                    : place_step(of, *queue, round, step, now);
             more = more || left;
@@ -143,15 +143,17 @@
             candidates.push_back(&at);
         }
     }
-    std::stable_sort(
-        candidates.begin(), candidates.end(),
-        [](const worker_record* left, const worker_record* right)
-        { return left->room().cpu_millis > right->room().cpu_millis; });
+    std::stable_sort(candidates.begin(), candidates.end(),
+                     [](const worker_record* left, const worker_record* right)
+                     {
+                         return left->free_capacity().cpu_millis >
+                                right->free_capacity().cpu_millis;
+                     });
     std::vector<executor_incarnation> executors;
     executors.reserve(candidates.size());
     for (const worker_record* at : candidates)
     {
-        executors.push_back(at->what.executor);
+        executors.push_back(at->description.executor);
     }
     advice_.want(group, executors, now);
     return advice_.tickets(group, now);
@@ -170,8 +172,9 @@
 {
     bool left = false;
     const std::string group =
-        step_group(of.what().id, {.round = round, .step = step});
-    const job_step& what = of.what().steps[static_cast<std::size_t>(step)];
+        step_group(of.definition().id, {.round = round, .step = step});
+    const job_step& what =
+        of.definition().steps[static_cast<std::size_t>(step)];
     const auto tasks = of.tasks_of(round, step);
     const bool waits = std::ranges::any_of(tasks, &job_task::is_waiting);
     ticket_map tickets;
@@ -224,7 +227,7 @@
                 query, std::ranges::count_if(tasks, &job_task::is_waiting));
             return true; // its siblings ask for the same
         }
-        if (!can_be_written(of.what().id, what, {at}))
+        if (!can_be_written(of.definition().id, what, {at}))
         {
             return true;
         }
@@ -248,12 +251,12 @@
 bool scheduler_core::place_isolated(placement_query query, job_record& of,
                                     job_task& task, const ticket_map& tickets)
 {
-    const task_name name{of.what().id, of.position_of(task)};
+    const task_name name{of.definition().id, of.position_of(task)};
     query.suspect = &name;
     worker_record* const at = isolation_worker(query, task.ready_since);
     const bool is_ready = at != nullptr && at->unproven.empty() &&
                           can_take(*at, query, options_.placement) &&
-                          can_be_written(of.what().id, query.step, {at});
+                          can_be_written(of.definition().id, query.step, {at});
     if (!is_ready)
     {
         log_wait(query, of, task,
@@ -261,7 +264,7 @@
                                : std::optional(wait_cause::trials));
         return false;
     }
-    at->kept_for.reset();
+    at->reserved_for.reset();
     put(of, task, *at, task.runs + 1, tickets, query.now);
     return true;
 }
@@ -273,7 +276,7 @@
 {
     for (auto& [guard, at] : workers_)
     {
-        if (at.kept_for == *query.suspect)
+        if (at.reserved_for == *query.suspect)
         {
             return &at;
         }
@@ -292,8 +295,8 @@
                        : at;
     if (at != nullptr)
     {
-        at->kept_for = *query.suspect;
-        at->reserved_until = query.now + options.kept_for;
+        at->reserved_for = *query.suspect;
+        at->reserved_until = query.now + options.max_isolation_wait;
         ++isolated_workers_;
     }
     return at;
@@ -302,9 +305,10 @@
 // Whether a worker is still kept for a suspect that waits.
 bool scheduler_core::is_isolation_valid(const worker_record& at, time_point now)
 {
-    job_record* const of = job_of(at.kept_for->job);
+    job_record* const of = job_of(at.reserved_for->job);
     return now < at.reserved_until && at.answering && of != nullptr &&
-           !is_final(of->state()) && of->find(at.kept_for->at)->is_waiting();
+           !is_final(of->state()) &&
+           of->find(at.reserved_for->at)->is_waiting();
 }
 
 // Keeps workers free for tasks that no worker can take now. Those behind them
@@ -342,15 +346,15 @@
     use_room(of, of.step_at(where), at);
     ++of.change;
     task.runs = number;
-    const auto ticket = tickets.find(at.what.executor);
+    const auto ticket = tickets.find(at.description.executor);
     task.run = task_run{.number = number,
                         .guard = at.guard,
-                        .executor = at.what.executor,
+                        .executor = at.description.executor,
                         .ticket = ticket == tickets.end() ? std::string()
                                                           : ticket->second,
                         .placed_in = of.change,
                         .last_progress_at = now};
-    const task_name name{of.what().id, where};
+    const task_name name{of.definition().id, where};
     reserve(at, of.step_at(where), name);
     watch_suspect(at, task, name);
     of.enter(job_state::running);
@@ -362,7 +366,7 @@
          {{"task", name.text()},
           {"run", std::to_string(number)},
           {"guard", at.guard},
-          {"life", at.what.executor.text()},
+          {"life", at.description.executor.text()},
           {"report_age_ms", std::to_string(to_milliseconds(now - at.reported))},
           {"waited_ms",
            std::to_string(to_milliseconds(now - task.ready_since))}});
@@ -394,8 +398,9 @@
     ticket_map tickets;
     if (queue.advice)
     {
-        tickets = tickets_for(of.step_at(first),
-                              step_group(of.what().id, first), queue, now);
+        tickets =
+            tickets_for(of.step_at(first),
+                        step_group(of.definition().id, first), queue, now);
     }
     const auto chosen =
         gang_workers(of, queue, first, queue.advice ? &tickets : nullptr, now);
@@ -404,7 +409,7 @@
         log_gang_wait(of, queue, first, queue.advice ? &tickets : nullptr, now);
         return true;
     }
-    if (!can_be_written(of.what().id, of.step_at(first), chosen))
+    if (!can_be_written(of.definition().id, of.step_at(first), chosen))
     {
         return true;
     }
@@ -425,7 +430,7 @@
                                    const ticket_map* tickets, time_point now)
 {
     const job_task& member = *of.find(first);
-    const std::string group = step_group(of.what().id, first);
+    const std::string group = step_group(of.definition().id, first);
     const placement_query query{.step = of.step_at(first),
                                 .service = queue.service,
                                 .group = group,
@@ -448,13 +453,13 @@
 {
     const job_step& step = of.step_at(first);
     const auto tasks = of.tasks_of(first.round, first.step);
-    const std::string group = step_group(of.what().id, first);
+    const std::string group = step_group(of.definition().id, first);
     const auto fill = [&](const std::string& rack)
     {
         worker_map trial;
         for (const auto& [name, at] : workers_)
         {
-            if (rack.empty() || at.what.rack == rack)
+            if (rack.empty() || at.description.rack == rack)
             {
                 trial.emplace(name, at);
             }
@@ -478,7 +483,7 @@
             }
             task_position where = first;
             where.index = static_cast<std::int64_t>(index);
-            reserve(*at, step, {of.what().id, where});
+            reserve(*at, step, {of.definition().id, where});
             chosen.push_back(&workers_.at(at->guard));
         }
         return chosen;
@@ -488,7 +493,7 @@
         std::set<std::string> racks;
         for (const auto& [name, at] : workers_)
         {
-            racks.insert(at.what.rack);
+            racks.insert(at.description.rack);
         }
         for (const std::string& rack : racks)
         {
--- a/packages/scheduler/src/scheduler_reports.cpp
+++ b/packages/scheduler/src/scheduler_reports.cpp
@@ -18,7 +18,7 @@
     answer.holds = true;
     worker_record& at = worker_of(from, now);
     answer.orders.epoch = epoch_;
-    answer.orders.executor = at.what.executor;
+    answer.orders.executor = at.description.executor;
     answer.orders.acknowledged = at.acknowledged;
     if (!is_admitted(at, from, answer))
     {
@@ -35,9 +35,10 @@
     at.reported = now;
     // A life that its guard has not heard itself may be a former one, and only
     // a whole report shows what a new one has taken.
-    const bool knows_incarnation = !from.worker.executor.empty() &&
-                                   ((from.looked && from.whole) ||
-                                    from.worker.executor == at.what.executor);
+    const bool knows_incarnation =
+        !from.worker.executor.empty() &&
+        ((from.looked && from.whole) ||
+         from.worker.executor == at.description.executor);
     const bool has_lapsed = knows_incarnation && from.lapsed;
     check_lease_must_expire(at, from, knows_incarnation);
     const duration lease_grant = has_lapsed || at.lease_must_expire
@@ -48,20 +49,20 @@
     if (knows_incarnation)
     {
         on_executor_restart(at, from, now);
-        at.what = from.worker;
+        at.description = from.worker;
         at.witness = from.incarnation;
-        at.closed = data_centres_.is_closed(at.what.data_centre);
+        at.closed = data_centres_.is_closed(at.description.data_centre);
         adopt_inherited(at, from, now);
         judge_crashes(at, from, now);
     }
-    at.lost = now - std::chrono::milliseconds(from.failing_ms);
+    at.lost_at = now - std::chrono::milliseconds(from.failing_ms);
     at.answering = from.answering;
     at.paces = from.paces;
     if (has_lapsed)
     {
         lose_lapsed(at, from, now);
     }
-    else if (from.looked && from.worker.executor == at.what.executor)
+    else if (from.looked && from.worker.executor == at.description.executor)
     {
         if (!at.lease_must_expire)
         {
@@ -79,7 +80,7 @@
         }
         drain_leaving_worker(at, answer.orders, now);
     }
-    answer.orders.executor = at.what.executor;
+    answer.orders.executor = at.description.executor;
     answer.orders.incarnation = at.incarnation;
     answer.orders.acknowledged = acknowledge(at);
     answer.orders.starts_until_ms = starts_until_ms(at);
@@ -154,7 +155,7 @@
         if (of != nullptr)
         {
             at.uncommitted_ends.push_back({.number = end.number,
-                                           .job = of->what().id,
+                                           .job = of->definition().id,
                                            .change = of->change});
         }
         else
@@ -208,8 +209,9 @@
                                      {"reason", refusal.reason}});
         if (refusal.reason == no_ticket_reason)
         {
-            advice_.refused(step_group(of->what().id, of->position_of(*task)),
-                            at.what.executor);
+            advice_.refused(
+                step_group(of->definition().id, of->position_of(*task)),
+                at.description.executor);
         }
         task->not_before = now + options_.refused_backoff;
         close_run(*of, *task, end_proof::refused_by_worker(), now);
@@ -239,7 +241,7 @@
         task->run->last_seen =
             std::max(task->run->last_seen,
                      now - std::chrono::milliseconds(from.lists_age_ms));
-        note_soundness(at, *task, {of->what().id, where});
+        note_soundness(at, *task, {of->definition().id, where});
         const bool undescribed =
             std::find(from.unknown.begin(), from.unknown.end(), row.task) !=
             from.unknown.end();
@@ -348,7 +350,7 @@
     {
         there.insert(row.task);
     }
-    for (const task_name& name : at.held)
+    for (const task_name& name : at.assigned_tasks)
     {
         job_record& of = *job_of(name.job);
         job_task& task = *of.find(name.at);
@@ -418,9 +420,9 @@
 {
     const task_position where = of.position_of(task);
     const job_step& step = of.step_at(where);
-    return {.task = task_name{of.what().id, where}.text(),
+    return {.task = task_name{of.definition().id, where}.text(),
             .run = task.run->number,
-            .payload = of.what().payload,
+            .payload = of.definition().payload,
             .checkpoint = task.checkpoint,
             .ticket = task.run->ticket,
             .fills = step.fills,
--- a/packages/scheduler/src/scheduler_writing.cpp
+++ b/packages/scheduler/src/scheduler_writing.cpp
@@ -18,7 +18,7 @@
 void scheduler_core::note_freed(const std::string& guard, const job_record& of,
                                 const job_step& step)
 {
-    uncommitted_end& end = freed_[guard][of.what().id];
+    uncommitted_end& end = freed_[guard][of.definition().id];
     end.change = of.change;
     end.room += reserved_by(step);
 }
@@ -46,7 +46,7 @@
 {
     static const std::map<std::string, uncommitted_end> none;
     const auto& ends = find_uncommitted_ends(at.guard);
-    resources room = at.room();
+    resources room = at.free_capacity();
     for (const auto& [job, end] : ends)
     {
         room -= end.room;
@@ -59,7 +59,7 @@
 {
     for (const auto& [job, end] : ends_needed(at, step))
     {
-        if (job != of.what().id)
+        if (job != of.definition().id)
         {
             std::int64_t& needed = of.needs[job];
             needed = std::max(needed, end.change);
@@ -209,7 +209,7 @@
             const auto at =
                 due ? workers_.find(task.run->guard) : workers_.end();
             if (at == workers_.end() || task.run->stopping ||
-                at->second.what.executor != task.run->executor)
+                at->second.description.executor != task.run->executor)
             {
                 continue;
             }
@@ -221,7 +221,7 @@
             if (at->second.closed)
             {
                 // It must not begin where its data centre has closed meanwhile.
-                const task_name name{of.what().id, of.position_of(task)};
+                const task_name name{of.definition().id, of.position_of(task)};
                 order_stop(*task.run, name.text(), out);
                 continue;
             }
--- a/packages/scheduler/src/wait_report.cpp
+++ b/packages/scheduler/src/wait_report.cpp
@@ -16,7 +16,7 @@
     {
         return wait_cause::label;
     }
-    if (!asked.fits(at.what.capacity))
+    if (!asked.fits(at.description.capacity))
     {
         return wait_cause::size;
     }
@@ -24,7 +24,7 @@
     {
         return wait_cause::lasting;
     }
-    if (!asked.fits(at.room()))
+    if (!asked.fits(at.free_capacity()))
     {
         return wait_cause::room;
     }
@@ -32,8 +32,8 @@
     {
         return wait_cause::bound;
     }
-    const bool has_ticket =
-        query.tickets == nullptr || query.tickets->contains(at.what.executor);
+    const bool has_ticket = query.tickets == nullptr ||
+                            query.tickets->contains(at.description.executor);
     return has_ticket ? wait_cause::harm : wait_cause::ticket;
 }
 
@@ -78,14 +78,16 @@
     {
         if (!takes_runs(at, query.service, query.now, options))
         {
-            const bool closed = at.closed && at.what.service == query.service;
+            const bool closed =
+                at.closed && at.description.service == query.service;
             found.cause = std::max(found.cause, closed ? wait_cause::closed
                                                        : wait_cause::no_worker);
             continue;
         }
         ++found.workers;
         found.cause = std::max(found.cause, last_test(at, query));
-        found.free_millis = std::max(found.free_millis, at.room().cpu_millis);
+        found.free_millis =
+            std::max(found.free_millis, at.free_capacity().cpu_millis);
         found.free_in_time_millis = std::max(found.free_in_time_millis,
                                              at.eventual_capacity().cpu_millis);
     }
--- a/packages/scheduler/src/worker_ledger.cpp
+++ b/packages/scheduler/src/worker_ledger.cpp
@@ -5,16 +5,16 @@
 namespace springstair
 {
 
-resources worker_record::room() const noexcept
+resources worker_record::free_capacity() const noexcept
 {
-    resources left = what.capacity;
+    resources left = description.capacity;
     left -= used;
     return left;
 }
 
 resources worker_record::unreserved_capacity() const noexcept
 {
-    const resources left = room();
+    const resources left = free_capacity();
     return {.cpu_millis =
                 std::max<std::int64_t>(0, left.cpu_millis - claimed.cpu_millis),
             .memory_mb =
@@ -25,8 +25,8 @@
 
 resources worker_record::eventual_capacity() const noexcept
 {
-    resources left = what.capacity;
-    left -= settled;
+    resources left = description.capacity;
+    left -= lasting_used;
     return left;
 }
 
@@ -76,13 +76,13 @@
 
 void reserve(worker_record& at, const job_step& step, const task_name& task)
 {
-    if (at.held.insert(task).second)
+    if (at.assigned_tasks.insert(task).second)
     {
         at.used += reserved_by(step);
         at.unproven.insert(task);
         if (step.lasting)
         {
-            at.settled += reserved_by(step);
+            at.lasting_used += reserved_by(step);
         }
         enter(at, step, task, 1);
     }
@@ -90,13 +90,13 @@
 
 void release(worker_record& at, const job_step& step, const task_name& task)
 {
-    if (at.held.erase(task) > 0)
+    if (at.assigned_tasks.erase(task) > 0)
     {
         at.used -= reserved_by(step);
         end_isolation(at, task);
         if (step.lasting)
         {
-            at.settled -= reserved_by(step);
+            at.lasting_used -= reserved_by(step);
         }
         enter(at, step, task, -1);
     }
--- a/tests/unit/interference_model_tests.cpp
+++ b/tests/unit/interference_model_tests.cpp
@@ -171,12 +171,12 @@
     worker_map workers;
     for (const char* name : {"g1", "g2"})
     {
-        workers[name] = {
-            .guard = name,
-            .what = {.executor = "l",
-                     .service = "v",
-                     .capacity = {.cpu_millis = 10'000, .memory_mb = 10'000}},
-            .reported = now};
+        workers[name] = {.guard = name,
+                         .description = {.executor = "l",
+                                         .service = "v",
+                                         .capacity = {.cpu_millis = 10'000,
+                                                      .memory_mb = 10'000}},
+                         .reported = now};
     }
     job_step serving{.count = 1,
                      .demand = {.cpu_millis = 1000, .memory_mb = 10},
--- a/tests/unit/late_message_tests.cpp
+++ b/tests/unit/late_message_tests.cpp
@@ -52,8 +52,8 @@
     CHECK(answer.permit_ms == 0);
     CHECK(answer.orders.empty());
     const worker_record& after = at.core.workers().at("g1");
-    CHECK(after.what == before.what);
-    CHECK(after.held == before.held);
+    CHECK(after.description == before.description);
+    CHECK(after.assigned_tasks == before.assigned_tasks);
     CHECK(after.used == before.used);
     CHECK(after.lease_ends == before.lease_ends);
     CHECK(after.reported == before.reported);
@@ -76,7 +76,7 @@
     at.say("g1");
     late.sequence += 5;
     at.core.report(late, at.now, at.verified);
-    CHECK(at.core.workers().at("g1").what.executor == "g1-1i");
+    CHECK(at.core.workers().at("g1").description.executor == "g1-1i");
     // It still hears its guard.
     at.submit({step_of(1)});
     at.turn();
--- a/tests/unit/scheduler_tests.cpp
+++ b/tests/unit/scheduler_tests.cpp
@@ -129,7 +129,7 @@
     at.submit({step_of(9)});
     at.turn();
     CHECK(at.started.size() == 4);
-    CHECK(at.core.workers().at("g1").room().cpu_millis == 0);
+    CHECK(at.core.workers().at("g1").free_capacity().cpu_millis == 0);
 
     holder other;
     other.say("g1");
@@ -139,8 +139,8 @@
     other.submit({fill});
     other.turn();
     CHECK(other.started.size() == 3);
-    CHECK(other.core.workers().at("g1").room().cpu_millis == 4000);
-    CHECK(other.core.workers().at("g1").room().memory_mb == 3700);
+    CHECK(other.core.workers().at("g1").free_capacity().cpu_millis == 4000);
+    CHECK(other.core.workers().at("g1").free_capacity().memory_mb == 3700);
 }
 
 TEST_CASE("searches that found nothing cover those that ask for as much")
@@ -522,7 +522,7 @@
     second.started[task] = {.task = task, .run = 1};
     second.where[task] = "g1";
     second.say("g1");
-    CHECK(second.core.workers().at("g1").room().cpu_millis == 3000);
+    CHECK(second.core.workers().at("g1").free_capacity().cpu_millis == 3000);
     second.end(task, run_end::done);
     second.say("g1");
     second.turn();
@@ -724,8 +724,8 @@
     old.sequence = 1;
     old.worker.executor = "g1-0";
     at.core.report(old, at.now, at.now);
-    CHECK(at.core.workers().at("g1").what.executor == "g1-1");
-    CHECK(at.core.workers().at("g1").held.size() == 1);
+    CHECK(at.core.workers().at("g1").description.executor == "g1-1");
+    CHECK(at.core.workers().at("g1").assigned_tasks.size() == 1);
 }
 
 TEST_CASE("jobs of which nothing has begun are counted by queue")
