--- a/packages/daemon/src/leader_handover.cpp
+++ b/packages/daemon/src/leader_handover.cpp
@@ -55,7 +55,7 @@
     }
 }
 
-void leader_handover::ask(const hand_over& what, time_point now)
+void leader_handover::ask(const handover_target& what, time_point now)
 {
     asked_ = what.to;
     asked_at_ = now;
--- a/packages/daemon/src/leader_handover.hpp
+++ b/packages/daemon/src/leader_handover.hpp
@@ -28,7 +28,7 @@
 
 private:
     [[nodiscard]] leader_state state(time_point now, bool stopping) const;
-    void ask(const hand_over& what, time_point now);
+    void ask(const handover_target& what, time_point now);
 
     process_context& process_;
     const platform::store_client& store_;
--- a/packages/scheduler/include/springstair/detail/scheduler/entry_list.hpp
+++ b/packages/scheduler/include/springstair/detail/scheduler/entry_list.hpp
@@ -62,12 +62,12 @@
 };
 
 /// @brief Who is to take an office.
-struct hand_over
+struct handover_target
 {
     std::string to;
     handover_reason why = handover_reason::stopping;
 
-    bool operator==(const hand_over&) const = default;
+    bool operator==(const handover_target&) const = default;
 };
 
 /// @brief When an entry claims an office that is free, by its place among the
@@ -121,8 +121,8 @@
     std::optional<std::int64_t> rank(const std::string& address,
                                      time_point now);
     /// @brief Who is to take the holder's office now; nothing if it keeps it.
-    std::optional<hand_over> next_handover(const leader_state& of,
-                                           time_point now);
+    std::optional<handover_target> next_handover(const leader_state& of,
+                                                 time_point now);
     /// @brief An entry could not take the office, or said nothing of it.
     void note_declined(const std::string& address, time_point now);
     /// @brief Entries that the store serves, for one that asks.
--- a/packages/scheduler/include/springstair/detail/scheduler/job_record.hpp
+++ b/packages/scheduler/include/springstair/detail/scheduler/job_record.hpp
@@ -56,9 +56,9 @@
     std::optional<task_run> run;
     std::string checkpoint;
     std::set<std::string> avoided; ///< guards where it failed or stood still
-    std::optional<departed_worker> left; ///< by its newest move
-    time_point not_before{};             ///< no start earlier; after a refusal
-    time_point ready_since{};            ///< since when its turn has come
+    std::optional<departed_worker> departed; ///< by its newest move
+    time_point not_before{};  ///< no start earlier; after a refusal
+    time_point ready_since{}; ///< since when its turn has come
 
     /// @brief Whether it is at no worker and not done.
     [[nodiscard]] bool is_waiting() const noexcept
@@ -121,14 +121,14 @@
 
     // Bookkeeping of what the store has.
 
-    std::int64_t change = 0;   ///< counts changes worth keeping
-    std::int64_t kept = 0;     ///< the newest change that the store has
-    std::int64_t revision = 0; ///< of the stored progress; 0: none
+    std::int64_t change = 0;           ///< counts changes worth keeping
+    std::int64_t committed_change = 0; ///< the newest change that the store has
+    std::int64_t revision = 0;         ///< of the stored progress; 0: none
     /// Whether a start or a caller waits for the newest change to be kept.
     bool urgent_commit = false;
     /// Changes of other jobs, by their id, that the store must have no later
     /// than this record: ends whose room its placements use.
-    std::map<std::string, std::int64_t> needs;
+    std::map<std::string, std::int64_t> required_changes;
     time_point uncommitted_since{}; ///< of the oldest change to be written
     job_state shown = job_state::pending;  ///< what callers may see
     job_state sent = job_state::pending;   ///< what the store may have
--- a/packages/scheduler/include/springstair/detail/scheduler/placement.hpp
+++ b/packages/scheduler/include/springstair/detail/scheduler/placement.hpp
@@ -58,13 +58,13 @@
     const interference_model& harm;
     time_point now;
     /// The guard of a worker that it has just left; null if there is none.
-    const std::string* left = nullptr;
+    const std::string* departed = nullptr;
     /// It has waited too long for a worker that bears it: the least harmful
     /// one that has room takes it, and the guard there slows it.
     bool ignore_interference = false;
     /// A suspect: it goes where fewest others are unproven, so that a crash
     /// tells most.
-    bool apart = false;
+    bool isolated = false;
     /// A suspect that runs apart: workers may be kept for it. Else null.
     const task_name* suspect = nullptr;
     /// By incarnation, if only workers with one may run it; else null.
--- a/packages/scheduler/include/springstair/detail/scheduler/scheduler_core.hpp
+++ b/packages/scheduler/include/springstair/detail/scheduler/scheduler_core.hpp
@@ -316,8 +316,9 @@
                        time_point now);
     ticket_map tickets_for(const job_step& step, const std::string& group,
                            const queue_row& queue, time_point now);
-    void put(job_record& of, job_task& task, worker_record& at,
-             std::int64_t number, const ticket_map& tickets, time_point now);
+    void record_placement(job_record& of, job_task& task, worker_record& at,
+                          std::int64_t number, const ticket_map& tickets,
+                          time_point now);
 
     [[nodiscard]] bool is_batching(const job_record& of, const job_step& step,
                                    time_point now) const;
@@ -370,13 +371,13 @@
                          task_run& run, const std::string& task);
     void repeat_missing(worker_record& at, const worker_report& from,
                         guard_orders& out, time_point now);
-    void move_slowed(worker_record& at, const worker_report& from,
-                     guard_orders& out, time_point now);
+    void relocate_slowed(worker_record& at, const worker_report& from,
+                         guard_orders& out, time_point now);
     bool may_move(const task_name& name, const std::string& image);
     bool is_welcome_elsewhere(const task_name& name, const worker_record& at,
                               time_point now);
-    void move(const task_name& name, const worker_record& at, std::int64_t pace,
-              guard_orders& out, time_point now);
+    void relocate(const task_name& name, const worker_record& at,
+                  std::int64_t pace, guard_orders& out, time_point now);
     void preempt_lasting(const placement_query& query, const job_record& of,
                          const job_task& task);
     resources room_after_stops(const worker_record& at);
@@ -493,8 +494,8 @@
     void stop_all(job_record& of);
     static void order_stop(task_run& run, const std::string& task,
                            guard_orders& out);
-    void want(job_record& of, time_point now);
-    void note(event_id id, std::vector<event_field> fields);
+    void mark_changed(job_record& of, time_point now);
+    void log_decision(event_id id, std::vector<event_field> fields);
 
     job_record* job_of(const std::string& id);
     // A task by its name, as guards write it; nulls if there is none.
--- a/packages/scheduler/include/springstair/detail/scheduler/ticket_cache.hpp
+++ b/packages/scheduler/include/springstair/detail/scheduler/ticket_cache.hpp
@@ -36,9 +36,9 @@
     ticket_map tickets(const std::string& step, time_point now) const;
     /// @brief A step needs a worker. Notes a question about those that were
     /// not asked about, unless one for the step waits already.
-    void want(const std::string& step,
-              const std::vector<executor_incarnation>& executors,
-              time_point now);
+    void request_tickets(const std::string& step,
+                         const std::vector<executor_incarnation>& executors,
+                         time_point now);
     /// @brief The question that has waited longest; nothing while one is out
     /// or none waits.
     std::optional<advice_query> next_question(time_point now);
--- a/packages/scheduler/src/entry_list.cpp
+++ b/packages/scheduler/src/entry_list.cpp
@@ -106,8 +106,8 @@
     return found == ranks_.end() ? std::nullopt : std::optional(found->second);
 }
 
-std::optional<hand_over> entry_list::next_handover(const leader_state& of,
-                                                   time_point now)
+std::optional<handover_target> entry_list::next_handover(const leader_state& of,
+                                                         time_point now)
 {
     sort(now);
     std::erase_if(declined_, [&](const auto& one)
@@ -121,17 +121,17 @@
     }
     if (of.stopping)
     {
-        return hand_over{best->address, handover_reason::stopping};
+        return handover_target{best->address, handover_reason::stopping};
     }
     if (of.store_silent >= options_.store_outage_tolerance)
     {
-        return hand_over{best->address, handover_reason::store_away};
+        return handover_target{best->address, handover_reason::store_away};
     }
     const bool is_small =
         best->processors >= options_.much_larger * of.processors;
     if (is_small && of.held_for >= options_.settling)
     {
-        return hand_over{best->address, handover_reason::small};
+        return handover_target{best->address, handover_reason::small};
     }
     return std::nullopt;
 }
--- a/packages/scheduler/src/placement.cpp
+++ b/packages/scheduler/src/placement.cpp
@@ -149,9 +149,10 @@
     // All that is unproven would be a suspect's company, and suspects that of
     // any other task.
     const std::size_t company =
-        query.apart ? at.unproven.size() : at.suspects.size();
+        query.isolated ? at.unproven.size() : at.suspects.size();
     value += options.unproven_penalty * static_cast<double>(company);
-    const bool just_left = query.left != nullptr && *query.left == at.guard;
+    const bool just_left =
+        query.departed != nullptr && *query.departed == at.guard;
     if (just_left || query.avoided.contains(at.guard))
     {
         value += avoided_penalty;
--- a/packages/scheduler/src/scheduler_closing.cpp
+++ b/packages/scheduler/src/scheduler_closing.cpp
@@ -39,8 +39,8 @@
     if (withheld_ && !was_withheld)
     {
         const duration age = now - data_centres_.known_at();
-        note(event_id::starts_withheld,
-             {{"known_age_ms", std::to_string(to_milliseconds(age))}});
+        log_decision(event_id::starts_withheld,
+                     {{"known_age_ms", std::to_string(to_milliseconds(age))}});
     }
     return !withheld_;
 }
@@ -77,11 +77,12 @@
 void scheduler_core::log_closure(const std::string& data_centre, time_point now)
 {
     const duration age = now - data_centres_.known_at();
-    note(event_id::closure_in_force,
-         {{"data_centre", data_centre},
-          {"closed", data_centres_.is_closed(data_centre) ? "yes" : "no"},
-          {"known_age_ms", std::to_string(to_milliseconds(age))},
-          {"runs", std::to_string(runs_in(data_centre))}});
+    log_decision(
+        event_id::closure_in_force,
+        {{"data_centre", data_centre},
+         {"closed", data_centres_.is_closed(data_centre) ? "yes" : "no"},
+         {"known_age_ms", std::to_string(to_milliseconds(age))},
+         {"runs", std::to_string(runs_in(data_centre))}});
 }
 
 } // namespace springstair
--- a/packages/scheduler/src/scheduler_core.cpp
+++ b/packages/scheduler/src/scheduler_core.cpp
@@ -94,9 +94,10 @@
     }
     job_record& of = *fresh;
     jobs_.emplace(of.definition().id, std::move(fresh));
-    note(event_id::job_known, {{"job", of.definition().id},
-                               {"queue", of.definition().queue},
-                               {"tasks", std::to_string(of.tasks().size())}});
+    log_decision(event_id::job_known,
+                 {{"job", of.definition().id},
+                  {"queue", of.definition().queue},
+                  {"tasks", std::to_string(of.tasks().size())}});
     may_place_ = true;
     placeable_jobs_.insert(of.definition().id);
     if (of.definition().steps.front().lasting)
@@ -114,7 +115,7 @@
     }
     finish(*of, job_state::cancelled, now, {});
     of->shown = job_state::cancelled; // the store has the cancellation
-    want(*of, now);
+    mark_changed(*of, now);
     stop_all(*of);
 }
 
@@ -146,12 +147,12 @@
     return found == jobs_.end() ? nullptr : found->second.get();
 }
 
-void scheduler_core::want(job_record& of, time_point now)
+void scheduler_core::mark_changed(job_record& of, time_point now)
 {
     const std::string& id = of.definition().id;
     may_place_ = true;
     placeable_jobs_.insert(id);
-    if (of.change > of.kept && is_dirty_.insert(id).second)
+    if (of.change > of.committed_change && is_dirty_.insert(id).second)
     {
         of.uncommitted_since = now;
         dirty_.push_back(id);
@@ -237,7 +238,7 @@
     return now;
 }
 
-void scheduler_core::note(event_id id, std::vector<event_field> fields)
+void scheduler_core::log_decision(event_id id, std::vector<event_field> fields)
 {
     decisions_.push_back({id, std::move(fields)});
 }
--- a/packages/scheduler/src/scheduler_diagnostics.cpp
+++ b/packages/scheduler/src/scheduler_diagnostics.cpp
@@ -32,18 +32,19 @@
     const auto tasks = of.tasks_of(at.round, at.step);
     const auto waiting = std::ranges::count_if(tasks, &job_task::is_waiting);
     const wait_report found = explain_wait(workers_, query, options_.placement);
-    note(event_id::tasks_wait,
-         {{"job", of.definition().id},
-          {"queue", of.definition().queue},
-          {"step", std::to_string(at.step)},
-          {"tasks", std::to_string(waiting)},
-          {"waited_ms", std::to_string(to_milliseconds(waited))},
-          {"why", std::string(to_string(known.value_or(found.cause)))},
-          {"cpu_millis", std::to_string(query.step.demand.cpu_millis)},
-          {"memory_mb", std::to_string(query.step.demand.memory_mb)},
-          {"workers", std::to_string(found.workers)},
-          {"free_millis", std::to_string(found.free_millis)},
-          {"free_in_time_millis", std::to_string(found.free_in_time_millis)}});
+    log_decision(
+        event_id::tasks_wait,
+        {{"job", of.definition().id},
+         {"queue", of.definition().queue},
+         {"step", std::to_string(at.step)},
+         {"tasks", std::to_string(waiting)},
+         {"waited_ms", std::to_string(to_milliseconds(waited))},
+         {"why", std::string(to_string(known.value_or(found.cause)))},
+         {"cpu_millis", std::to_string(query.step.demand.cpu_millis)},
+         {"memory_mb", std::to_string(query.step.demand.memory_mb)},
+         {"workers", std::to_string(found.workers)},
+         {"free_millis", std::to_string(found.free_millis)},
+         {"free_in_time_millis", std::to_string(found.free_in_time_millis)}});
 }
 
 void scheduler_core::watch_service(time_point now)
@@ -101,7 +102,7 @@
             continue;
         }
         const job_record& of = *job_of(id);
-        note(
+        log_decision(
             event_id::job_service,
             {{"job", id},
              {"queue", of.definition().queue},
--- a/packages/scheduler/src/scheduler_ends.cpp
+++ b/packages/scheduler/src/scheduler_ends.cpp
@@ -76,7 +76,7 @@
         begin_waits(of, where, now);
     }
     finish_if_done(of, now);
-    want(of, now);
+    mark_changed(of, now);
 }
 
 // Members end together: one done stands for all, any other end brings the
@@ -192,12 +192,13 @@
             (std::int64_t{1} << std::min<std::int64_t>(at.ejections, 4)));
     at.ejected_until = now + pause;
     ++at.ejections;
-    note(event_id::worker_ejected,
-         {{"guard", at.guard},
-          {"life", at.description.executor.text()},
-          {"for_ms", std::to_string(to_milliseconds(pause))},
-          {"fleet_fails_percent", std::to_string(static_cast<int>(
-                                      full_percent * failures_.share()))}});
+    log_decision(
+        event_id::worker_ejected,
+        {{"guard", at.guard},
+         {"life", at.description.executor.text()},
+         {"for_ms", std::to_string(to_milliseconds(pause))},
+         {"fleet_fails_percent",
+          std::to_string(static_cast<int>(full_percent * failures_.share()))}});
     at.fault_score = failures_.fault_score_at_return();
 }
 
@@ -217,7 +218,7 @@
                              {"queue", of.definition().queue},
                              {"state", std::string(to_string(state))},
                              {"age_ms", std::to_string(to_milliseconds(age))}});
-    note(event_id::job_ended, std::move(why));
+    log_decision(event_id::job_ended, std::move(why));
 }
 
 void scheduler_core::forget_advice(const job_record& of)
@@ -240,7 +241,7 @@
         return;
     }
     finish(of, job_state::succeeded, now, {});
-    want(of, now);
+    mark_changed(of, now);
 }
 
 void scheduler_core::stop_all(job_record& of)
--- a/packages/scheduler/src/scheduler_leases.cpp
+++ b/packages/scheduler/src/scheduler_leases.cpp
@@ -59,12 +59,12 @@
                            from.lease_ms > 0 && end != from.ended.end();
     if (at.lease_must_expire && !awaited_before)
     {
-        note(event_id::lease_awaited,
-             {{"guard", at.guard},
-              {"life", from.worker.executor.text()},
-              {"task", end->task},
-              {"run", std::to_string(end->run)},
-              {"lease_ms", std::to_string(from.lease_ms)}});
+        log_decision(event_id::lease_awaited,
+                     {{"guard", at.guard},
+                      {"life", from.worker.executor.text()},
+                      {"task", end->task},
+                      {"run", std::to_string(end->run)},
+                      {"lease_ms", std::to_string(from.lease_ms)}});
     }
 }
 
--- a/packages/scheduler/src/scheduler_losses.cpp
+++ b/packages/scheduler/src/scheduler_losses.cpp
@@ -115,7 +115,7 @@
     run.last_progress_at = now;
     ++of.change;
     of.urgent_commit = true;
-    want(of, now);
+    mark_changed(of, now);
 }
 
 // Whether the loss of a run says nothing new of its task.
@@ -237,12 +237,13 @@
                                  const std::set<task_name>& runs,
                                  const end_proof& over, time_point now)
 {
-    note(event_id::worker_lost,
-         {{"guard", at.guard},
-          {"life", at.description.executor.text()},
-          {"runs", std::to_string(runs.size())},
-          {"report_age_ms", std::to_string(to_milliseconds(now - at.reported))},
-          {"why", over.why()}});
+    log_decision(
+        event_id::worker_lost,
+        {{"guard", at.guard},
+         {"life", at.description.executor.text()},
+         {"runs", std::to_string(runs.size())},
+         {"report_age_ms", std::to_string(to_milliseconds(now - at.reported))},
+         {"why", over.why()}});
     lose_runs(std::set<task_name>(runs), over, now);
 }
 
@@ -350,14 +351,15 @@
         job_record& of = *job_of(name.job);
         job_task& task = *of.find(name.at);
         const task_run& run = *task.run;
-        note(event_id::run_lost,
-             {{"task", name.text()},
-              {"run", std::to_string(run.number)},
-              {"guard", run.guard},
-              {"life", run.executor.text()},
-              {"why", over.why()},
-              {"shown_ms", std::to_string(to_milliseconds(shown_at_work(run)))},
-              {"beside", std::to_string(lost.size() - 1)}});
+        log_decision(
+            event_id::run_lost,
+            {{"task", name.text()},
+             {"run", std::to_string(run.number)},
+             {"guard", run.guard},
+             {"life", run.executor.text()},
+             {"why", over.why()},
+             {"shown_ms", std::to_string(to_milliseconds(shown_at_work(run)))},
+             {"beside", std::to_string(lost.size() - 1)}});
         close_run(of, task, over, now);
     }
 }
@@ -453,17 +455,17 @@
     ++task.losses;
     task.judged_run = count.run;
     ++of.change;
-    note(event_id::task_suspected,
-         {{"task", name.text()},
-          {"run", std::to_string(count.run)},
-          {"guard", at.guard},
-          {"scope", scope == crash_scope::rack ? "rack" : "executor"},
-          {"sole", count.is_sole ? "yes" : "no"},
-          {"crashes", std::to_string(task.crashes)},
-          {"suspicion", std::to_string(task.suspicion)}});
+    log_decision(event_id::task_suspected,
+                 {{"task", name.text()},
+                  {"run", std::to_string(count.run)},
+                  {"guard", at.guard},
+                  {"scope", scope == crash_scope::rack ? "rack" : "executor"},
+                  {"sole", count.is_sole ? "yes" : "no"},
+                  {"crashes", std::to_string(task.crashes)},
+                  {"suspicion", std::to_string(task.suspicion)}});
     if (task.suspicion >= suspect_threshold)
     {
-        task.left =
+        task.departed =
             departed_worker{.guard = at.guard,
                             .until = now + options_.suspicion.return_backoff};
     }
@@ -483,7 +485,7 @@
               {"crashes", std::to_string(task.crashes)},
               {"suspicion", std::to_string(task.suspicion)}});
     }
-    want(of, now);
+    mark_changed(of, now);
 }
 
 // A run that goes on well speaks for its task.
--- a/packages/scheduler/src/scheduler_moves.cpp
+++ b/packages/scheduler/src/scheduler_moves.cpp
@@ -7,8 +7,9 @@
 
 // Fills that stand in the way here may be welcome elsewhere. Only runs that
 // lose nothing by a stop move.
-void scheduler_core::move_slowed(worker_record& at, const worker_report& from,
-                                 guard_orders& out, time_point now)
+void scheduler_core::relocate_slowed(worker_record& at,
+                                     const worker_report& from,
+                                     guard_orders& out, time_point now)
 {
     std::size_t moves = 0;
     for (const auto& [image, pace] : from.paces)
@@ -32,7 +33,7 @@
                 break; // its siblings find no worker either
             }
             ++moves;
-            move(name, at, pace, out, now);
+            relocate(name, at, pace, out, now);
         }
     }
 }
@@ -66,17 +67,19 @@
     return other != nullptr && other != &at;
 }
 
-void scheduler_core::move(const task_name& name, const worker_record& at,
-                          std::int64_t pace, guard_orders& out, time_point now)
+void scheduler_core::relocate(const task_name& name, const worker_record& at,
+                              std::int64_t pace, guard_orders& out,
+                              time_point now)
 {
     job_task& task = *job_of(name.job)->find(name.at);
     order_stop(*task.run, name.text(), out);
-    task.left = departed_worker{.guard = at.guard,
-                                .until = now + options_.return_backoff};
-    note(event_id::run_moved, {{"task", name.text()},
-                               {"run", std::to_string(task.run->number)},
-                               {"guard", at.guard},
-                               {"pace", std::to_string(pace)}});
+    task.departed = departed_worker{.guard = at.guard,
+                                    .until = now + options_.return_backoff};
+    log_decision(event_id::run_moved,
+                 {{"task", name.text()},
+                  {"run", std::to_string(task.run->number)},
+                  {"guard", at.guard},
+                  {"pace", std::to_string(pace)}});
 }
 
 // A step that may run on few workers waits for as long as lasting runs fill
@@ -120,7 +123,7 @@
         if (leaves != at->assigned_tasks.end() &&
             is_welcome_elsewhere(*leaves, *at, query.now))
         {
-            move(*leaves, *at, full_percent, outbox_[at->guard], query.now);
+            relocate(*leaves, *at, full_percent, outbox_[at->guard], query.now);
             return;
         }
     }
--- a/packages/scheduler/src/scheduler_placing.cpp
+++ b/packages/scheduler/src/scheduler_placing.cpp
@@ -155,7 +155,7 @@
     {
         executors.push_back(at->description.executor);
     }
-    advice_.want(group, executors, now);
+    advice_.request_tickets(group, executors, now);
     return advice_.tickets(group, now);
 }
 
@@ -202,12 +202,13 @@
             .avoided = task.avoided,
             .harm = interference_model_,
             .now = now,
-            .left = task.left && now < task.left->until ? &task.left->guard
-                                                        : nullptr,
+            .departed = task.departed && now < task.departed->until
+                            ? &task.departed->guard
+                            : nullptr,
             .ignore_interference =
                 !of.has_runs() &&
                 now - task.ready_since > options_.max_interference_wait,
-            .apart = task.suspicion >= suspect_threshold,
+            .isolated = task.suspicion >= suspect_threshold,
             .tickets = queue.advice ? &tickets : nullptr};
         if (task.suspicion >= isolation_threshold)
         {
@@ -231,7 +232,7 @@
         {
             return true;
         }
-        put(of, task, *at, task.runs + 1, tickets, now);
+        record_placement(of, task, *at, task.runs + 1, tickets, now);
     }
     return left;
 }
@@ -265,7 +266,7 @@
         return false;
     }
     at->reserved_for.reset();
-    put(of, task, *at, task.runs + 1, tickets, query.now);
+    record_placement(of, task, *at, task.runs + 1, tickets, query.now);
     return true;
 }
 
@@ -338,9 +339,9 @@
     }
 }
 
-void scheduler_core::put(job_record& of, job_task& task, worker_record& at,
-                         std::int64_t number, const ticket_map& tickets,
-                         time_point now)
+void scheduler_core::record_placement(job_record& of, job_task& task,
+                                      worker_record& at, std::int64_t number,
+                                      const ticket_map& tickets, time_point now)
 {
     const task_position where = of.position_of(task);
     use_room(of, of.step_at(where), at);
@@ -360,16 +361,17 @@
     of.enter(job_state::running);
     of.first_start = of.first_start.value_or(now);
     of.urgent_commit = true;
-    want(of, now);
+    mark_changed(of, now);
     ++counts_.starts;
-    note(event_id::run_placed,
-         {{"task", name.text()},
-          {"run", std::to_string(number)},
-          {"guard", at.guard},
-          {"life", at.description.executor.text()},
-          {"report_age_ms", std::to_string(to_milliseconds(now - at.reported))},
-          {"waited_ms",
-           std::to_string(to_milliseconds(now - task.ready_since))}});
+    log_decision(
+        event_id::run_placed,
+        {{"task", name.text()},
+         {"run", std::to_string(number)},
+         {"guard", at.guard},
+         {"life", at.description.executor.text()},
+         {"report_age_ms", std::to_string(to_milliseconds(now - at.reported))},
+         {"waited_ms",
+          std::to_string(to_milliseconds(now - task.ready_since))}});
 }
 
 // ---------------------------------------------------------------------------
@@ -420,7 +422,8 @@
     }
     for (std::size_t index = 0; index < tasks.size(); ++index)
     {
-        put(of, tasks[index], *chosen[index], number, tickets, now);
+        record_placement(of, tasks[index], *chosen[index], number, tickets,
+                         now);
     }
     return false;
 }
--- a/packages/scheduler/src/scheduler_reports.cpp
+++ b/packages/scheduler/src/scheduler_reports.cpp
@@ -76,7 +76,7 @@
             learn_interference(at, from, now);
             answer.harms = interference_at(at);
             repeat_missing(at, from, answer.orders, now);
-            move_slowed(at, from, answer.orders, now);
+            relocate_slowed(at, from, answer.orders, now);
         }
         drain_leaving_worker(at, answer.orders, now);
     }
@@ -106,10 +106,11 @@
     {
         at.offered_to = from.incarnation;
         ++at.offered;
-        note(event_id::guard_unproven, {{"guard", from.guard},
-                                        {"incarnation", from.incarnation},
-                                        {"present", at.incarnation},
-                                        {"life", from.worker.executor.text()}});
+        log_decision(event_id::guard_unproven,
+                     {{"guard", from.guard},
+                      {"incarnation", from.incarnation},
+                      {"present", at.incarnation},
+                      {"life", from.worker.executor.text()}});
     }
     answer.admission = {.epoch = epoch_, .number = at.offered};
     return false;
@@ -125,8 +126,9 @@
         at.guard = from.guard;
         at.reported = now;
         may_place_ = true;
-        note(event_id::worker_known,
-             {{"guard", from.guard}, {"life", from.worker.executor.text()}});
+        log_decision(
+            event_id::worker_known,
+            {{"guard", from.guard}, {"life", from.worker.executor.text()}});
     }
     return at;
 }
@@ -143,11 +145,12 @@
         at.noted = end.number;
         const auto [of, task] = known(end.task);
         const bool current = is_current_run(task, end.run, at);
-        note(event_id::run_ended, {{"task", end.task},
-                                   {"run", std::to_string(end.run)},
-                                   {"guard", at.guard},
-                                   {"how", std::string(to_string(end.how))},
-                                   {"current", current ? "yes" : "no"}});
+        log_decision(event_id::run_ended,
+                     {{"task", end.task},
+                      {"run", std::to_string(end.run)},
+                      {"guard", at.guard},
+                      {"how", std::string(to_string(end.how))},
+                      {"current", current ? "yes" : "no"}});
         if (current)
         {
             close_run(*of, *task, end_proof::listed(end), now);
@@ -202,11 +205,12 @@
             continue;
         }
         ++counts_.refused;
-        note(event_id::run_refused, {{"task", refusal.task},
-                                     {"run", std::to_string(refusal.run)},
-                                     {"guard", at.guard},
-                                     {"incarnation", at.incarnation},
-                                     {"reason", refusal.reason}});
+        log_decision(event_id::run_refused,
+                     {{"task", refusal.task},
+                      {"run", std::to_string(refusal.run)},
+                      {"guard", at.guard},
+                      {"incarnation", at.incarnation},
+                      {"reason", refusal.reason}});
         if (refusal.reason == no_ticket_reason)
         {
             advice_.refused(
@@ -272,7 +276,7 @@
         fields.push_back(
             {"present_at", task->run ? task->run->guard : std::string()});
     }
-    note(event_id::run_unwanted, std::move(fields));
+    log_decision(event_id::run_unwanted, std::move(fields));
 }
 
 // A copy of an order can come after its run was given back. The guard hears of
@@ -325,13 +329,13 @@
         return;
     }
     run.stopping = true;
-    note(event_id::run_stuck,
-         {{"task", row.task},
-          {"run", std::to_string(row.run)},
-          {"guard", at.guard},
-          {"percent", std::to_string(row.percent)},
-          {"still_ms",
-           std::to_string(to_milliseconds(now - run.last_progress_at))}});
+    log_decision(event_id::run_stuck,
+                 {{"task", row.task},
+                  {"run", std::to_string(row.run)},
+                  {"guard", at.guard},
+                  {"percent", std::to_string(row.percent)},
+                  {"still_ms", std::to_string(to_milliseconds(
+                                   now - run.last_progress_at))}});
     if (const auto name = task_name::parse(row.task))
     {
         job_of(name->job)->find(name->at)->avoided.insert(at.guard);
@@ -357,7 +361,8 @@
         task_run& run = *task.run;
         const std::string text = name.text();
         const bool due =
-            run.ordered && run.placed_in <= of.kept && !there.contains(text) &&
+            run.ordered && run.placed_in <= of.committed_change &&
+            !there.contains(text) &&
             now - run.last_progress_at > options_.order_retry_interval;
         if (!due)
         {
@@ -388,15 +393,16 @@
     const auto end = std::ranges::find_if(
         from.ended, [&](const ended_task& row)
         { return row.task == task && row.run == run.number; });
-    note(event_id::run_missing,
-         {{"task", task},
-          {"run", std::to_string(run.number)},
-          {"guard", at.guard},
-          {"repeats", std::to_string(run.repeats)},
-          {"listed_end",
-           end == from.ended.end() ? "none" : std::to_string(end->number)},
-          {"ends_noted_to", std::to_string(at.noted)},
-          {"ends_acknowledged_to", std::to_string(at.acknowledged)}});
+    log_decision(
+        event_id::run_missing,
+        {{"task", task},
+         {"run", std::to_string(run.number)},
+         {"guard", at.guard},
+         {"repeats", std::to_string(run.repeats)},
+         {"listed_end",
+          end == from.ended.end() ? "none" : std::to_string(end->number)},
+         {"ends_noted_to", std::to_string(at.noted)},
+         {"ends_acknowledged_to", std::to_string(at.acknowledged)}});
 }
 
 std::int64_t scheduler_core::acknowledge(worker_record& at)
@@ -405,7 +411,7 @@
     {
         const noted_end& oldest = at.uncommitted_ends.front();
         const job_record* const of = job_of(oldest.job);
-        if (of != nullptr && of->kept < oldest.change)
+        if (of != nullptr && of->committed_change < oldest.change)
         {
             break;
         }
--- a/packages/scheduler/src/scheduler_writing.cpp
+++ b/packages/scheduler/src/scheduler_writing.cpp
@@ -26,7 +26,7 @@
 bool scheduler_core::is_kept(const std::string& job, std::int64_t change) const
 {
     const job_record* const of = find(job);
-    return of == nullptr || of->kept >= change;
+    return of == nullptr || of->committed_change >= change;
 }
 
 // Ends at a worker that the store may not have yet, by their job.
@@ -61,7 +61,7 @@
     {
         if (job != of.definition().id)
         {
-            std::int64_t& needed = of.needs[job];
+            std::int64_t& needed = of.required_changes[job];
             needed = std::max(needed, end.change);
         }
     }
@@ -77,9 +77,9 @@
     {
         job_record& of = *job_of(open.back());
         open.pop_back();
-        std::erase_if(of.needs, [this](const auto& one)
+        std::erase_if(of.required_changes, [this](const auto& one)
                       { return is_kept(one.first, one.second); });
-        for (const auto& [job, change] : of.needs)
+        for (const auto& [job, change] : of.required_changes)
         {
             if (found.insert(job).second)
             {
@@ -178,7 +178,7 @@
         is_dirty_.erase(id);
         of.urgent_commit = false;
         of.sent = of.state();
-        of.needs.clear();
+        of.required_changes.clear();
         batch.push_back({.job = id,
                          .text = encode(of.progress()),
                          .expected_revision = of.revision,
@@ -199,13 +199,13 @@
     for (const progress_write& write : batch)
     {
         job_record& of = *job_of(write.job);
-        of.kept = write.change;
+        of.committed_change = write.change;
         of.revision = revision;
         of.shown = of.shown == job_state::cancelled ? of.shown : write.state;
         for (job_task& task : of.tasks())
         {
             const bool due = task.run && !task.run->ordered &&
-                             task.run->placed_in <= of.kept;
+                             task.run->placed_in <= of.committed_change;
             const auto at =
                 due ? workers_.find(task.run->guard) : workers_.end();
             if (at == workers_.end() || task.run->stopping ||
--- a/packages/scheduler/src/ticket_cache.cpp
+++ b/packages/scheduler/src/ticket_cache.cpp
@@ -23,9 +23,9 @@
     return out;
 }
 
-void ticket_cache::want(const std::string& step,
-                        const std::vector<executor_incarnation>& executors,
-                        time_point now)
+void ticket_cache::request_tickets(
+    const std::string& step, const std::vector<executor_incarnation>& executors,
+    time_point now)
 {
     step_record& of = steps_[step];
     const bool waits = !of.wanted.empty() || (out_ && out_->step == step);
--- a/tests/unit/entry_list_tests.cpp
+++ b/tests/unit/entry_list_tests.cpp
@@ -76,7 +76,7 @@
     {
         state.stopping = true;
         CHECK(list.next_handover(state, now) ==
-              hand_over{best, handover_reason::stopping});
+              handover_target{best, handover_reason::stopping});
     }
     SUBCASE("the store does not serve it")
     {
@@ -84,7 +84,7 @@
         CHECK_FALSE(list.next_handover(state, now).has_value());
         state.store_silent = std::chrono::milliseconds(400);
         CHECK(list.next_handover(state, now) ==
-              hand_over{best, handover_reason::store_away});
+              handover_target{best, handover_reason::store_away});
     }
     SUBCASE("it is small, and has settled")
     {
@@ -93,7 +93,7 @@
         CHECK_FALSE(list.next_handover(state, now).has_value());
         state.held_for = std::chrono::milliseconds(500);
         CHECK(list.next_handover(state, now) ==
-              hand_over{best, handover_reason::small});
+              handover_target{best, handover_reason::small});
     }
 }
 
--- a/tests/unit/ticket_tests.cpp
+++ b/tests/unit/ticket_tests.cpp
@@ -20,21 +20,21 @@
 {
     ticket_cache book;
     time_point now{std::chrono::hours(1)};
-    book.want("j.0.0", three, now);
-    book.want("k.0.0", {"a"}, now);
+    book.request_tickets("j.0.0", three, now);
+    book.request_tickets("k.0.0", {"a"}, now);
     const auto question = book.next_question(now);
     REQUIRE(question.has_value());
     CHECK(question->step == "j.0.0");
     CHECK(question->executors == three);
     CHECK_FALSE(book.next_question(now).has_value());
-    book.want("j.0.0", three, now); // it is out already
+    book.request_tickets("j.0.0", three, now); // it is out already
     book.answered(advice_answer{.tickets = {{"a", "t"}}, .valid_ms = 3000},
                   now);
     CHECK(book.tickets("j.0.0", now) == ticket_map{{"a", "t"}});
     CHECK(book.next_question(now)->step == "k.0.0");
     book.answered(std::nullopt, now);
     // Those that were not good stay so; others may be.
-    book.want("j.0.0", {"a", "b", "c", "d"}, now);
+    book.request_tickets("j.0.0", {"a", "b", "c", "d"}, now);
     CHECK(book.next_question(now)->executors ==
           std::vector<executor_incarnation>{"d"});
 }
@@ -43,7 +43,7 @@
 {
     ticket_cache book;
     time_point now{std::chrono::hours(1)};
-    book.want("j.0.0", three, now);
+    book.request_tickets("j.0.0", three, now);
     REQUIRE(book.next_question(now).has_value());
     now += milliseconds(500);
     book.answered(advice_answer{.tickets = {{"a", "t"}}, .valid_ms = 2000},
@@ -52,7 +52,7 @@
     CHECK(book.tickets("j.0.0", now).size() == 1);
     now += milliseconds(200);
     CHECK(book.tickets("j.0.0", now).empty());
-    book.want("j.0.0", three, now);
+    book.request_tickets("j.0.0", three, now);
     CHECK(book.next_question(now)->executors ==
           std::vector<executor_incarnation>{"a"});
 }
@@ -61,13 +61,13 @@
 {
     ticket_cache book;
     time_point now{std::chrono::hours(1)};
-    book.want("j.0.0", three, now);
+    book.request_tickets("j.0.0", three, now);
     REQUIRE(book.next_question(now).has_value());
     book.answered(std::nullopt, now);
-    book.want("j.0.0", three, now);
+    book.request_tickets("j.0.0", three, now);
     CHECK_FALSE(book.next_question(now).has_value());
     now += seconds(1);
-    book.want("j.0.0", three, now);
+    book.request_tickets("j.0.0", three, now);
     CHECK(book.next_question(now)->executors == three);
 }
 
@@ -75,13 +75,13 @@
 {
     ticket_cache book;
     const time_point now{std::chrono::hours(1)};
-    book.want("j.0.0", three, now);
+    book.request_tickets("j.0.0", three, now);
     REQUIRE(book.next_question(now).has_value());
     book.answered(advice_answer{.tickets = {{"a", "t"}}, .valid_ms = 3000},
                   now);
     book.refused("j.0.0", "a");
     CHECK(book.tickets("j.0.0", now).empty());
-    book.want("j.0.0", three, now);
+    book.request_tickets("j.0.0", three, now);
     CHECK(book.next_question(now)->executors ==
           std::vector<executor_incarnation>{"a"});
 }
@@ -90,7 +90,7 @@
 {
     ticket_cache book;
     const time_point now{std::chrono::hours(1)};
-    book.want("j.0.0", three, now);
+    book.request_tickets("j.0.0", three, now);
     REQUIRE(book.next_question(now).has_value());
     book.forget("j.0.0");
     book.answered(advice_answer{.tickets = {{"a", "t"}}, .valid_ms = 3000},
@@ -105,13 +105,13 @@
 {
     ticket_cache book;
     time_point now{std::chrono::hours(1)};
-    book.want("z.0.0", {"a"}, now);
+    book.request_tickets("z.0.0", {"a"}, now);
     now += std::chrono::milliseconds(10);
-    book.want("b.0.0", {"a"}, now);
+    book.request_tickets("b.0.0", {"a"}, now);
     CHECK(book.next_question(now)->step == "z.0.0");
     book.answered(advice_answer{.tickets = {{"a", "t"}}, .valid_ms = 1000},
                   now);
     now += std::chrono::milliseconds(10);
-    book.want("a.0.0", {"a"}, now);
+    book.request_tickets("a.0.0", {"a"}, now);
     CHECK(book.next_question(now)->step == "b.0.0");
 }
