--- a/packages/daemon/src/job_entry_role.cpp
+++ b/packages/daemon/src/job_entry_role.cpp
@@ -43,45 +43,49 @@
 public:
     explicit job_entry_control(process_context& process)
         : process_(process), store_(process.client, process.from.store),
-          office_(process, store_, leader_election_callbacks()),
-          handover_(process, store_, office_),
-          contact_(process, store_, office_), holder_(process, store_, office_),
-          job_request_handler_(process, store_, office_, holder_, contact_),
+          leader_election_(process, store_, leader_election_callbacks()),
+          handover_(process, store_, leader_election_),
+          contact_(process, store_, leader_election_),
+          job_scheduler_(process, store_, leader_election_),
+          job_request_handler_(process, store_, leader_election_,
+                               job_scheduler_, contact_),
           operator_(process, store_,
                     {.table =
                          [this](const queue_table& table)
                      {
-                         holder_.set_table(table);
+                         job_scheduler_.set_table(table);
                          job_request_handler_.set_table(table);
                      },
                      .closed =
                          [this](const closed_data_centres& known)
                      {
-                         holder_.set_closed(known);
+                         job_scheduler_.set_closed(known);
                      }})
     {
         rpc_.add("report",
                  [this](const json& message) {
-                     return json(holder_.report(message.get<worker_report>()));
+                     return json(
+                         job_scheduler_.report(message.get<worker_report>()));
                  });
         rpc_.add("show", [this](const json& message)
                  { return job_request_handler_.show_for_peer(message); });
         rpc_.add("accepted",
                  [this](const json& message)
                  {
-                     holder_.job_was_accepted(message.get<job>());
+                     job_scheduler_.job_was_accepted(message.get<job>());
                      return json::object();
                  });
         rpc_.add("cancelled",
                  [this](const json& message)
                  {
-                     holder_.job_was_cancelled(message.value("id", ""));
+                     job_scheduler_.job_was_cancelled(message.value("id", ""));
                      return json::object();
                  });
         rpc_.add(take_over_method,
                  [this](const json& message)
                  {
-                     office_.take_over(message.get<take_over_request>());
+                     leader_election_.take_over(
+                         message.get<take_over_request>());
                      return json::object();
                  });
         rpc_.add(took_over_method,
@@ -127,10 +131,10 @@
                     [this](std::int64_t epoch)
                 {
                     handover_.begin();
-                    holder_.begin(epoch);
+                    job_scheduler_.begin(epoch);
                 },
                 .lost = [this](const leader_change& next)
-                { holder_.end(next); },
+                { job_scheduler_.end(next); },
                 .told =
                     [this](const std::string& from, std::int64_t epoch)
                 {
@@ -141,11 +145,11 @@
     void tick(time_point now)
     {
         follow_operator(now);
-        office_.set_claim_schedule(contact_.turn());
-        office_.tick(now);
+        leader_election_.set_claim_schedule(contact_.turn());
+        leader_election_.tick(now);
         handover_.tick(now, stop_since_.has_value());
         contact_.tick(now);
-        holder_.tick(now);
+        job_scheduler_.tick(now);
         job_request_handler_.tick(now);
         if (process_.drain && !stop_since_)
         {
@@ -172,7 +176,8 @@
 
     void follow_operator(time_point now)
     {
-        const bool is_told = !office_.holds() && contact_.tells_changes(now);
+        const bool is_told =
+            !leader_election_.is_leader() && contact_.tells_changes(now);
         operator_.use_long_poll(is_told &&
                                 process_.from.apply_within >= notified_within);
         if (is_told)
@@ -207,9 +212,10 @@
     // the office is free for whoever comes.
     void resign_leadership(time_point now)
     {
-        if (!office_.holds() || now - *stop_since_ > successor_within)
+        if (!leader_election_.is_leader() ||
+            now - *stop_since_ > successor_within)
         {
-            office_.retire();
+            leader_election_.retire();
         }
     }
 
@@ -224,8 +230,8 @@
     [[nodiscard]] bool is_ready(time_point now) const
     {
         return !stop_since_ && job_request_handler_.table().version > 0 &&
-               now - std::max({office_.store_answered(), operator_.fresh_at(),
-                               contact_.answered_at()}) <
+               now - std::max({leader_election_.store_answered(),
+                               operator_.fresh_at(), contact_.answered_at()}) <
                    store_outage_tolerance + std::chrono::seconds(5);
     }
 
@@ -260,10 +266,10 @@
 
     process_context& process_;
     platform::store_client store_;
-    leader_election office_;
+    leader_election leader_election_;
     leader_handover handover_;
     leader_heartbeat contact_;
-    job_scheduler holder_;
+    job_scheduler job_scheduler_;
     job_request_handler job_request_handler_;
     operator_watch operator_;
     rpc_dispatcher rpc_;
--- a/packages/daemon/src/job_guard_role.cpp
+++ b/packages/daemon/src/job_guard_role.cpp
@@ -46,7 +46,7 @@
                         { on_leader(item); }),
           keeper_(reconciler_options(process.from),
                   random_hex(incarnation_bytes_of_guard)),
-          holder_(process.from.entries)
+          leader_(process.from.entries)
     {
         rpc_.add("orders", [this](const json& message)
                  { return take_orders(message.get<guard_orders>()); });
@@ -251,7 +251,7 @@
 
     void ask_store(time_point now)
     {
-        const bool needed = holder_.needs_store();
+        const bool needed = leader_.needs_store();
         if (needed && !asks_store_)
         {
             leader_watch_.refresh();
@@ -265,7 +265,7 @@
 
     void follow(const std::string& address)
     {
-        if (holder_.follow(address))
+        if (leader_.follow(address))
         {
             log_event(event_id::holder_found, {{"holder", address}});
             next_report_ = {};
@@ -290,7 +290,7 @@
 
     void send_report(time_point now)
     {
-        const std::string target = holder_.target();
+        const std::string target = leader_.target();
         if (target.empty())
         {
             return;
@@ -319,7 +319,7 @@
         const auto answer = rpc_answer_of<report_answer>(result);
         if (answer && answer->holds)
         {
-            holder_.answered();
+            leader_.answered();
             next_report_ = sent + (keeper_.has_ends() ? ends_report_interval
                                                       : report_interval);
             follow(target);
@@ -327,7 +327,7 @@
             return;
         }
         next_report_ = now + report_retry;
-        if (holder_.failed())
+        if (leader_.failed())
         {
             log_event(event_id::holder_lost,
                       {{"target", target}, {"why", result.error}});
@@ -357,7 +357,7 @@
                        {"use_percent",
                         std::to_string(static_cast<int>(100 * one.use))}});
         }
-        if (keeper_.take_report_due() && !holder_.has_failed())
+        if (keeper_.take_report_due() && !leader_.has_failed())
         {
             next_report_ = std::min(next_report_, now + min_report_interval);
         }
@@ -376,7 +376,7 @@
     platform::store_client store_;
     leader_watch leader_watch_;
     run_reconciler keeper_;
-    leader_finder holder_;
+    leader_finder leader_;
     rpc_dispatcher rpc_;
     std::map<executor_incarnation, heard_executor> executors_;
     std::int64_t report_sequence_ = 0;
--- a/packages/daemon/src/job_request_forwarding.cpp
+++ b/packages/daemon/src/job_request_forwarding.cpp
@@ -60,7 +60,7 @@
 std::string
 job_request_handler::next_forward_target(const open_request& of) const
 {
-    std::vector<std::string> known{office_.holder()};
+    std::vector<std::string> known{leader_election_.leader()};
     const auto& peers = contact_.peers();
     const auto& entries = process_.from.entries;
     known.insert(known.end(), peers.begin(), peers.end());
@@ -182,7 +182,7 @@
     const std::string id = what.path.size() > forward_path.size()
                                ? what.path.substr(forward_path.size() + 1)
                                : std::string();
-    const bool is_shown = what.method == "GET" && holder_.shown(id);
+    const bool is_shown = what.method == "GET" && job_scheduler_.shown(id);
     if (store_unavailable_since_ && !is_shown)
     {
         answer(to, platform::not_taken_answer(caller_retry_after,
--- a/packages/daemon/src/job_request_handler.cpp
+++ b/packages/daemon/src/job_request_handler.cpp
@@ -19,11 +19,11 @@
 
 job_request_handler::job_request_handler(process_context& process,
                                          platform::store_client& store,
-                                         leader_election& office,
-                                         job_scheduler& holder,
+                                         leader_election& election,
+                                         job_scheduler& scheduler,
                                          const leader_heartbeat& contact)
-    : process_(process), store_(store), office_(office), holder_(holder),
-      contact_(contact)
+    : process_(process), store_(store), leader_election_(election),
+      job_scheduler_(scheduler), contact_(contact)
 {
 }
 
@@ -102,7 +102,7 @@
 
 void job_request_handler::show(const std::string& id, const request_ptr& to)
 {
-    if (const auto state = holder_.shown(id))
+    if (const auto state = job_scheduler_.shown(id))
     {
         answer(to, platform::state_answer(*state));
         return;
@@ -125,7 +125,7 @@
 
 json job_request_handler::show_for_peer(const json& message) const
 {
-    const auto state = holder_.shown(message.value("id", ""));
+    const auto state = job_scheduler_.shown(message.value("id", ""));
     return state ? json{{"state", std::string(to_string(*state))}}
                  : json::object();
 }
@@ -134,8 +134,8 @@
     const char* method, const json& message,
     std::function<void(std::optional<json>)> done)
 {
-    const std::string& address = office_.holder();
-    if (address.empty() || office_.holds())
+    const std::string& address = leader_election_.leader();
+    if (address.empty() || leader_election_.is_leader())
     {
         done(std::nullopt);
         return;
@@ -234,7 +234,7 @@
         forward_or_retry("DELETE", id, to, [this, id, to] { cancel(id, to); });
         return;
     }
-    if (holder_.core().find(id) != nullptr)
+    if (job_scheduler_.core().find(id) != nullptr)
     {
         write_cancellation(id, to);
         return;
@@ -281,7 +281,7 @@
                                 return;
                             }
                             log_event(event_id::job_cancelled, {{"job", id}});
-                            holder_.job_was_cancelled(id);
+                            job_scheduler_.job_was_cancelled(id);
                             query_leader("cancelled", {{"id", id}},
                                          [](const std::optional<json>&) {});
                             answer(to, platform::accepted_answer());
@@ -296,9 +296,10 @@
                                  const request_ptr& to)
 {
     const std::string queue = what.queue;
-    if (holder_.ready())
+    if (job_scheduler_.ready())
     {
-        answer(to, platform::count_answer(holder_.core().waiting(queue)));
+        answer(to,
+               platform::count_answer(job_scheduler_.core().waiting(queue)));
         return;
     }
     query_leader(
@@ -321,11 +322,12 @@
 
 json job_request_handler::count_for_peer(const json& message) const
 {
-    if (!holder_.ready())
+    if (!job_scheduler_.ready())
     {
         return json::object();
     }
-    return {{"waiting", holder_.core().waiting(message.value("queue", ""))}};
+    return {
+        {"waiting", job_scheduler_.core().waiting(message.value("queue", ""))}};
 }
 
 } // namespace springstair
--- a/packages/daemon/src/job_request_handler.hpp
+++ b/packages/daemon/src/job_request_handler.hpp
@@ -29,7 +29,7 @@
 {
 public:
     job_request_handler(process_context& process, platform::store_client& store,
-                        leader_election& office, job_scheduler& holder,
+                        leader_election& election, job_scheduler& scheduler,
                         const leader_heartbeat& contact);
 
     void set_table(const queue_table& table);
@@ -123,8 +123,8 @@
 
     process_context& process_;
     platform::store_client& store_;
-    leader_election& office_;
-    job_scheduler& holder_;
+    leader_election& leader_election_;
+    job_scheduler& job_scheduler_;
     const leader_heartbeat& contact_;
     queue_table table_;
     adaptive_timeout timeout_;
--- a/packages/daemon/src/job_request_submission.cpp
+++ b/packages/daemon/src/job_request_submission.cpp
@@ -140,9 +140,9 @@
 // Saves the time until the holder finds the job in the store.
 void job_request_handler::notify_leader(const job& what)
 {
-    if (holder_.ready())
+    if (job_scheduler_.ready())
     {
-        holder_.job_was_accepted(what);
+        job_scheduler_.job_was_accepted(what);
         return;
     }
     query_leader("accepted", what, [](const std::optional<json>&) {});
--- a/packages/daemon/src/job_scheduler.cpp
+++ b/packages/daemon/src/job_scheduler.cpp
@@ -35,8 +35,8 @@
 
 job_scheduler::job_scheduler(process_context& process,
                              platform::store_client& store,
-                             leader_election& office)
-    : process_(process), store_(store), office_(office),
+                             leader_election& election)
+    : process_(process), store_(store), leader_election_(election),
       core_({.closing = {.close_within = process.from.close_within}}),
       page_timeout_(max_page),
       hedge_delay_(adaptive_timeout::default_max, min_hedge_delay)
@@ -99,7 +99,7 @@
 
 void job_scheduler::end_batch(std::int64_t revision, time_point sent)
 {
-    office_.verified(sent);
+    leader_election_.verified(sent);
     core_.committed(*batch_, revision, boot_clock::now());
     batch_.reset();
 }
@@ -118,7 +118,7 @@
             end_batch(*revision, sent);
             return;
         }
-        office_.superseded("a write found another holder");
+        leader_election_.superseded("a write found another holder");
         return;
     case store_status::refused:
     case store_status::absent:
@@ -187,9 +187,10 @@
     report_answer answer;
     if (ready())
     {
-        answer = core_.report(from, boot_clock::now(), office_.verified_at());
+        answer = core_.report(from, boot_clock::now(),
+                              leader_election_.verified_at());
     }
-    answer.holder = office_.holder();
+    answer.holder = leader_election_.leader();
     return answer;
 }
 
--- a/packages/daemon/src/job_scheduler.hpp
+++ b/packages/daemon/src/job_scheduler.hpp
@@ -19,7 +19,7 @@
 {
 public:
     job_scheduler(process_context& process, platform::store_client& store,
-                  leader_election& office);
+                  leader_election& election);
 
     /// The office was taken: reads all that the store keeps.
     void begin(std::int64_t epoch);
@@ -44,7 +44,8 @@
     /// What callers may be shown of a job; nothing if the store has to tell.
     [[nodiscard]] std::optional<job_state> shown(const std::string& id) const
     {
-        return core_.shown(id, boot_clock::now(), office_.verified_at());
+        return core_.shown(id, boot_clock::now(),
+                           leader_election_.verified_at());
     }
     [[nodiscard]] const scheduler_core& core() const noexcept
     {
@@ -98,7 +99,7 @@
 
     process_context& process_;
     platform::store_client& store_;
-    leader_election& office_;
+    leader_election& leader_election_;
     scheduler_core core_;
     stage at_ = stage::idle;
     std::int64_t term_ = 0; ///< counts offices; ends of older calls are void
--- a/packages/daemon/src/leader_election.cpp
+++ b/packages/daemon/src/leader_election.cpp
@@ -55,7 +55,7 @@
 
 void leader_election::tick(time_point now)
 {
-    if (at_ == stage::holding)
+    if (at_ == stage::leader)
     {
         watch_.tick(now);
         if (now >= next_renewal_ && !renewing_)
@@ -73,7 +73,7 @@
     {
         return;
     }
-    if (at_ == stage::taking && now >= next_)
+    if (at_ == stage::candidate && now >= next_)
     {
         const bool usable = lease_ != 0 && now < lease_fresh_until_;
         usable ? claim() : take();
@@ -104,7 +104,7 @@
     {
         return; // a newer one is known
     }
-    if (at_ == stage::holding)
+    if (at_ == stage::leader)
     {
         const bool newer = item && item->revision > epoch_;
         if (newer)
@@ -117,19 +117,19 @@
             check();
         }
     }
-    if (at_ == stage::holding || at_ == stage::retired)
+    if (at_ == stage::leader || at_ == stage::resigned)
     {
         return;
     }
     replaces_ = 0;
     if (!item)
     {
-        holder_.clear();
-        if (at_ == stage::watching)
+        leader_.clear();
+        if (at_ == stage::follower)
         {
             next_ = boot_clock::now() + turn_.delay;
         }
-        at_ = stage::taking;
+        at_ = stage::candidate;
         return;
     }
     if (document_of(*item).value("nonce", "") == nonce_)
@@ -146,10 +146,10 @@
     if (is_own_previous_incarnation())
     {
         replaces_ = item->revision;
-        at_ = stage::taking;
+        at_ = stage::candidate;
         return;
     }
-    at_ = stage::watching;
+    at_ = stage::follower;
 }
 
 void leader_election::set_claim_schedule(const claim_schedule& turn)
@@ -160,26 +160,26 @@
 
 void leader_election::recheck_leader()
 {
-    if (at_ == stage::watching)
+    if (at_ == stage::follower)
     {
         watch_.refresh();
     }
 }
 
-void leader_election::told(std::int64_t epoch, const std::string& holder)
+void leader_election::told(std::int64_t epoch, const std::string& leader)
 {
-    if (epoch <= newest_epoch() || holder.empty() || at_ == stage::retired)
+    if (epoch <= newest_epoch() || leader.empty() || at_ == stage::resigned)
     {
         return;
     }
-    if (at_ == stage::holding)
+    if (at_ == stage::leader)
     {
         lose("another entry tells of a newer holder",
-             {.epoch = epoch, .holder = holder});
+             {.epoch = epoch, .holder = leader});
     }
-    holder_ = holder;
+    leader_ = leader;
     leader_epoch_ = epoch;
-    at_ = stage::watching;
+    at_ = stage::follower;
 }
 
 // The key of a process of this VM that is gone: this one has its port. It need
@@ -187,12 +187,12 @@
 // power and the next office (the holders' log of a played day, 62 workers).
 bool leader_election::is_own_previous_incarnation() const
 {
-    return !has_held_ && holder_ == announced_address(process_.from);
+    return !has_held_ && leader_ == announced_address(process_.from);
 }
 
 void leader_election::record_leader(const platform::store_item& item)
 {
-    holder_ = address_in(item);
+    leader_ = address_in(item);
     leader_epoch_ = item.revision;
 }
 
@@ -203,14 +203,14 @@
 // The claim names the holder's revision: of several entries, one takes it.
 void leader_election::take_over(const take_over_request& what)
 {
-    if (at_ != stage::watching || what.epoch < newest_epoch())
+    if (at_ != stage::follower || what.epoch < newest_epoch())
     {
         then_.told(what.from, 0);
         return;
     }
     takeover_from_ = what.from;
     replaces_ = what.epoch;
-    at_ = stage::taking;
+    at_ = stage::candidate;
     next_ = {};
 }
 
@@ -223,7 +223,7 @@
         return;
     }
     replaces_ = 0;
-    at_ = stage::watching;
+    at_ = stage::follower;
     then_.told(std::exchange(takeover_from_, {}), 0);
 }
 
@@ -271,7 +271,7 @@
 {
     busy_ = false;
     note_answer(result);
-    if (at_ == stage::retired)
+    if (at_ == stage::resigned)
     {
         return;
     }
@@ -300,14 +300,14 @@
 
 void leader_election::hold(std::int64_t revision, time_point sent)
 {
-    at_ = stage::holding;
+    at_ = stage::leader;
     held_since_ = boot_clock::now();
     has_held_ = true;
     replaces_ = 0;
     epoch_ = revision;
     verified_ = sent;
     next_renewal_ = sent + renew_interval;
-    holder_ = announced_address(process_.from);
+    leader_ = announced_address(process_.from);
     then_.taken(epoch_);
     if (!takeover_from_.empty())
     {
@@ -333,7 +333,7 @@
 {
     renewing_ = false;
     note_answer(result);
-    if (at_ != stage::holding)
+    if (at_ != stage::leader)
     {
         return;
     }
@@ -363,7 +363,7 @@
                     {
                         checking_ = false;
                         note_answer(result);
-                        if (at_ != stage::holding)
+                        if (at_ != stage::leader)
                         {
                             return;
                         }
@@ -390,7 +390,7 @@
 
 void leader_election::superseded(const char* why)
 {
-    if (at_ == stage::holding)
+    if (at_ == stage::leader)
     {
         lose(why);
     }
@@ -403,21 +403,21 @@
                {"why", why},
                {"verified_ms_ago", std::to_string(to_milliseconds(
                                        boot_clock::now() - verified_))}});
-    at_ = stage::watching;
+    at_ = stage::follower;
     watch_.refresh();
     lease_ = 0;
     leader_epoch_ = std::max(leader_epoch_, epoch_);
     epoch_ = 0;
     next_ = {};
-    holder_.clear();
+    leader_.clear();
     nonce_ = random_hex(nonce_bytes);
     then_.lost(next);
 }
 
 void leader_election::retire()
 {
-    const bool held = at_ == stage::holding;
-    at_ = stage::retired;
+    const bool held = at_ == stage::leader;
+    at_ = stage::resigned;
     if (!held)
     {
         return;
@@ -426,7 +426,7 @@
               {{"epoch", std::to_string(epoch_)}, {"why", "a planned stop"}});
     // The key goes with its lease, and another entry takes over at once.
     store_.end_lease(lease_, timeout_.value(), [](const store_result&) {});
-    holder_.clear();
+    leader_.clear();
     then_.lost({});
 }
 
--- a/packages/daemon/src/leader_election.hpp
+++ b/packages/daemon/src/leader_election.hpp
@@ -40,15 +40,15 @@
     void recheck_leader();
     /// Another entry says who holds. A newer holder than is known here is
     /// believed; the store has the last word.
-    void told(std::int64_t epoch, const std::string& holder);
+    void told(std::int64_t epoch, const std::string& leader);
     /// A write conditioned on the office succeeded; it was sent at a time.
     void verified(time_point sent);
     /// A write conditioned on the office found another one.
     void superseded(const char* why);
 
-    [[nodiscard]] bool holds() const noexcept
+    [[nodiscard]] bool is_leader() const noexcept
     {
-        return at_ == stage::holding;
+        return at_ == stage::leader;
     }
     [[nodiscard]] std::int64_t epoch() const noexcept
     {
@@ -70,9 +70,9 @@
         return std::max(epoch_, leader_epoch_);
     }
     /// The holder's internal address; empty if not known.
-    [[nodiscard]] const std::string& holder() const noexcept
+    [[nodiscard]] const std::string& leader() const noexcept
     {
-        return holder_;
+        return leader_;
     }
     /// When the store last answered this process.
     [[nodiscard]] time_point store_answered() const noexcept
@@ -83,10 +83,10 @@
 private:
     enum class stage : std::uint8_t
     {
-        watching,
-        taking,
-        holding,
-        retired
+        follower,
+        candidate,
+        leader,
+        resigned
     };
 
     void follow(const std::optional<platform::store_item>& item);
@@ -108,10 +108,10 @@
     platform::store_client& store_;
     callbacks then_;
     leader_watch watch_;
-    stage at_ = stage::watching;
+    stage at_ = stage::follower;
     adaptive_timeout timeout_;
     std::string nonce_; ///< tells this attempt's key from any other
-    std::string holder_;
+    std::string leader_;
     std::int64_t leader_epoch_ = 0;
     std::int64_t replaces_ = 0; ///< claimed over this revision; 0: none there
     bool has_held_ = false;     ///< this process, at some time
--- a/packages/daemon/src/leader_handover.cpp
+++ b/packages/daemon/src/leader_handover.cpp
@@ -14,8 +14,8 @@
 
 leader_handover::leader_handover(process_context& process,
                                  const platform::store_client& store,
-                                 leader_election& office)
-    : process_(process), store_(store), office_(office)
+                                 leader_election& election)
+    : process_(process), store_(store), leader_election_(election)
 {
 }
 
@@ -29,14 +29,14 @@
 {
     const duration silent = now - store_.served_at();
     return {.processors = process_.from.processors,
-            .held_for = now - office_.held_since(),
+            .held_for = now - leader_election_.held_since(),
             .store_silent = store_.is_unavailable() ? silent : duration{0},
             .stopping = stopping};
 }
 
 void leader_handover::tick(time_point now, bool stopping)
 {
-    if (!office_.holds())
+    if (!leader_election_.is_leader())
     {
         return;
     }
@@ -61,9 +61,9 @@
     asked_at_ = now;
     log_event(event_id::office_offered,
               {{"to", what.to},
-               {"epoch", std::to_string(office_.epoch())},
+               {"epoch", std::to_string(leader_election_.epoch())},
                {"why", std::string(to_string(what.why))}});
-    const take_over_request request{.epoch = office_.epoch(),
+    const take_over_request request{.epoch = leader_election_.epoch(),
                                     .from = announced_address(process_.from)};
     process_.client.send(
         {.method = "POST",
@@ -85,7 +85,7 @@
 {
     if (result.epoch > 0)
     {
-        office_.told(result.epoch, result.by);
+        leader_election_.told(result.epoch, result.by);
     }
     else if (result.by == asked_)
     {
@@ -96,9 +96,9 @@
 
 entry_heartbeat_answer leader_handover::answer(const entry_heartbeat& from)
 {
-    entry_heartbeat_answer answer{.epoch = office_.newest_epoch(),
-                                  .holder = office_.holder(),
-                                  .holds = office_.holds()};
+    entry_heartbeat_answer answer{.epoch = leader_election_.newest_epoch(),
+                                  .holder = leader_election_.leader(),
+                                  .holds = leader_election_.is_leader()};
     if (answer.holds)
     {
         const time_point now = boot_clock::now();
--- a/packages/daemon/src/leader_handover.hpp
+++ b/packages/daemon/src/leader_handover.hpp
@@ -16,7 +16,7 @@
 public:
     leader_handover(process_context& process,
                     const platform::store_client& store,
-                    leader_election& office);
+                    leader_election& election);
 
     void tick(time_point now, bool stopping);
     /// An entry that was asked says what came of it.
@@ -32,7 +32,7 @@
 
     process_context& process_;
     const platform::store_client& store_;
-    leader_election& office_;
+    leader_election& leader_election_;
     entry_list entries_;
     std::string asked_; ///< who is to take the office; empty: nobody
     time_point asked_at_{};
--- a/packages/daemon/src/leader_heartbeat.cpp
+++ b/packages/daemon/src/leader_heartbeat.cpp
@@ -29,8 +29,8 @@
 
 leader_heartbeat::leader_heartbeat(process_context& process,
                                    platform::store_client& store,
-                                   leader_election& office)
-    : process_(process), store_(store), office_(office)
+                                   leader_election& election)
+    : process_(process), store_(store), leader_election_(election)
 {
 }
 
@@ -42,14 +42,15 @@
 
 void leader_heartbeat::tick(time_point now)
 {
-    if (office_.holds())
+    if (leader_election_.is_leader())
     {
         asked_.clear();
         return;
     }
-    if (!office_.holder().empty() && office_.holder() != asked_)
+    if (!leader_election_.leader().empty() &&
+        leader_election_.leader() != asked_)
     {
-        asked_ = office_.holder();
+        asked_ = leader_election_.leader();
         failures_ = 0;
         next_ = now + some_delay();
     }
@@ -68,9 +69,9 @@
 std::string leader_heartbeat::next_target()
 {
     const std::string own = announced_address(process_.from);
-    if (!office_.holder().empty() && failures_ % 2 == 0)
+    if (!leader_election_.leader().empty() && failures_ % 2 == 0)
     {
-        return office_.holder();
+        return leader_election_.leader();
     }
     const auto& others = peers_.empty() ? process_.from.entries : peers_;
     for (std::size_t tried = 0; tried < others.size(); ++tried)
@@ -81,7 +82,7 @@
             return one;
         }
     }
-    return office_.holder();
+    return leader_election_.leader();
 }
 
 void leader_heartbeat::send(const std::string& to, time_point now)
@@ -107,7 +108,7 @@
     const auto answer = rpc_answer_of<entry_heartbeat_answer>(result);
     if (answer)
     {
-        office_.told(answer->epoch, answer->holder);
+        leader_election_.told(answer->epoch, answer->holder);
     }
     if (answer && answer->holds)
     {
@@ -121,7 +122,7 @@
     }
     if (++failures_ == lost_after)
     {
-        office_.recheck_leader();
+        leader_election_.recheck_leader();
     }
     next_ = boot_clock::now() + retry_pause;
 }
--- a/packages/daemon/src/leader_heartbeat.hpp
+++ b/packages/daemon/src/leader_heartbeat.hpp
@@ -17,7 +17,7 @@
 {
 public:
     leader_heartbeat(process_context& process, platform::store_client& store,
-                     leader_election& office);
+                     leader_election& election);
 
     void tick(time_point now);
 
@@ -52,7 +52,7 @@
 
     process_context& process_;
     platform::store_client& store_;
-    leader_election& office_;
+    leader_election& leader_election_;
     std::string asked_; ///< where the newest heartbeat went
     bool busy_ = false;
     std::size_t failures_ = 0; ///< in a row
--- a/packages/entry/include/springstair/detail/entry/request_core.hpp
+++ b/packages/entry/include/springstair/detail/entry/request_core.hpp
@@ -27,7 +27,7 @@
     std::size_t max_open_requests = 20'000;
     retry_budget_options retries;
     outlier_options outliers;
-    directory_options silence;
+    directory_options liveness;
     fleet_limit_options limits;
     std::uint64_t seed = 1;
 };
--- a/packages/entry/src/request_core.cpp
+++ b/packages/entry/src/request_core.cpp
@@ -31,8 +31,8 @@
 } // namespace
 
 request_core::request_core(request_options options)
-    : options_(std::move(options)), guards_(options_.silence),
-      entries_(options_.silence), outliers_(options_.outliers),
+    : options_(std::move(options)), guards_(options_.liveness),
+      entries_(options_.liveness), outliers_(options_.outliers),
       retries_(options_.retries), limits_(options_.name.value, options_.limits),
       random_(options_.seed)
 {
--- a/packages/entry/src/task_placement.cpp
+++ b/packages/entry/src/task_placement.cpp
@@ -162,14 +162,14 @@
                                             const guard_views& guards,
                                             bool also_failed) const
 {
-    const directory_options silence;
+    const directory_options liveness;
     const auto failed = failed_on_.find(record.spec.id);
     loaded_guards all;
     for (const auto& [name, view] : guards)
     {
         const bool failed_here =
             failed != failed_on_.end() && failed->second.contains(name);
-        if (!view.usable(now, silence) || !view.report.tasks_ready ||
+        if (!view.usable(now, liveness) || !view.report.tasks_ready ||
             (failed_here && !also_failed) ||
             !workers_.may_send(now, name, true) ||
             !record.spec.needs.fits(free_of(view)))
--- a/packages/guard/include/springstair/detail/guard/leader_finder.hpp
+++ b/packages/guard/include/springstair/detail/guard/leader_finder.hpp
@@ -26,10 +26,10 @@
     std::string target()
     {
         const bool ask_others =
-            holder_.empty() || (is_lost() && failures_ % 2 == 0);
+            leader_.empty() || (is_lost() && failures_ % 2 == 0);
         if (!ask_others || entries_.empty())
         {
-            return holder_;
+            return leader_;
         }
         return entries_[asked_++ % entries_.size()];
     }
@@ -37,11 +37,11 @@
     /// @brief Somebody names the holder. @return whether it is another one
     bool follow(const std::string& address)
     {
-        if (address.empty() || address == holder_)
+        if (address.empty() || address == leader_)
         {
             return false;
         }
-        holder_ = address;
+        leader_ = address;
         failures_ = 0;
         return true;
     }
@@ -68,15 +68,15 @@
     /// of every guard.
     [[nodiscard]] bool needs_store() const noexcept
     {
-        return is_lost() || (holder_.empty() && entries_.empty());
+        return is_lost() || (leader_.empty() && entries_.empty());
     }
     [[nodiscard]] bool has_failed() const noexcept
     {
         return failures_ > 0;
     }
-    [[nodiscard]] const std::string& holder() const noexcept
+    [[nodiscard]] const std::string& leader() const noexcept
     {
-        return holder_;
+        return leader_;
     }
 
 private:
@@ -84,7 +84,7 @@
     static constexpr std::int64_t lost_after = 2;
 
     std::vector<std::string> entries_;
-    std::string holder_;
+    std::string leader_;
     std::int64_t failures_ = 0;
     std::size_t asked_ = 0;
 };
