--- a/packages/daemon/src/leader_election.cpp
+++ b/packages/daemon/src/leader_election.cpp
@@ -140,8 +140,8 @@
     record_leader(*item);
     if (!takeover_from_.empty())
     {
-        then_.told(std::exchange(takeover_from_, {}),
-                   0); // another one was faster
+        // Another one was faster.
+        then_.told(std::exchange(takeover_from_, {}), 0);
     }
     if (is_own_previous_incarnation())
     {
--- a/packages/daemon/src/leader_election.hpp
+++ b/packages/daemon/src/leader_election.hpp
@@ -116,8 +116,8 @@
     std::int64_t replaces_ = 0; ///< claimed over this revision; 0: none there
     bool has_held_ = false;     ///< this process, at some time
     claim_schedule turn_;
-    std::string
-        takeover_from_; ///< whose office is being taken; empty: nobody's
+    /// Whose office is being taken; empty: nobody's.
+    std::string takeover_from_;
     bool busy_ = false; ///< a claim is under way
     bool renewing_ = false;
     bool checking_ = false;
--- a/packages/daemon/src/leader_watch.hpp
+++ b/packages/daemon/src/leader_watch.hpp
@@ -54,8 +54,8 @@
     duration wait_;
     on_change changed_;
     adaptive_timeout timeout_;
-    std::int64_t watched_revision_ =
-        0; ///< revision to watch from; 0: look first
+    /// Revision to watch from; 0: look first.
+    std::int64_t watched_revision_ = 0;
     bool busy_ = false;
     std::int64_t turn_ = 0; ///< counts; ends of earlier turns are void
     time_point next_{};
--- a/packages/daemon/src/operator_watch.hpp
+++ b/packages/daemon/src/operator_watch.hpp
@@ -65,8 +65,8 @@
     callbacks then_;
     adaptive_timeout timeout_;
     std::int64_t version_ = 0;
-    std::int64_t watched_revision_ =
-        0; ///< changes above it are watched; 0: read first
+    /// Changes above it are watched; 0: read first.
+    std::int64_t watched_revision_ = 0;
     std::int64_t newest_change_ = 0;
     bool long_poll_ = false;
     bool busy_ = false;
--- a/packages/guard/src/run_reconciler_incarnations.cpp
+++ b/packages/guard/src/run_reconciler_incarnations.cpp
@@ -79,8 +79,8 @@
     poll_failed_ = false;
     knows_clock_ = false;
     vouched_at_ = {};
-    full_reported_at_ =
-        {}; // the first report of a life has to show what it took
+    // The first report of a life has to show what it took.
+    full_reported_at_ = {};
     poll_open_ = false;
     acknowledged_ = 0;
     ++incarnation_count_;
--- a/packages/scheduler/include/springstair/detail/scheduler/scheduler_core.hpp
+++ b/packages/scheduler/include/springstair/detail/scheduler/scheduler_core.hpp
@@ -518,8 +518,8 @@
     bool begun_ = false;
     time_point term_started_at_{};
     std::map<std::string, std::unique_ptr<job_record>> jobs_;
-    std::set<std::string>
-        placeable_jobs_;             ///< jobs that may have tasks to place
+    /// Jobs that may have tasks to place.
+    std::set<std::string> placeable_jobs_;
     std::vector<std::string> dirty_; ///< jobs to write, oldest change first
     std::set<std::string> is_dirty_;
     /// By the guard of the worker whose room they free, and by their job.
@@ -529,13 +529,13 @@
     worker_map workers_;
     interference_model interference_model_;
     ticket_cache advice_;
-    infeasible_queries
-        infeasible_queries_;          ///< of this pass over the waiting tasks
+    /// Of this pass over the waiting tasks.
+    infeasible_queries infeasible_queries_;
     time_point last_lasting_{};       ///< when the newest lasting job came
     time_point next_preemption_at_{}; ///< when lasting runs may give way again
     std::size_t reservations_ = 0;    ///< workers that this pass keeps free
-    std::size_t isolated_workers_ =
-        0;                  ///< workers up that are closed for suspects
+    /// Workers up that are closed for suspects.
+    std::size_t isolated_workers_ = 0;
     bool may_place_ = true; ///< jobs or room changed since the last pass
     time_point last_pass_{};
     std::int64_t next_due_ms_ = 0; ///< time of day of the next round
--- a/packages/scheduler/include/springstair/detail/scheduler/ticket_cache.hpp
+++ b/packages/scheduler/include/springstair/detail/scheduler/ticket_cache.hpp
@@ -59,8 +59,8 @@
     {
         std::map<executor_incarnation, ticket> good;
         std::set<executor_incarnation> asked; ///< have a verdict, good or not
-        std::vector<executor_incarnation>
-            wanted;         ///< to ask about; empty: nothing
+        /// To ask about; empty: nothing.
+        std::vector<executor_incarnation> wanted;
         time_point since{}; ///< when wanted was noted
         time_point not_before{};
     };
--- a/packages/scheduler/include/springstair/detail/scheduler/worker_ledger.hpp
+++ b/packages/scheduler/include/springstair/detail/scheduler/worker_ledger.hpp
@@ -48,8 +48,8 @@
     /// The guard process that told of its executor's life last: of what goes
     /// with that life, it knows.
     std::string witness;
-    time_point
-        incarnation_since{}; ///< when its executor's life was first reported
+    /// When its executor's life was first reported.
+    time_point incarnation_since{};
     /// When looks at its executor began to fail, or its guard fell silent.
     time_point lost_at{};
     time_point previously_lost_at{}; ///< the same of its executor's former life
