--- a/tests/soak/advice.py
+++ b/tests/soak/advice.py
@@ -7,50 +7,50 @@
 
 VALID_MS = 2500
 GOOD_SHARE = 0.6
-MOST_WAITING = 32
+MAX_WAITING = 32
 
 
 class Advice:
     def __init__(self, draw):
         self.draw = draw
-        self.verdicts = {}  # (step, life): whether it may, for good
+        self.verdicts = {}  # (step, incarnation): whether it may, for good
         self.tickets = {}  # text: (step, executor, since, until)
-        self.turn = asyncio.Lock()
+        self.lock = asyncio.Lock()
         self.waiting = 0
 
     async def start(self, address, port):
         self.server = await serve(address, port, self.handle)
 
     async def handle(self, _method, _path, _query, _headers, document):
-        if self.waiting >= MOST_WAITING:
+        if self.waiting >= MAX_WAITING:
             return 429, {}
         self.waiting += 1
-        async with self.turn:
+        async with self.lock:
             await asyncio.sleep(0.02 + 0.002 * len(document["workers"]))
         self.waiting -= 1
-        good = [[life, self.ticket(document["step"], life)]
-                for life in document["workers"]
-                if self.verdict(document["step"], life)]
+        good = [[incarnation, self.ticket(document["step"], incarnation)]
+                for incarnation in document["workers"]
+                if self.verdict(document["step"], incarnation)]
         return 200, {"good": good, "valid_ms": VALID_MS}
 
-    def verdict(self, step, life):
-        name = (step, life.rsplit("-", 1)[0])  # a machine, whatever its life
+    def verdict(self, step, incarnation):
+        name = (step, incarnation.rsplit("-", 1)[0])  # a machine, whatever its incarnation
         if name not in self.verdicts:
             # At least one machine may: else the job could never be done.
             first = not any(step == other for other, _ in self.verdicts)
             self.verdicts[name] = first or self.draw.random() < GOOD_SHARE
         return self.verdicts[name]
 
-    def ticket(self, step, life):
+    def ticket(self, step, incarnation):
         text = f"{self.draw.getrandbits(48):012x}"
         now = time.monotonic()
-        self.tickets[text] = (step, life, now, now + VALID_MS / 1000)
+        self.tickets[text] = (step, incarnation, now, now + VALID_MS / 1000)
         return text
 
     def admits(self, record, executor, order):
         """Whether a start carries what its queue asks for: a ticket of this
-        life of the executor."""
-        job, _ = record.starts_as(order["task"])
+        incarnation of the executor."""
+        job, _ = record.find_task(order["task"])
         if job is None or job.queue != "heavy":
             return True
         step, held_by, since, until = self.tickets.get(
--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -9,8 +9,8 @@
 from fleet import HOST
 from record import Submission
 
-ASK_EVERY_S = 0.5
-TRIES = 6
+QUERY_INTERVAL_S = 0.5
+MAX_TRIES = 6
 WEIGHTS = (70, 25, 5)  # of quick, heavy and lasting jobs
 CRASHING_SHARE = 0.03  # of jobs; some seven tasks in a run of 20 s at 6 a second
 
@@ -26,11 +26,11 @@
         self.idle = [[] for _ in fleet.entries]
 
     async def call(self, method, job, document=None):
-        status, answer, _ = await self.call_any(method, job, document)
+        status, answer, _ = await self.call_entry(method, job, document)
         return status, answer
 
-    async def call_any(self, method, job, document=None):
-        """Also gives the number of the entry that was asked."""
+    async def call_entry(self, method, job, document=None):
+        """Also gives the number of the entry that was asked_at."""
         headers = {"Host": HOST, "Content-Type": "application/json",
                    "Deadline-Ms": "2500"}
         path = f"/{job.queue}/{job.ident}"
@@ -62,11 +62,11 @@
         job = Submission(f"{draw.getrandbits(64):016x}", "", steps)
         job.spec = json.dumps({"of": job.ident})
         job.queue = kind
-        self.let_crash(job)
+        self.add_crashing_task(job)
         self.record.jobs[job.ident] = job
         return job
 
-    def let_crash(self, job):
+    def add_crashing_task(self, job):
         """Some have a task that crashes each executor that starts it."""
         draw = random.Random(job.ident)
         if draw.random() < self.crashing:
@@ -77,10 +77,10 @@
         """As the platform's clients: again after no answer or a refusal."""
         visible = [{name: value for name, value in step.items()
                     if name != "traits"} for step in job.steps]
-        for _ in range(TRIES):
+        for _ in range(MAX_TRIES):
             status, _ = await self.call(
                 "POST", job, {"spec": job.spec, "steps": visible})
-            self.record.answered(job, status)
+            self.record.on_answer(job, status)
             if status == 200:
                 return True
             await asyncio.sleep(self.draw.uniform(0.1, 0.6))
@@ -88,10 +88,10 @@
 
     async def cancel(self, job):
         job.cancel_sent = True
-        for _ in range(TRIES):
+        for _ in range(MAX_TRIES):
             status, _ = await self.call("DELETE", job)
             if status in (200, 410):
-                self.record.cancelled(job)
+                self.record.on_cancelled(job)
                 return
             await asyncio.sleep(0.3)
 
@@ -102,16 +102,16 @@
         if self.draw.random() < 0.1:
             await asyncio.sleep(self.draw.uniform(0, 1.5))
             await self.cancel(job)
-        while not until.is_set() and job.shown in ("pending", "running"):
-            await asyncio.sleep(ASK_EVERY_S)
-            await self.ask(job)
+        while not until.is_set() and job.state in ("pending", "running"):
+            await asyncio.sleep(QUERY_INTERVAL_S)
+            await self.query(job)
 
-    async def ask(self, job):
-        asked = time.monotonic()
-        status, answer, entry = await self.call_any("GET", job)
-        self.record.shown(job, status, answer.get("state"), asked, entry)
+    async def query(self, job):
+        asked_at = time.monotonic()
+        status, answer, entry = await self.call_entry("GET", job)
+        self.record.on_state(job, status, answer.get("state"), asked_at, entry)
 
-    async def run(self, seconds, a_second, until):
+    async def run(self, seconds, rate, until):
         """Submits jobs for some time, then follows them until told."""
         loop = asyncio.get_running_loop()
         end = loop.time() + seconds
@@ -119,7 +119,7 @@
         while loop.time() < end:
             followed.append(asyncio.create_task(
                 self.follow(self.make_job(), until)))
-            await asyncio.sleep(self.draw.expovariate(a_second))
+            await asyncio.sleep(self.draw.expovariate(rate))
         await asyncio.gather(*followed)
 
     def close(self):
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -5,11 +5,11 @@
 import signal
 import time
 
-from executor import KEEPS_ID
+from executor import KEEPS_ID_SHARE
 from fleet import ZONES
 
 BETWEEN_REPORTS_S = 0.6  # guards report twice a second
-CLOSED_X = 3  # closures outlast the bound on starts, most of them
+CLOSURE_FACTOR = 3  # closures outlast the bound on starts, most of them
 
 
 class Faults:
@@ -19,7 +19,7 @@
         self.draw = draw
         self.kinds = self.kinds_of(only)
         for kind in self.kinds:
-            record.played[kind.__name__] += 0  # told also if never played
+            record.fault_counts[kind.__name__] += 0  # told also if never played
 
     def kinds_of(self, only):
         """Some are drawn for themselves: seeds keep their meaning."""
@@ -44,9 +44,9 @@
             if loop.time() >= end:
                 break
             kind = self.draw.choice(self.kinds)
-            length = self.draw.uniform(0.3, 5)
-            self.record.played[kind.__name__] += 1
-            running.append(asyncio.create_task(kind(length)))
+            duration = self.draw.uniform(0.3, 5)
+            self.record.fault_counts[kind.__name__] += 1
+            running.append(asyncio.create_task(kind(duration)))
         for one in running:
             one.cancel()
         for error in await asyncio.gather(*running, return_exceptions=True):
@@ -56,7 +56,7 @@
     def process(self):
         return self.draw.choice(self.fleet.processes)
 
-    def holder(self):
+    def leader(self):
         """The entry that holds the jobs, by the store."""
         item = self.fleet.store.items.get("springstair/holder")
         address = self.fleet.store.text(item)
@@ -66,166 +66,166 @@
         return self.process()
 
     def victim(self):
-        return self.holder() if self.draw.random() < 0.4 else self.process()
+        return self.leader() if self.draw.random() < 0.4 else self.process()
 
     # -- processes ---------------------------------------------------------------
 
-    async def kill(self, _length):
+    async def kill(self, _duration):
         one = self.victim()
-        self.record.disturb("SIGKILL", one.name)
+        self.record.note_fault("SIGKILL", one.name)
         one.signal(signal.SIGKILL)
 
-    async def kill_all(self, _length):
-        self.record.disturb("SIGKILL to all")
+    async def kill_all(self, _duration):
+        self.record.note_fault("SIGKILL to all")
         for one in self.fleet.processes:
             one.signal(signal.SIGKILL)
 
-    async def stop(self, _length):
+    async def stop(self, _duration):
         one = self.victim()
-        self.record.disturb("SIGTERM", one.name)
+        self.record.note_fault("SIGTERM", one.name)
         one.signal(signal.SIGTERM)
 
-    async def roll(self, length):
+    async def roll(self, duration):
         for one in list(self.fleet.processes):
-            self.record.disturb("SIGTERM", one.name, "in turn")
+            self.record.note_fault("SIGTERM", one.name, "in turn")
             one.signal(signal.SIGTERM)
-            await asyncio.sleep(length / 5)
+            await asyncio.sleep(duration / 5)
 
-    async def pause(self, length):
+    async def pause(self, duration):
         one = self.victim()
-        self.record.disturb("SIGSTOP", one.name, f"{length:.1f} s")
+        self.record.note_fault("SIGSTOP", one.name, f"{duration:.1f} s")
         one.signal(signal.SIGSTOP)
-        await asyncio.sleep(length)
-        self.record.disturb("SIGCONT", one.name)
+        await asyncio.sleep(duration)
+        self.record.note_fault("SIGCONT", one.name)
         one.signal(signal.SIGCONT)
 
     # -- links -------------------------------------------------------------------
 
-    async def on_link(self, what, length, **fields):
+    async def on_link(self, what, duration, **fields):
         link = self.draw.choice(self.fleet.links)
-        self.record.disturb(what, link.name, f"{length:.1f} s")
+        self.record.note_fault(what, link.name, f"{duration:.1f} s")
         for name, value in fields.items():
             setattr(link, name, value)
-        await asyncio.sleep(length)
-        self.record.disturb("heals", link.name)
+        await asyncio.sleep(duration)
+        self.record.note_fault("heals", link.name)
         link.heal()
 
-    async def delay(self, length):
-        await self.on_link("delay", length,
+    async def delay(self, duration):
+        await self.on_link("delay", duration,
                            delay_s=self.draw.uniform(0.05, 0.6))
 
-    async def silence(self, length):
-        await self.on_link("silence", length, silent_in=True, silent_out=True)
+    async def silence(self, duration):
+        await self.on_link("silence", duration, silent_in=True, silent_out=True)
 
-    async def half_cut(self, length):
+    async def half_cut(self, duration):
         side = self.draw.choice(("silent_in", "silent_out"))
-        await self.on_link(side, length, **{side: True})
+        await self.on_link(side, duration, **{side: True})
 
-    async def reset(self, _length):
+    async def reset(self, _duration):
         link = self.draw.choice(self.fleet.links)
-        self.record.disturb("reset", link.name)
+        self.record.note_fault("reset", link.name)
         link.reset()
 
-    async def hush(self, _length):
+    async def hush(self, _duration):
         link = self.draw.choice(self.fleet.links)
-        self.record.disturb("silent for good", link.name, len(link.open))
-        link.hush()
+        self.record.note_fault("silent for good", link.name, len(link.open))
+        link.silence_connections()
 
-    async def hush_all(self, _length):
-        self.record.disturb("silent for good, all links")
+    async def hush_all(self, _duration):
+        self.record.note_fault("silent for good, all links")
         for link in self.fleet.links:
-            link.hush()
+            link.silence_connections()
 
-    async def hold_back(self, length):
+    async def hold_back(self, duration):
         """What a guard sends to entries comes after its end, when its
         successor has reported from the same address."""
         guard = self.draw.choice([one for one in self.fleet.processes
                                   if one.name in self.fleet.guards])
-        self.record.disturb("held back and SIGKILL", guard.name,
-                            f"{length:.1f} s")
+        self.record.note_fault("held back and SIGKILL", guard.name,
+                            f"{duration:.1f} s")
         links = [link for link in self.fleet.links
                  if link.name.startswith("to entry")]
         for link in links:
             link.hold()
         await asyncio.sleep(BETWEEN_REPORTS_S)
         guard.signal(signal.SIGKILL)
-        await asyncio.sleep(length)
+        await asyncio.sleep(duration)
         for link in links:
             link.heal()
 
     # -- the store ---------------------------------------------------------------
 
-    async def on_store(self, length, **fields):
+    async def on_store(self, duration, **fields):
         store = self.fleet.store
-        self.record.disturb("store", fields, f"{length:.1f} s")
-        usual = {name: getattr(type(store)(None), name) for name in fields}
+        self.record.note_fault("store", fields, f"{duration:.1f} s")
+        defaults = {name: getattr(type(store)(None), name) for name in fields}
         for name, value in fields.items():
             setattr(store, name, value)
-        await asyncio.sleep(length)
-        self.record.disturb("store heals", *fields)
-        for name, value in usual.items():
+        await asyncio.sleep(duration)
+        self.record.note_fault("store heals", *fields)
+        for name, value in defaults.items():
             setattr(store, name, value)
 
-    async def store_away(self, length):
-        await self.on_store(length, away=self.draw.choice(
+    async def store_away(self, duration):
+        await self.on_store(duration, outage=self.draw.choice(
             ("silent", "busy", "reset")))
 
-    async def store_slow(self, length):
-        await self.on_store(length, delay_s=self.draw.uniform(0.05, 0.4))
+    async def store_slow(self, duration):
+        await self.on_store(duration, delay_s=self.draw.uniform(0.05, 0.4))
 
-    async def store_loses(self, length):
-        await self.on_store(length, lost_share=0.3)
+    async def store_loses(self, duration):
+        await self.on_store(duration, lost_share=0.3)
 
-    async def store_late(self, length):
-        await self.on_store(length, late_share=0.3)
+    async def store_late(self, duration):
+        await self.on_store(duration, late_share=0.3)
 
-    async def store_forgets(self, _length):
-        self.record.disturb("store forgets its history")
-        self.fleet.store.forget_history()
+    async def store_forgets(self, _duration):
+        self.record.note_fault("store forgets its history")
+        self.fleet.store.compact_history()
 
-    async def store_revokes(self, _length):
-        self.record.disturb("store revokes leased keys")
+    async def store_revokes(self, _duration):
+        self.record.note_fault("store revokes leased keys")
         self.fleet.store.revoke("springstair/")
 
-    async def configure(self, _length):
-        self.record.disturb("a newer configuration")
+    async def configure(self, _duration):
+        self.record.note_fault("a newer configuration")
         self.fleet.configure()
 
-    async def close(self, length):
+    async def close(self, duration):
         """No disturbance: it excuses nothing."""
         zone = self.draw.choice(ZONES)
         if zone in self.record.closed:
             return
         self.fleet.store.close(zone)
         self.record.closed[zone] = time.monotonic()
-        self.record.note("closed", zone, f"{CLOSED_X * length:.1f} s")
-        await asyncio.sleep(CLOSED_X * length)
+        self.record.note("closed", zone, f"{CLOSURE_FACTOR * duration:.1f} s")
+        await asyncio.sleep(CLOSURE_FACTOR * duration)
         self.fleet.store.open(zone)
         del self.record.closed[zone]
         self.record.note("open", zone)
 
     # -- workers -----------------------------------------------------------------
 
-    async def worker_crash(self, length):
+    async def worker_crash(self, duration):
         one = self.draw.choice(self.fleet.executors)
-        self.record.disturb("crash", one.life, f"{length:.1f} s")
-        one.crash(length, one.births.random() < KEEPS_ID)
+        self.record.note_fault("crash", one.incarnation, f"{duration:.1f} s")
+        one.crash(duration, one.restart_draw.random() < KEEPS_ID_SHARE)
 
-    async def on_worker(self, length, **fields):
+    async def on_worker(self, duration, **fields):
         one = self.draw.choice(self.fleet.executors)
-        self.record.disturb(one.life, fields, f"{length:.1f} s")
+        self.record.note_fault(one.incarnation, fields, f"{duration:.1f} s")
         for name, value in fields.items():
             setattr(one, name, value)
-        await asyncio.sleep(length)
-        self.record.disturb(one.life, "heals")
+        await asyncio.sleep(duration)
+        self.record.note_fault(one.incarnation, "heals")
         for name, value in fields.items():
             setattr(one, name, type(value)(0))
 
-    async def worker_late(self, length):
-        await self.on_worker(length, late_share=0.3)
+    async def worker_late(self, duration):
+        await self.on_worker(duration, late_share=0.3)
 
-    async def worker_fails(self, length):
-        await self.on_worker(length, fails_all=True)
+    async def worker_fails(self, duration):
+        await self.on_worker(duration, fails_all=True)
 
-    async def worker_still(self, length):
-        await self.on_worker(length, still=True)
+    async def worker_still(self, duration):
+        await self.on_worker(duration, stalled=True)
--- a/tests/soak/fleet.py
+++ b/tests/soak/fleet.py
@@ -32,7 +32,7 @@
 # fleet, 160 MB and 4,100 descriptors, since this fleet is a twentieth of it.
 MEMORY_MB = 160
 DESCRIPTORS = 4100
-MOST_SHARE = 1 / 8
+MAX_SHARE = 1 / 8
 
 
 def memory_mb(pid):
@@ -65,60 +65,60 @@
         with open(self.path, "w", encoding="utf-8") as out:
             json.dump(settings, out)
         self.child = None
-        self.lives = 0
-        self.ended_by_us = False
+        self.incarnation_count = 0
+        self.stopped_by_harness = False
         self.paused = False
-        self.own_exits = 0
-        self.most_mb = 0
-        self.most_descriptors = 0
+        self.unexpected_exits = 0
+        self.max_mb = 0
+        self.max_descriptors = 0
 
     def start(self):
-        self.ended_by_us = False
-        self.lives += 1
+        self.stopped_by_harness = False
+        self.incarnation_count += 1
         with open(self.log, "a", encoding="utf-8") as out:
             self.child = subprocess.Popen(
                 [PROGRAM, "--settings", self.path],
                 stdout=out, stderr=out)
 
-    def life(self):
+    def incarnation(self):
         """Tells one run of the program from the next."""
-        return f"{self.name}#{self.lives}"
+        return f"{self.name}#{self.incarnation_count}"
 
-    def runs(self):
+    def is_running(self):
         return self.child is not None and self.child.poll() is None
 
-    def note_use(self):
-        if self.runs():
-            self.most_mb = max(self.most_mb, memory_mb(self.child.pid))
-            self.most_descriptors = max(self.most_descriptors,
+    def sample_usage(self):
+        if self.is_running():
+            self.max_mb = max(self.max_mb, memory_mb(self.child.pid))
+            self.max_descriptors = max(self.max_descriptors,
                                         descriptors(self.child.pid))
 
-    def uses_too_much(self):
-        return (self.most_mb > MOST_SHARE * MEMORY_MB or
-                self.most_descriptors > MOST_SHARE * DESCRIPTORS)
+    def exceeds_bounds(self):
+        return (self.max_mb > MAX_SHARE * MEMORY_MB or
+                self.max_descriptors > MAX_SHARE * DESCRIPTORS)
 
     def signal(self, which):
-        if not self.runs():
+        if not self.is_running():
             return
         if which in (signal.SIGTERM, signal.SIGKILL):
-            self.ended_by_us = True
+            self.stopped_by_harness = True
         # What is killed while it is paused has ended, too.
         self.paused = which == signal.SIGSTOP or (
             self.paused and which not in (signal.SIGCONT, signal.SIGKILL))
         self.child.send_signal(which)
 
-    def revive(self):
+    def restart_if_exited(self):
         """Starts it again if it has ended; counts ends of its own. Tells
         whether it did."""
-        if self.runs():
+        if self.is_running():
             return False
-        if self.child is not None and not self.ended_by_us:
-            self.own_exits += 1
+        if self.child is not None and not self.stopped_by_harness:
+            self.unexpected_exits += 1
         self.start()
         return True
 
     def end(self):
-        if self.runs():
+        if self.is_running():
             self.child.send_signal(signal.SIGCONT)
             self.child.kill()
         if self.child:
@@ -142,7 +142,7 @@
         record.entries = entries
         self.executors = []
         self.version = 0
-        self.keeper = None
+        self.supervisor = None
 
     def ip(self, kind, number):
         """Kinds: 0 a process's own, 1 its proxy, 2 executors, 3 the store."""
@@ -156,17 +156,17 @@
         names = self.entries + self.guards
         for number, name in enumerate(names):
             await self.add(number, name)
-        self.keeper = asyncio.create_task(self.keep())
+        self.supervisor = asyncio.create_task(self.supervise())
 
     async def add(self, number, name):
-        own, seen = self.ip(0, number), self.ip(1, number)
-        await self.link("to " + name, f"{own}:{INTERNAL}", seen, INTERNAL)
-        await self.link("store of " + name, f"{self.ip(3, 0)}:{STORE}", seen,
-                        STORE)
+        own, announced = self.ip(0, number), self.ip(1, number)
+        await self.link("to " + name, f"{own}:{INTERNAL}", announced, INTERNAL)
+        await self.link("store of " + name, f"{self.ip(3, 0)}:{STORE}",
+                        announced, STORE)
         settings = {
             "name": name, "data_centre": "dc-1", "address": own,
-            "announced_address": seen, "internal_port": INTERNAL,
-            "store": f"{seen}:{STORE}", "longest_lease_ms": 6000,
+            "announced_address": announced, "internal_port": INTERNAL,
+            "store": f"{announced}:{STORE}", "longest_lease_ms": 6000,
             "stop_ms": 200, "grace_s": GRACE_S, "apply_within_ms": APPLY_MS,
             "memory_mb": MEMORY_MB, "descriptors": DESCRIPTORS,
             "entries": [f"{self.ip(1, n)}:{INTERNAL}"
@@ -176,29 +176,29 @@
                          "readiness": f"{own}:{READINESS}",
                          "advice": f"{self.ip(3, 0)}:{ADVICE}",
                          "processors": 1 if number else 2}
-            await self.link("callers of " + name, f"{own}:{CALLERS}", seen,
-                            CALLERS)
+            await self.link("callers of " + name, f"{own}:{CALLERS}",
+                            announced, CALLERS)
         else:
             settings |= {"role": "job_guard",
                          "executors": f"{own}:{HEARTBEATS}",
-                         "executor": f"{seen}:{EXECUTOR}"}
-            await self.add_executor(number, own, seen)
+                         "executor": f"{announced}:{EXECUTOR}"}
+            await self.add_executor(number, own, announced)
         process = Process(name, settings, self.directory)
         if name in self.guards:
-            self.links[-1].sender = process.life
+            self.links[-1].sender = process.incarnation
         process.start()
-        self.record.note("started", process.life(), process.child.pid)
+        self.record.note("started", process.incarnation(), process.child.pid)
         self.processes.append(process)
 
-    async def add_executor(self, number, own, seen):
+    async def add_executor(self, number, own, announced):
         one = Executor(f"x{number}", ZONES[number % len(ZONES)], self.draw,
                        self.record, f"{own}:{HEARTBEATS}", CAPACITY,
                        self.advice, self.enforces)
         await one.start(self.ip(2, number), EXECUTOR)
-        link = await self.link(f"executor {number}", one.address, seen,
+        link = await self.link(f"executor {number}", one.address, announced,
                                EXECUTOR)
         one.senders = link.senders
-        one.address = f"{seen}:{EXECUTOR}"  # as its heartbeats say
+        one.address = f"{announced}:{EXECUTOR}"  # as its heartbeats say
         self.executors.append(one)
 
     async def link(self, name, target, address, port):
@@ -226,22 +226,22 @@
                                   "enforces_capacity": self.enforces}]}
         self.store.configure(document)
 
-    async def keep(self):
+    async def supervise(self):
         while True:
             await asyncio.sleep(0.1)
             for one in self.processes:
-                one.note_use()
+                one.sample_usage()
                 if not one.paused:
-                    self.revive(one)
+                    self.restart_if_exited(one)
 
-    def revive(self, one):
+    def restart_if_exited(self, one):
         try:
-            if one.revive():
-                self.record.note("started", one.life(), one.child.pid)
+            if one.restart_if_exited():
+                self.record.note("started", one.incarnation(), one.child.pid)
         except OSError as error:
             self.record.breach("HARNESS", one.name, "does not start:", error)
 
-    def calm(self):
+    def end_faults(self):
         """Ends every fault."""
         for link in self.links:
             link.heal()
@@ -249,7 +249,7 @@
             if one.paused:
                 one.signal(signal.SIGCONT)
         store = self.store
-        store.away = None
+        store.outage = None
         store.delay_s = store.lost_share = store.late_share = 0.0
         for zone in list(self.record.closed):
             store.open(zone)
@@ -257,14 +257,14 @@
         for one in self.executors:
             one.late_share = one.unread_share = one.lost_share = 0.0
             one.busy_share = one.slow_share = 0.0
-            one.fails_all = one.still = False
+            one.fails_all = one.stalled = False
 
     def connection(self, number):
         return Connection(f"{self.ip(1, number)}:{CALLERS}")
 
     def end(self):
-        if self.keeper:
-            self.keeper.cancel()
+        if self.supervisor:
+            self.supervisor.cancel()
         for one in self.processes:
             one.end()
         for one in [self.store, self.advice, *self.links, *self.executors]:
--- a/tests/soak/job_drills.py
+++ b/tests/soak/job_drills.py
@@ -18,22 +18,22 @@
 from record import Record  # noqa: E402
 from wire import Reset  # noqa: E402
 
-UP_S = 20  # ends a drill whose fleet does not come up
+TIMEOUT_S = 20  # ends a drill whose fleet does not come up
 WARM_TASKS = 12  # several at once on each of two executors
 SHORT_TASK_S = 0.2
 LONG_TASK_S = 3.0  # ends after the office has moved
-ARRIVES_S = 0.1  # a question is at the paused program by then
-BACK_S = 1.0  # the process is started again after 0.1 s; its lease ends at 2 s
+QUERY_SENT_S = 0.1  # a question is at the paused program by then
+TAKEOVER_S = 1.0  # the process is started again after 0.1 s; its lease ends at 2 s
 UNREAD_S = 1.9  # below the time limit of a start, 2 s
 BUSY_S = 3.0  # for what comes after a start
 UNREAD_S = 1.9  # below the time limit of a start, 2 s
 BUSY_S = 2.0  # the task runs for longer
-HEARD_S = 2.5  # each entry has heard from the holder
-LOST_WRITES = 5
-STARTED_S = 0.3
-REST_S = 6.0
-WATCH_S = 0.7  # the holder's watch of the operator's changes
-SOON_S = 1.6  # a caller that is given up on waits no longer for its answer
+LEADER_KNOWN_S = 2.5  # each entry has heard from the holder
+LOST_ANSWERS = 5
+MAX_START_S = 0.3
+IDLE_S = 6.0
+WATCH_INTERVAL_S = 0.7  # the holder's watch of the operator's changes
+MAX_ANSWER_S = 1.6  # a caller that is given up on waits no longer for its answer
 
 
 class FirstStart:
@@ -47,34 +47,34 @@
         self.executor = None
         self.busy_until = 0.0
         for one in fleet.executors:
-            self.meet(one)
+            self.instrument(one)
 
-    def meet(self, executor):
-        usual = executor.note_call
+    def instrument(self, executor):
+        original = executor.note_call
 
         def note_call(path, headers, order):
-            call = usual(path, headers, order)
+            call = original(path, headers, order)
             if path.endswith("/run-start") and self.executor is None:
                 self.call, self.executor = call, executor
             return call
 
-        usual_answer = executor.answer
+        original_answer = executor.answer
 
         def answer(call, path, *order):
             if self.refuses(executor, call) and path.endswith("/run-start"):
                 return 503, {}
-            return usual_answer(call, path, *order)
+            return original_answer(call, path, *order)
 
         executor.note_call = note_call
         executor.answer = answer
-        executor.leave_unread = self.leave_unread
+        executor.delay_reading = self.delay_reading
         executor.lose_answer = self.lose_answer
 
     def refuses(self, executor, call):
         return (executor is self.executor and call != self.call
                 and time.monotonic() < self.busy_until)
 
-    async def leave_unread(self, call):
+    async def delay_reading(self, call):
         if call and call == self.call:
             self.busy_until = time.monotonic() + self.unread_s + BUSY_S
             await asyncio.sleep(self.unread_s)
@@ -83,7 +83,7 @@
         if call and call == self.call:
             raise Reset
 
-    async def came(self):
+    async def has_arrived(self):
         return self.executor is not None
 
 
@@ -95,22 +95,22 @@
         self.fleet = Fleet(draw, self.record, self.directory, guards=2)
         await self.fleet.start()
         self.caller = Caller(self.fleet, self.record, draw)
-        await self.until("a job is accepted", self.accepts)
+        await self.wait_until("a job is accepted", self.accepts_job)
 
     async def asyncTearDown(self):
         self.caller.close()
         self.fleet.end()
         shutil.rmtree(self.directory)
 
-    async def until(self, what, condition):
-        end = time.monotonic() + UP_S
+    async def wait_until(self, description, condition):
+        end = time.monotonic() + TIMEOUT_S
         while time.monotonic() < end:
             if await condition():
                 return
             await asyncio.sleep(0.1)
-        self.fail("waited in vain: " + what)
+        self.fail("waited in vain: " + description)
 
-    async def accepts(self):
+    async def accepts_job(self):
         status, _ = await self.submit(self.caller.make_job())
         return status == 200
 
@@ -119,14 +119,14 @@
                   if name != "traits"} for step in job.steps]
         answer = await self.caller.call(
             "POST", job, {"spec": job.spec, "steps": steps})
-        self.record.answered(job, answer[0])
+        self.record.on_answer(job, answer[0])
         return answer
 
-    async def holds(self, address):
+    async def is_leader(self, address):
         store = self.fleet.store
         return address in store.text(store.items.get("springstair/holder"))
 
-    async def ask(self, entry, job):
+    async def query_state(self, entry, job):
         """The state that an entry shows; none if it shows none."""
         connection = self.fleet.connection(entry)
         headers = {"Host": HOST, "Deadline-Ms": "2500"}
@@ -135,8 +135,8 @@
         connection.close()
         return answer.get("state") if status == 200 else None
 
-    async def shows(self, entry, job, state):
-        return await self.ask(entry, job) == state
+    async def has_state(self, entry, job, state):
+        return await self.query_state(entry, job) == state
 
     async def submit_tasks(self, count, seconds):
         """A job of one step that nothing goes wrong in by itself."""
@@ -147,24 +147,25 @@
         self.assertTrue(await self.caller.submit(job))
         return job
 
-    async def is_done(self, job):
-        await self.until("it is done",
-                         lambda: self.shows(0, job, "succeeded"))
+    async def wait_until_done(self, job):
+        await self.wait_until("it is done",
+                         lambda: self.has_state(0, job, "succeeded"))
 
-    async def runs_once(self, unread_s=0.0, then=lambda first: None):
+    async def check_runs_once(self, unread_s=0.0, then=lambda first: None):
         """A task whose first start is carried out and not answered."""
         # Guards keep connections to their executors from here on.
-        await self.is_done(await self.submit_tasks(WARM_TASKS, SHORT_TASK_S))
+        await self.wait_until_done(
+            await self.submit_tasks(WARM_TASKS, SHORT_TASK_S))
         first = FirstStart(self.fleet, unread_s)
         job = await self.submit_tasks(1, LONG_TASK_S)
-        await self.until("a start comes", first.came)
+        await self.wait_until("a start comes", first.has_arrived)
         then(first)
-        await self.is_done(job)
+        await self.wait_until_done(job)
         await asyncio.sleep(1)
         self.assertEqual(self.record.breaches, [])
 
     async def test_a_start_whose_connection_ends_runs_once(self):
-        await self.runs_once()
+        await self.check_runs_once()
 
     async def test_a_start_that_outlives_its_guard_runs_once(self):
 
@@ -174,19 +175,19 @@
             next(one for one in self.fleet.processes
                  if one.name == guard).signal(signal.SIGKILL)
 
-        await self.runs_once(UNREAD_S, kill_its_guard)
+        await self.check_runs_once(UNREAD_S, kill_its_guard)
 
     async def test_a_silent_store_is_told_soon(self):
-        self.fleet.store.away = "silent"
+        self.fleet.store.outage = "silent"
         jobs = [self.caller.make_job() for _ in range(8)]
         for job in jobs:
             began = time.monotonic()
             status, _ = await self.submit(job)
             took = time.monotonic() - began
             self.assertIn(status, (503, 504))
-            self.assertLess(took, SOON_S, f"answered {status}")
-        self.fleet.calm()
-        await self.until("jobs are accepted again", self.accepts)
+            self.assertLess(took, MAX_ANSWER_S, f"answered {status}")
+        self.fleet.end_faults()
+        await self.wait_until("jobs are accepted again", self.accepts_job)
         await asyncio.sleep(1)
         self.record.check_end()
         self.assertEqual([one for one in self.record.breaches
@@ -210,38 +211,39 @@
     # Nothing else was written for 0.35 s after each answer that was lost, and
     # everything waited for that.
     async def test_a_write_whose_answer_is_lost_is_soon_repeated(self):
-        larger = self.fleet.processes[0].settings["announced_address"]
-        await self.until("entry-0 holds", lambda: self.holds(larger))
-        self.fleet.store.loses_below = "springstair/progress/"
+        entry_0 = self.fleet.processes[0].settings["announced_address"]
+        await self.wait_until("entry-0 holds", lambda: self.is_leader(entry_0))
+        self.fleet.store.lose_answers_below = "springstair/progress/"
         waits = []
-        for _ in range(LOST_WRITES):
+        for _ in range(LOST_ANSWERS):
             began = time.monotonic()
             job = await self.submit_tasks(1, SHORT_TASK_S)
-            while not await self.shows(0, job, "running"):
+            while not await self.has_state(0, job, "running"):
                 await asyncio.sleep(0.01)
             waits.append(time.monotonic() - began)
-        self.assertLess(min(waits), STARTED_S, waits)
-        self.assertGreaterEqual(len(self.fleet.store.lost_keys), LOST_WRITES)
+        self.assertLess(min(waits), MAX_START_S, waits)
+        self.assertGreaterEqual(len(self.fleet.store.lost_keys), LOST_ANSWERS)
 
     # Each entry asked the store for the operator's changes every 0.7 s, and each
     # guard for the holder every 20 s: 78% of the calls of 984 machines.
     async def test_at_rest_only_the_holder_asks_the_store(self):
-        larger = self.fleet.processes[0].settings["announced_address"]
-        await self.until("entry-0 holds", lambda: self.holds(larger))
-        await asyncio.sleep(HEARD_S)
-        asked = self.fleet.store.noted = []
-        await asyncio.sleep(REST_S)
-        of_operator = asked.count(("/springstair/kv-watch", "op/"))
-        of_holder = sum(prefix == "springstair/holder" for _, prefix in asked)
-        self.assertLessEqual(of_operator, REST_S / WATCH_S + 1)
-        self.assertLessEqual(of_holder, len(self.fleet.entries))
+        entry_0 = self.fleet.processes[0].settings["announced_address"]
+        await self.wait_until("entry-0 holds", lambda: self.is_leader(entry_0))
+        await asyncio.sleep(LEADER_KNOWN_S)
+        calls = self.fleet.store.recorded_calls = []
+        await asyncio.sleep(IDLE_S)
+        operator_polls = calls.count(("/springstair/kv-watch", "op/"))
+        holder_polls = sum(prefix == "springstair/holder"
+                           for _, prefix in calls)
+        self.assertLessEqual(operator_polls, IDLE_S / WATCH_INTERVAL_S + 1)
+        self.assertLessEqual(holder_polls, len(self.fleet.entries))
 
     async def test_an_entry_whose_watch_hears_nothing_follows_the_operator(
             self):
-        larger = self.fleet.processes[0].settings["announced_address"]
-        await self.until("entry-0 holds", lambda: self.holds(larger))
-        await asyncio.sleep(HEARD_S)
-        self.store_link(1).hush()
+        entry_0 = self.fleet.processes[0].settings["announced_address"]
+        await self.wait_until("entry-0 holds", lambda: self.is_leader(entry_0))
+        await asyncio.sleep(LEADER_KNOWN_S)
+        self.store_link(1).silence_connections()
         self.fleet.remove_route("quick")
         written = time.monotonic()
         job = self.caller.make_job()
@@ -250,29 +252,30 @@
         async def is_refused():
             return await self.call(1, "GET", job) == 404
 
-        await self.until("the route is gone", is_refused)
+        await self.wait_until("the route is gone", is_refused)
         self.assertLess(time.monotonic() - written, APPLY_MS / 1000)
 
     # One entry after the other refused its first callers, and passed the
     # next ones on to a holder that the store turned away, too.
     async def test_an_entry_that_the_store_turns_away_serves_its_callers(self):
-        larger = self.fleet.processes[0].settings["announced_address"]
-        await self.until("entry-0 holds", lambda: self.holds(larger))
-        await asyncio.sleep(HEARD_S)
-        self.store_link(2).begin_turning_away()
+        entry_0 = self.fleet.processes[0].settings["announced_address"]
+        await self.wait_until("entry-0 holds", lambda: self.is_leader(entry_0))
+        await asyncio.sleep(LEADER_KNOWN_S)
+        self.store_link(2).begin_rejecting()
         for _ in range(3):
             job = self.caller.make_job()
             self.assertEqual(await self.call(2, "POST", job), 200)
-            self.assertIn(await self.ask(2, job), ("pending", "running"))
+            self.assertIn(await self.query_state(2, job),
+                          ("pending", "running"))
             self.assertEqual(await self.call(2, "DELETE", job), 200)
-            self.assertEqual(await self.ask(2, job), "cancelled")
+            self.assertEqual(await self.query_state(2, job), "cancelled")
         unknown = self.caller.make_job()
         self.assertEqual(await self.call(2, "GET", unknown), 410)
 
     async def test_a_holder_that_the_store_turns_away_gives_its_office(self):
-        larger = self.fleet.processes[0].settings["announced_address"]
-        await self.until("entry-0 holds", lambda: self.holds(larger))
-        await asyncio.sleep(HEARD_S)
+        entry_0 = self.fleet.processes[0].settings["announced_address"]
+        await self.wait_until("entry-0 holds", lambda: self.is_leader(entry_0))
+        await asyncio.sleep(LEADER_KNOWN_S)
         items = self.fleet.store.items
         before = items["springstair/holder"]["revision"]
 
@@ -281,33 +284,33 @@
             return item is not None and item["revision"] > before
 
         turned_away = time.monotonic()
-        self.store_link(0).begin_turning_away()
-        await self.until("another entry holds", is_new)
-        self.assertLess(time.monotonic() - turned_away, BACK_S)
-        await self.is_done(await self.submit_tasks(2, SHORT_TASK_S))
+        self.store_link(0).begin_rejecting()
+        await self.wait_until("another entry holds", is_new)
+        self.assertLess(time.monotonic() - turned_away, TAKEOVER_S)
+        await self.wait_until_done(await self.submit_tasks(2, SHORT_TASK_S))
 
     async def test_a_holder_that_stops_gives_its_office(self):
-        holder = self.fleet.processes[0]
-        await self.until("entry-0 holds", lambda: self.holds(
-            holder.settings["announced_address"]))
-        await asyncio.sleep(HEARD_S)
+        leader = self.fleet.processes[0]
+        await self.wait_until("entry-0 holds", lambda: self.is_leader(
+            leader.settings["announced_address"]))
+        await asyncio.sleep(LEADER_KNOWN_S)
         items, seen = self.fleet.store.items, []
-        holder.signal(signal.SIGTERM)
+        leader.signal(signal.SIGTERM)
         while len(set(seen)) < 2:
             seen.append(items.get("springstair/holder", {}).get("revision"))
             await asyncio.sleep(0.01)
         self.assertNotIn(None, seen)  # at no time without a holder
 
     async def test_the_office_moves_to_the_larger_entry(self):
-        larger = self.fleet.processes[0].settings["announced_address"]
+        entry_0 = self.fleet.processes[0].settings["announced_address"]
 
-        await self.until("entry-0 holds", lambda: self.holds(larger))
-        await self.until("jobs are accepted", self.accepts)
+        await self.wait_until("entry-0 holds", lambda: self.is_leader(entry_0))
+        await self.wait_until("jobs are accepted", self.accepts_job)
 
     async def test_a_holder_that_is_started_again_takes_its_office_back(self):
-        holder = self.fleet.processes[0]
-        await self.until("entry-0 holds", lambda: self.holds(
-            holder.settings["announced_address"]))
+        leader = self.fleet.processes[0]
+        await self.wait_until("entry-0 holds", lambda: self.is_leader(
+            leader.settings["announced_address"]))
         items = self.fleet.store.items
         before = items["springstair/holder"]["revision"]
 
@@ -316,14 +319,15 @@
             return item is not None and item["revision"] > before
 
         killed = time.monotonic()
-        holder.signal(signal.SIGKILL)
-        await self.until("an entry holds again", is_new)
-        self.assertLess(time.monotonic() - killed, BACK_S)
-        self.assertTrue(await self.holds(holder.settings["announced_address"]))
+        leader.signal(signal.SIGKILL)
+        await self.wait_until("an entry holds again", is_new)
+        self.assertLess(time.monotonic() - killed, TAKEOVER_S)
+        self.assertTrue(
+            await self.is_leader(leader.settings["announced_address"]))
 
     async def test_a_paused_holder_shows_no_state_that_has_changed(self):
         paused = self.fleet.processes[0]
-        await self.until("entry-0 holds", lambda: self.holds(
+        await self.wait_until("entry-0 holds", lambda: self.is_leader(
             paused.settings["announced_address"]))
         job = self.caller.make_job()
         step = {"count": 1, "cpu": 500, "mem_mb": 100,
@@ -331,14 +335,15 @@
         job.steps, job.queue = [step], "quick"
         status, _ = await self.submit(job)
         self.assertEqual(status, 200)
-        await self.until("it runs", lambda: self.shows(0, job, "running"))
+        await self.wait_until("it runs",
+                              lambda: self.has_state(0, job, "running"))
         paused.signal(signal.SIGSTOP)
-        await self.until("another shows its end",
-                         lambda: self.shows(1, job, "succeeded"))
-        asked = asyncio.create_task(self.ask(0, job))
-        await asyncio.sleep(ARRIVES_S)
+        await self.wait_until("another shows its end",
+                         lambda: self.has_state(1, job, "succeeded"))
+        query = asyncio.create_task(self.query_state(0, job))
+        await asyncio.sleep(QUERY_SENT_S)
         paused.signal(signal.SIGCONT)
-        self.assertIn(await asked, ("succeeded", None))
+        self.assertIn(await query, ("succeeded", None))
 
 
 if __name__ == "__main__":
--- a/tests/soak/links.py
+++ b/tests/soak/links.py
@@ -5,8 +5,8 @@
 
 from wire import read_message
 
-PASSES_S = 0.02  # a request of one segment is at its target by then
-ANSWERED_S = 1.0  # ... and was carried out
+FORWARD_S = 0.02  # a request of one segment is at its target by then
+ANSWER_DELAY_S = 1.0  # ... and was carried out
 
 class Link:
     def __init__(self, name, target, sender=lambda: "?"):
@@ -18,18 +18,18 @@
         self.silent_in = False  # nothing reaches the target
         self.silent_out = False  # no answer comes back
         self.open = set()
-        self.hushed = set()  # connections that say nothing any more
+        self.dead = set()  # connections that say nothing any more
         self.held = set()  # connections whose bytes wait until it heals
         self.held_in = set()  # ... of which only requests wait
         self.cuts_left = 0  # requests that pass and then lose their connection
-        self.turns_away = False  # each request is answered 503 here
+        self.rejects_all = False  # each request is answered 503 here
 
     async def start(self, address, port):
         self.server = await asyncio.start_server(self.connect, address, port)
 
     async def connect(self, reader, writer):
-        if self.turns_away:
-            await self.turn_away(reader, writer)
+        if self.rejects_all:
+            await self.reject_requests(reader, writer)
             return
         try:
             host, port = self.target.split(":")
@@ -53,7 +53,7 @@
             pass  # the soak is over; its loop ends what is left
         finally:
             self.open.discard(pair)
-            self.hushed.discard(pair)
+            self.dead.discard(pair)
             self.held.discard(pair)
             self.held_in.discard(pair)
             for one in pair:
@@ -61,7 +61,7 @@
 
     async def pump(self, pair, reader, writer, silent, inward=False):
         while data := await reader.read(65536):
-            if pair in self.hushed:
+            if pair in self.dead:
                 continue
             if self.delay_s:
                 await asyncio.sleep(self.delay_s)
@@ -71,13 +71,13 @@
             await writer.drain()
             if inward and self.cuts_left > 0:
                 await self.cut(pair)
-        if pair not in self.hushed:
+        if pair not in self.dead:
             writer.write_eof()
 
-    async def turn_away(self, reader, writer):
+    async def reject_requests(self, reader, writer):
         """Answers every request in the target's place that nothing is done."""
         try:
-            while self.turns_away:
+            while self.rejects_all:
                 await read_message(reader)
                 writer.write(b"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n")
                 await writer.drain()
@@ -86,25 +86,25 @@
         finally:
             writer.transport.abort()
 
-    def begin_turning_away(self):
-        self.turns_away = True
+    def begin_rejecting(self):
+        self.rejects_all = True
         self.reset()
 
     async def cut(self, pair):
         """Ends a connection for its client, once its request has passed; the
         target never learns that nobody hears the answer."""
         self.cuts_left -= 1
-        self.hushed.add(pair)
+        self.dead.add(pair)
         client, target = pair
-        await asyncio.sleep(PASSES_S)
+        await asyncio.sleep(FORWARD_S)
         client.transport.abort()
-        await asyncio.sleep(ANSWERED_S)
+        await asyncio.sleep(ANSWER_DELAY_S)
         target.transport.abort()
 
-    def hush(self):
+    def silence_connections(self):
         """What is open now stays open and says nothing more, also after the
         link heals; new connections work."""
-        self.hushed |= self.open
+        self.dead |= self.open
 
     def reset(self):
         for pair in list(self.open):
@@ -121,7 +121,7 @@
         self.held_in |= self.open
 
     def heal(self):
-        self.turns_away = False
+        self.rejects_all = False
         self.held.clear()
         self.held_in.clear()
         self.cuts_left = 0
--- a/tests/soak/outages.py
+++ b/tests/soak/outages.py
@@ -10,10 +10,10 @@
 TROUBLE_BEFORE_S = (0.1, 1.0)  # of executors, before processes die
 TROUBLE_AFTER_S = (0.3, 3.0)
 BETWEEN_OUTAGES_S = (7, 25)
-UNHEARD = 2  # executors
-UNHEARD_S = (8, 18)  # a holder waits 10.5 s for permits of the one before it
+SILENCED_EXECUTORS = 2  # executors
+SILENCED_S = (8, 18)  # a holder waits 10.5 s for permits of the one before it
 SHARES = (0.0, 0.3, 0.8)  # of calls that a trouble meets
-MOST_CUTS = 3
+MAX_CUTS = 3
 
 
 class Outages(Faults):
@@ -26,33 +26,33 @@
 
     # -- executors in trouble ------------------------------------------------
 
-    async def on_workers(self, length, **shares):
+    async def on_workers(self, duration, **shares):
         """For all executors at once, as on a machine that is short of time."""
-        self.record.disturb("all executors", shares, f"{length:.1f} s")
+        self.record.note_fault("all executors", shares, f"{duration:.1f} s")
         for one in self.fleet.executors:
             for name, value in shares.items():
                 setattr(one, name, value)
-        await asyncio.sleep(length)
-        self.record.disturb("all executors heal", *shares)
+        await asyncio.sleep(duration)
+        self.record.note_fault("all executors heal", *shares)
         for one in self.fleet.executors:
             for name in shares:
                 setattr(one, name, 0.0)
 
-    async def unread(self, length):
-        await self.on_workers(length, unread_share=0.3)
+    async def unread(self, duration):
+        await self.on_workers(duration, unread_share=0.3)
 
-    async def lose_answers(self, length):
-        await self.on_workers(length, lost_share=0.3)
+    async def lose_answers(self, duration):
+        await self.on_workers(duration, lost_share=0.3)
 
-    async def busy(self, length):
-        await self.on_workers(length, busy_share=0.4)
+    async def busy(self, duration):
+        await self.on_workers(duration, busy_share=0.4)
 
-    async def slow(self, length):
-        await self.on_workers(length, slow_share=0.4)
+    async def slow(self, duration):
+        await self.on_workers(duration, slow_share=0.4)
 
-    async def lose_and_refuse(self, length):
+    async def lose_and_refuse(self, duration):
         """A call that was carried out unanswered comes again and is refused."""
-        await self.on_workers(length, lost_share=0.4, busy_share=0.4)
+        await self.on_workers(duration, lost_share=0.4, busy_share=0.4)
 
     # -- losses of many processes --------------------------------------------
 
@@ -61,7 +61,7 @@
         await self.on_workers(
             self.draw.uniform(*TROUBLE_BEFORE_S), unread_share=share(SHARES),
             lost_share=share(SHARES))
-        self.record.disturb("SIGKILL to", what)
+        self.record.note_fault("SIGKILL to", what)
         for one in processes:
             one.signal(signal.SIGKILL)
         await self.on_workers(
@@ -69,68 +69,68 @@
             lost_share=share(SHARES),
             unread_share=share(SHARES), slow_share=share(SHARES))
 
-    async def lose_guards(self, _length):
+    async def lose_guards(self, _duration):
         await self.lose("all guards", [one for one in self.fleet.processes
                                        if one.name in self.fleet.guards])
 
-    async def lose_all(self, _length):
+    async def lose_all(self, _duration):
         await self.lose("all processes", self.fleet.processes)
 
-    async def lose_all_but_one(self, _length):
+    async def lose_all_but_one(self, _duration):
         spared = self.victim()
         await self.lose(f"all but {spared.name}",
                         [one for one in self.fleet.processes
                          if one is not spared])
 
-    async def lose_all_twice(self, length):
-        await self.lose_all(length)
+    async def lose_all_twice(self, duration):
+        await self.lose_all(duration)
         await asyncio.sleep(self.draw.uniform(*BETWEEN_OUTAGES_S))
-        await self.lose_all(length)
+        await self.lose_all(duration)
 
-    async def lose_unlooked(self, length):
+    async def lose_unlooked(self, duration):
         """Executors hear their guards and are not heard, but for their
         heartbeats, across a loss of all processes."""
-        links = self.draw.sample(self.links("executor"), UNHEARD)
-        silent = self.draw.uniform(*UNHEARD_S)
+        links = self.draw.sample(self.links("executor"), SILENCED_EXECUTORS)
+        silenced_s = self.draw.uniform(*SILENCED_S)
         for link in links:
-            self.record.disturb("silent_out", link.name,
-                                f"until {silent:.1f} s after the loss")
+            self.record.note_fault("silent_out", link.name,
+                                f"until {silenced_s:.1f} s after the loss")
             link.silent_out = True
-        await self.lose_all(length)
-        await asyncio.sleep(silent)
+        await self.lose_all(duration)
+        await asyncio.sleep(silenced_s)
         for link in links:
-            self.record.disturb("heals", link.name)
+            self.record.note_fault("heals", link.name)
             link.heal()
 
     # -- orders late or twice ------------------------------------------------
 
-    def links(self, start):
-        return [one for one in self.fleet.links if one.name.startswith(start)]
+    def links(self, prefix):
+        return [one for one in self.fleet.links if one.name.startswith(prefix)]
 
-    async def hold_orders(self, length):
+    async def hold_orders(self, duration):
         """Orders wait in their connections, while new ones pass by."""
         links = self.links("to guard")
-        self.record.disturb("orders wait", f"{length:.1f} s")
+        self.record.note_fault("orders wait", f"{duration:.1f} s")
         for link in links:
             link.hold_requests()
-        await asyncio.sleep(length)
-        self.record.disturb("orders go on")
+        await asyncio.sleep(duration)
+        self.record.note_fault("orders go on")
         for link in links:
             link.held_in.clear()
 
-    async def cut(self, start, length):
-        self.record.disturb("requests pass, their connections end:", start)
-        for link in self.links(start):
-            link.cuts_left = self.draw.randint(0, MOST_CUTS)
-        await asyncio.sleep(length)
-        for link in self.links(start):
+    async def cut(self, prefix, duration):
+        self.record.note_fault("requests pass, their connections end:", prefix)
+        for link in self.links(prefix):
+            link.cuts_left = self.draw.randint(0, MAX_CUTS)
+        await asyncio.sleep(duration)
+        for link in self.links(prefix):
             link.cuts_left = 0
 
-    async def cut_orders(self, length):
-        await self.cut("to guard", length)
+    async def cut_orders(self, duration):
+        await self.cut("to guard", duration)
 
-    async def cut_calls(self, length):
-        await self.cut("executor", length)
+    async def cut_calls(self, duration):
+        await self.cut("executor", duration)
 
-    async def cut_reports(self, length):
-        await self.cut("to entry", length)
+    async def cut_reports(self, duration):
+        await self.cut("to entry", duration)
--- a/tests/soak/restarts.py
+++ b/tests/soak/restarts.py
@@ -1,15 +1,15 @@
 """Executors that start again under the id that they had, at once or after
 seconds: alone, some together, while calls wait unread, while their former
-life's word is still on its way, and together with all of our processes."""
+incarnation's word is stalled on its way, and together with all of our processes."""
 
 import asyncio
 import signal
 
 from outages import Outages
 
-AWAY_S = (0.2, 4.0)
-LATE_S = (0.3, 3.0)  # of a heartbeat that its sender's next life overtakes
-CALLS_WAIT_S = (0.1, 0.6)  # before the crash
+DOWNTIME_S = (0.2, 4.0)
+DELAY_S = (0.3, 3.0)  # of a heartbeat that its sender's next incarnation overtakes
+BEFORE_CRASH_S = (0.1, 0.6)  # before the crash
 
 
 class Restarts(Outages):
@@ -18,56 +18,58 @@
                 self.restart_twice, self.restart_unread, self.restart_lost,
                 self.restart_late_word, self.restart_with_all]
 
-    def one(self):
+    def pick_executor(self):
         return self.draw.choice(self.fleet.executors)
 
-    def away_s(self):
+    def downtime_s(self):
         """Half of them are back at once."""
-        return self.draw.choice((0, self.draw.uniform(*AWAY_S)))
+        return self.draw.choice((0, self.draw.uniform(*DOWNTIME_S)))
 
-    def start_again(self, one):
-        away = self.away_s()
-        self.record.disturb("starts again", one.life, f"after {away:.1f} s")
-        one.crash(away, keeps_id=True)
+    def restart_executor(self, executor):
+        downtime_s = self.downtime_s()
+        self.record.note_fault("starts again", executor.incarnation,
+                               f"after {downtime_s:.1f} s")
+        executor.crash(downtime_s, keeps_id=True)
 
-    async def restart(self, _length):
-        self.start_again(self.one())
+    async def restart(self, _duration):
+        self.restart_executor(self.pick_executor())
 
-    async def restart_some(self, _length):
-        for one in self.draw.sample(self.fleet.executors,
+    async def restart_some(self, _duration):
+        for executor in self.draw.sample(self.fleet.executors,
                                     len(self.fleet.executors) // 2):
-            self.start_again(one)
-
-    async def restart_twice(self, _length):
-        one = self.one()
-        self.start_again(one)
-        await asyncio.sleep(self.draw.uniform(*LATE_S))
-        self.start_again(one)
-
-    async def restart_amid(self, length, **shares):
-        trouble = asyncio.create_task(self.on_workers(length, **shares))
-        await asyncio.sleep(self.draw.uniform(*CALLS_WAIT_S))
-        self.start_again(self.one())
+            self.restart_executor(executor)
+
+    async def restart_twice(self, _duration):
+        executor = self.pick_executor()
+        self.restart_executor(executor)
+        await asyncio.sleep(self.draw.uniform(*DELAY_S))
+        self.restart_executor(executor)
+
+    async def restart_during(self, duration, **shares):
+        trouble = asyncio.create_task(self.on_workers(duration, **shares))
+        await asyncio.sleep(self.draw.uniform(*BEFORE_CRASH_S))
+        self.restart_executor(self.pick_executor())
         await trouble
 
-    async def restart_unread(self, length):
-        await self.restart_amid(length, unread_share=0.3)
-
-    async def restart_lost(self, length):
-        await self.restart_amid(length, lost_share=0.3)
-
-    async def restart_late_word(self, _length):
-        one = self.one()
-        word = one.heartbeat()
-        self.start_again(one)
-        await asyncio.sleep(self.draw.uniform(*LATE_S))
-        self.record.disturb("a former life's heartbeat comes", one.life)
-        await one.tell(*word)
-
-    async def restart_with_all(self, _length):
-        self.record.disturb("SIGKILL to all, and executors start again")
-        for one in self.fleet.processes:
-            one.signal(signal.SIGKILL)
-        for one in self.draw.sample(self.fleet.executors,
+    async def restart_unread(self, duration):
+        await self.restart_during(duration, unread_share=0.3)
+
+    async def restart_lost(self, duration):
+        await self.restart_during(duration, lost_share=0.3)
+
+    async def restart_late_word(self, _duration):
+        executor = self.pick_executor()
+        heartbeat = executor.make_heartbeat()
+        self.restart_executor(executor)
+        await asyncio.sleep(self.draw.uniform(*DELAY_S))
+        self.record.note_fault("a past incarnation's heartbeat arrives",
+                               executor.incarnation)
+        await executor.send(*heartbeat)
+
+    async def restart_with_all(self, _duration):
+        self.record.note_fault("SIGKILL to all, and executors start again")
+        for process in self.fleet.processes:
+            process.signal(signal.SIGKILL)
+        for executor in self.draw.sample(self.fleet.executors,
                                     len(self.fleet.executors) // 2):
-            self.start_again(one)
+            self.restart_executor(executor)
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -22,17 +22,17 @@
 from faults import Faults  # noqa: E402
 from fleet import PROGRAM, Fleet  # noqa: E402
 from outages import Outages  # noqa: E402
-from record import FINAL, Record  # noqa: E402
+from record import FINAL_STATES, Record  # noqa: E402
 from restarts import Restarts  # noqa: E402
 
 READY_S = 20  # to a first accepted job; ends a fleet that does not come up
 SETTLE_S = 25  # after the last fault every job has ended; leases are 10 s
-SILENT_GAP_S = 4  # between connections that go silent, in the mean
-CLOSURES_GAP_S = 3  # two zones are closed for about half of the time
-QUIET_S = 1.5  # what must not happen after the end gets this long to happen
+SILENCE_INTERVAL_S = 4  # between connections that go silent, in the mean
+CLOSURE_INTERVAL_S = 3  # two zones are closed for about half of the time
+OBSERVATION_S = 1.5  # what must not happen after the end gets this long to happen
 
 
-async def come_up(fleet, record, draw, options):
+async def wait_until_ready(fleet, record, draw, options):
     caller = Caller(fleet, record, draw, options.weights, options.crashing)
     for _ in range(READY_S * 4):
         if await caller.submit(caller.make_job()):
@@ -42,7 +42,7 @@
     return caller
 
 
-async def play(seed, options, directory):
+async def run_seed(seed, options, directory):
     draw = random.Random(seed)
     record = Record()
     fleet = Fleet(random.Random(seed + 1), record, directory,
@@ -55,38 +55,38 @@
                                          context.get("message")))
     try:
         await fleet.start()
-        caller = await come_up(fleet, record, draw, options)
+        caller = await wait_until_ready(fleet, record, draw, options)
         load = asyncio.create_task(
             caller.run(options.seconds, options.rate, until))
         await asyncio.gather(
             Faults(fleet, record, random.Random(seed + 2)).run(
                 options.seconds, options.gap),
             Faults(fleet, record, random.Random(seed + 3),
-                   only="silent links").run(options.seconds, SILENT_GAP_S),
+                   only="silent links").run(options.seconds, SILENCE_INTERVAL_S),
             Faults(fleet, record, random.Random(seed + 4),
-                   only="closures").run(options.seconds, CLOSURES_GAP_S),
+                   only="closures").run(options.seconds, CLOSURE_INTERVAL_S),
             Outages(fleet, record, random.Random(seed + 5)).run(
                 options.seconds, options.outage_gap),
             Restarts(fleet, record, random.Random(seed + 7)).run(
                 options.seconds, options.restart_gap))
-        fleet.calm()
-        record.disturb("calm from here on")
-        await settle(fleet, record, caller)
+        fleet.end_faults()
+        record.note_fault("calm from here on")
+        await wait_for_jobs(fleet, record, caller)
         until.set()
         await load
-        await asyncio.sleep(QUIET_S)
+        await asyncio.sleep(OBSERVATION_S)
         record.check_end()
         caller.close()
         for one in fleet.processes:
-            if not one.runs():
+            if not one.is_running():
                 record.breach("AWAY", one.name, "is not there in the end")
-            if one.own_exits:
+            if one.unexpected_exits:
                 record.breach("EXIT", one.name, "ended by itself")
-            if one.uses_too_much():
-                record.breach("BOUNDS", one.name, one.most_mb, "MB",
-                              one.most_descriptors, "descriptors")
+            if one.exceeds_bounds():
+                record.breach("BOUNDS", one.name, one.max_mb, "MB",
+                              one.max_descriptors, "descriptors")
         record.note("most used:", *(
-            f"{one.name} {one.most_mb:.1f} MB {one.most_descriptors} fds;"
+            f"{one.name} {one.max_mb:.1f} MB {one.max_descriptors} fds;"
             for one in fleet.processes))
     finally:
         fleet.end()
@@ -94,21 +94,21 @@
     return record
 
 
-async def settle(fleet, record, caller):
+async def wait_for_jobs(fleet, record, caller):
     """Every job reaches its end, and jobs of lost answers are asked for."""
     loop = asyncio.get_running_loop()
     end = loop.time() + SETTLE_S
     while record.open_jobs() and loop.time() < end:
         for job in record.open_jobs():
-            await caller.ask(job)
+            await caller.query(job)
         await asyncio.sleep(0.3)
 
 
-def tell(seed, record, directory):
+def print_result(seed, record, directory):
     with open(os.path.join(directory, "story.txt"), "w",
               encoding="utf-8") as out:
-        out.write("\n".join(record.story) + "\n")
-    ended = sum(job.shown in FINAL for job in record.jobs.values())
+        out.write("\n".join(record.log) + "\n")
+    ended = sum(job.state in FINAL_STATES for job in record.jobs.values())
     accepted = sum(job.accepted is not None for job in record.jobs.values())
     print(f"seed {seed}: {len(record.jobs)} jobs, {accepted} accepted, {ended} "
           f"ended, {record.start_count} starts, {len(record.breaches)} breaches",
@@ -117,7 +117,7 @@
         print("   ", one, flush=True)
 
 
-def figures_of(record):
+def result_counts(record):
     """What the table of many seeds sums up."""
     return {"breaches": collections.Counter(
                 one.partition(":")[0] for one in record.breaches),
@@ -126,10 +126,10 @@
                        "accepted jobs": sum(job.accepted is not None
                                             for job in record.jobs.values())},
             "starts and stops refused": record.refused,
-            "faults": record.played}
+            "faults": record.fault_counts}
 
 
-def tell_table(directory):
+def print_totals(directory):
     """The sums over all seeds, by kind; what stands at 0 never happened."""
     sums = {}
     seeds = os.listdir(directory)
@@ -147,14 +147,14 @@
     print("faults never played:", ", ".join(sorted(never)) or "none")
 
 
-def play_one(options):
+def run_one_seed(options):
     directory = options.keep or tempfile.mkdtemp(prefix="springstair-soak-")
     os.makedirs(directory, exist_ok=True)
-    record = asyncio.run(play(options.seed, options, directory))
-    tell(options.seed, record, directory)
+    record = asyncio.run(run_seed(options.seed, options, directory))
+    print_result(options.seed, record, directory)
     if options.figures:
         with open(options.figures, "w", encoding="utf-8") as out:
-            json.dump(figures_of(record), out)
+            json.dump(result_counts(record), out)
     if record.breaches:
         print("    logs:", directory, flush=True)
         return 1
@@ -163,12 +163,12 @@
     return 0
 
 
-def line_of(options, seed, figures):
+def command_for_seed(options, seed, figures):
     """The command that plays one seed of many as all are to be played."""
     line = [sys.executable, __file__, "--seed", str(seed),
             "--figures", os.path.join(figures, f"{seed}.json")]
-    for name in ("seconds", "rate", "gap", "outage_gap", "restart_gap", "entries", "guards",
-                 "crashing"):
+    for name in ("seconds", "rate", "gap", "outage_gap", "restart_gap",
+                 "entries", "guards", "crashing"):
         line += ["--" + name.replace("_", "-"), str(getattr(options, name))]
     line += ["--weights", *map(str, options.weights)]
     if options.keep:
@@ -176,7 +176,7 @@
     return line
 
 
-def play_many(options):
+def run_many_seeds(options):
     """Each seed in a process of its own, a few side by side; all of one
     copy of the program, so that a build meanwhile changes nothing."""
     copies = tempfile.mkdtemp(prefix="springstair-program-")
@@ -188,12 +188,12 @@
         while waiting and len(running) < options.jobs:
             seed = waiting.pop(0)
             running.append((seed, subprocess.Popen(
-                line_of(options, seed, figures))))
+                command_for_seed(options, seed, figures))))
         seed, child = running.pop(0)
         if child.wait():
             failed.append(seed)
     shutil.rmtree(copies)
-    tell_table(figures)
+    print_totals(figures)
     shutil.rmtree(figures)
     print(f"{options.seeds - len(failed)} passed, {len(failed)} failed",
           failed or "")
@@ -222,7 +222,7 @@
                         "of many seeds, one in it for each")
     parser.add_argument("--figures", help="file for one seed's counts")
     options = parser.parse_args()
-    return play_many(options) if options.seeds else play_one(options)
+    return run_many_seeds(options) if options.seeds else run_one_seed(options)
 
 
 if __name__ == "__main__":
--- a/tests/soak/store.py
+++ b/tests/soak/store.py
@@ -18,14 +18,14 @@
         self.revision = 0
         self.items = {}
         self.history = []  # (revision, event)
-        self.dropped = 0  # history up to this revision is forgotten
+        self.compacted_revision = 0  # history up to this revision is forgotten
         self.leases = {}  # id: [ttl, ends at]
         self.changed = asyncio.Event()
         # Misbehaviour, switched by the soak.
-        self.loses_below = None
+        self.lose_answers_below = None
         self.lost_keys = set()
-        self.noted = None  # paths and prefixes of calls, once it is a list
-        self.away = None  # None, "silent", "busy" or "reset"
+        self.recorded_calls = None  # paths and prefixes of calls, once it is a list
+        self.outage = None  # None, "silent", "busy" or "reset"
         self.delay_s = 0.0
         self.lost_share = 0.0
         self.late_share = 0.0
@@ -40,8 +40,8 @@
         while True:
             await asyncio.sleep(TICK_S)
             now = time.monotonic()
-            for lease, (_, ends) in list(self.leases.items()):
-                if now >= ends and self.away is None:
+            for lease, (_, expires_at) in list(self.leases.items()):
+                if now >= expires_at and self.outage is None:
                     self.end_lease(lease)
 
     # -- the data ------------------------------------------------------------
@@ -74,8 +74,8 @@
             if keys:
                 self.write([], keys)
 
-    def forget_history(self):
-        self.dropped = self.revision
+    def compact_history(self):
+        self.compacted_revision = self.revision
         self.history.clear()
 
     def configure(self, document):
@@ -107,8 +107,8 @@
 
     async def handle(self, method, path, query, _headers, document):
         self.calls += 1
-        if self.noted is not None:
-            self.noted.append((path, query.get("path_prefix", "")))
+        if self.recorded_calls is not None:
+            self.recorded_calls.append((path, query.get("path_prefix", "")))
         if self.refuses():
             return 503, {}
         await asyncio.sleep(0.002 + self.delay_s)
@@ -139,11 +139,11 @@
         return 200, {}
 
     def refuses(self):
-        if self.away == "silent":
+        if self.outage == "silent":
             raise Silence
-        if self.away == "reset":
+        if self.outage == "reset":
             raise Reset
-        return self.away == "busy"
+        return self.outage == "busy"
 
     async def transact(self, document):
         if self.draw.random() < self.late_share:
@@ -153,16 +153,17 @@
         answer = self.apply(document)
         if self.draw.random() < self.lost_share:
             raise Silence
-        if self.loses_next(document):
+        if self.loses_answer(document):
             raise Silence
         return answer
 
-    def loses_next(self, document):
+    def loses_answer(self, document):
         """Whether the answer to a write is lost: one for each key below a
         prefix, if such a prefix is set."""
         for put in document.get("put", []):
             key = put["tls_key"]
-            if self.loses_below and key.startswith(self.loses_below) \
+            if self.lose_answers_below \
+                    and key.startswith(self.lose_answers_below) \
                     and key not in self.lost_keys:
                 self.lost_keys.add(key)
                 return True
@@ -193,7 +194,7 @@
         since = int(query["depends_on"])
         until = time.monotonic() + int(query["wait_ms"]) / 1000
         while True:
-            if since < self.dropped:
+            if since < self.compacted_revision:
                 return 410, {}
             events = [event for revision, event in self.history
                       if revision > since
