--- a/tests/soak/advice.py
+++ b/tests/soak/advice.py
@@ -1,4 +1,5 @@
-"""A stand-in of the service that decides which executors may run a step."""
+"""Stand-in for the advice service, which decides which executors may run a
+step and issues their tickets."""
 
 import asyncio
 import time
@@ -13,8 +14,8 @@
 class Advice:
     def __init__(self, draw):
         self.draw = draw
-        self.verdicts = {}  # (step, incarnation): whether it may, for good
-        self.tickets = {}  # text: (step, executor, since, until)
+        self.verdicts = {}  # (step, machine): whether it may run there, fixed
+        self.tickets = {}  # text: (step, executor id, issued at, expires at)
         self.lock = asyncio.Lock()
         self.waiting = 0
 
@@ -34,9 +35,10 @@
         return 200, {"good": good, "valid_ms": VALID_MS}
 
     def verdict(self, step, incarnation):
-        name = (step, incarnation.rsplit("-", 1)[0])  # a machine, whatever its incarnation
+        # The machine, regardless of its incarnation.
+        name = (step, incarnation.rsplit("-", 1)[0])
         if name not in self.verdicts:
-            # At least one machine may: else the job could never be done.
+            # At least one machine is allowed: otherwise the job never ends.
             first = not any(step == other for other, _ in self.verdicts)
             self.verdicts[name] = first or self.draw.random() < GOOD_SHARE
         return self.verdicts[name]
@@ -48,8 +50,8 @@
         return text
 
     def admits(self, record, executor, order):
-        """Whether a start carries what its queue asks for: a ticket of this
-        incarnation of the executor."""
+        """Whether a start of the queue "heavy" carries a valid ticket for its
+        step and this executor's incarnation. Other queues need none."""
         job, _ = record.find_task(order["task"])
         if job is None or job.queue != "heavy":
             return True
--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -1,5 +1,5 @@
-"""Callers: they submit jobs, ask for them and cancel some, through whichever
-entry, on connections that they keep open."""
+"""Callers that submit jobs, query their state and cancel some. Each call goes
+to a random entry over a kept-alive connection."""
 
 import asyncio
 import json
@@ -11,8 +11,8 @@
 
 QUERY_INTERVAL_S = 0.5
 MAX_TRIES = 6
-WEIGHTS = (70, 25, 5)  # of quick, heavy and lasting jobs
-CRASHING_SHARE = 0.03  # of jobs; some seven tasks in a run of 20 s at 6 a second
+WEIGHTS = (70, 25, 5)  # relative frequency of quick, heavy and lasting jobs
+CRASHING_SHARE = 0.03  # of jobs; about 7 tasks in 20 s at 6 jobs per second
 
 
 class Caller:
@@ -30,7 +30,7 @@
         return status, answer
 
     async def call_entry(self, method, job, document=None):
-        """Also gives the number of the entry that was asked_at."""
+        """Like call(); also returns the number of the entry called."""
         headers = {"Host": HOST, "Content-Type": "application/json",
                    "Deadline-Ms": "2500"}
         path = f"/{job.queue}/{job.ident}"
@@ -67,14 +67,15 @@
         return job
 
     def add_crashing_task(self, job):
-        """Some have a task that crashes each executor that starts it."""
+        """Gives some jobs a task that crashes each executor that starts it."""
         draw = random.Random(job.ident)
         if draw.random() < self.crashing:
             draw.choice(job.steps)["traits"]["crashes_after"] = draw.choice(
                 (0, draw.uniform(0, 0.3)))
 
     async def submit(self, job):
-        """As the platform's clients: again after no answer or a refusal."""
+        """Retries after a refusal or a missing answer, as the platform's
+        clients do."""
         visible = [{name: value for name, value in step.items()
                     if name != "traits"} for step in job.steps]
         for _ in range(MAX_TRIES):
@@ -96,7 +97,7 @@
             await asyncio.sleep(0.3)
 
     async def follow(self, job, until):
-        """Submits a job and asks for it until it has ended."""
+        """Submits a job, cancels some, and queries it until it has ended."""
         if not await self.submit(job):
             return
         if self.draw.random() < 0.1:
@@ -112,7 +113,8 @@
         self.record.on_state(job, status, answer.get("state"), asked_at, entry)
 
     async def run(self, seconds, rate, until):
-        """Submits jobs for some time, then follows them until told."""
+        """Submits jobs for the given seconds and follows each until it has
+        ended or until is set."""
         loop = asyncio.get_running_loop()
         end = loop.time() + seconds
         followed = []
--- a/tests/soak/executor.py
+++ b/tests/soak/executor.py
@@ -1,6 +1,5 @@
-"""A stand-in of an executor and its worker: it runs tasks under a lease, on
-orders that it may carry out late, and tells every start and end to the
-soak's record."""
+"""Stand-in for an executor and its worker. It runs tasks under a lease, may
+execute orders late, and reports every start and end to the soak's record."""
 
 import asyncio
 import random
@@ -12,19 +11,19 @@
 TICK_S = 0.02
 MAX_LEASE_MS = 6000
 STOP_S = 0.1
-UNREAD_S = (0.5, 2.0)  # a start's own limit is 2 s
-SLOW_S = (0.3, 2.0)
-KEEPS_ID_SHARE = 0.5  # of incarnation_count that follow a crash under a task
+UNREAD_S = (0.5, 2.0)  # delay before a call is read; a start times out at 2 s
+SLOW_S = (0.3, 2.0)  # delay before a slow answer
+KEEPS_ID_SHARE = 0.5  # share of restarts after a crash that keep the id
 
 
 class Run:
     def __init__(self, number, call, checkpoint, traits, now):
         self.number = number
-        self.call = call  # that began it, as the log names it
+        self.call = call  # name in the event log of the call that started it
         self.checkpoint = checkpoint
         self.traits = traits
         self.began = now
-        self.stops_at = None  # when a stop takes effect
+        self.stops_at = None  # time at which a requested stop takes effect
 
 
 class Executor:
@@ -37,45 +36,50 @@
         self.guard = Connection(guard)
         self.capacity = capacity
         self.advice = advice
-        self.enforces = enforces  # rejects what does not fit
-        self.restart_draw = random.Random(name)  # drawn apart: seeds keep their
-        self.incarnation_count = 0                      # meaning
-        self.incarnation_of_port = {}  # port of a connection: the incarnation that took it
+        self.enforces = enforces  # refuses runs that exceed its capacity
+        # A separate generator, so that restarts don't change the other draws
+        # of a seed.
+        self.restart_draw = random.Random(name)
+        self.incarnation_count = 0
+        # Peer port of a connection: the incarnation that accepted it.
+        self.incarnation_of_port = {}
         self.changed = asyncio.Event()
         self.down = False
         self.late_share = 0.0
-        self.order_delayed = False  # the order at hand was held up here
-        self.call = ""  # the order at hand, as the log names it
-        self.senders = {}  # port of a connection: the process that opened it
-        self.unread_share = 0.0  # of calls that wait before they are read
-        self.lost_share = 0.0  # of calls that are carried out, unanswered
-        self.busy_share = 0.0  # of calls that are refused, whatever runs
-        self.slow_share = 0.0  # of calls that are answered slowly
+        self.order_delayed = False  # this executor delayed the current order
+        self.call = ""  # name in the event log of the current order
+        self.senders = {}  # peer port of a connection: the process behind it
+        # Shares of calls that meet a fault.
+        self.unread_share = 0.0  # read only after a delay
+        self.lost_share = 0.0  # executed, but not answered
+        self.busy_share = 0.0  # refused as busy
+        self.slow_share = 0.0  # answered slowly
         self.fails_all = False
         self.stalled = False
         self.begin_incarnation()
 
     def begin_incarnation(self, keeps_id=False):
-        """A incarnation that keeps the id of the one before knows nothing of it; its
-        counts and its clock start anew, and its birth tells the two apart."""
+        """Resets all state: counters and clock start anew. If the id is kept,
+        only the start time (born) distinguishes the two incarnations."""
         self.incarnation_count += 1
         if not keeps_id:
             self.ident = f"{self.name}-{self.incarnation_count}"
-        # The time of day may have stepped back meanwhile.
+        # The offset may be negative: the system clock may have stepped back.
         self.born = (int(time.time() * 1000) +
-                     self.incarnation_count * self.restart_draw.choice((-1, 1)))
-        self.incarnation = f"{self.ident}@{self.born}"  # as the record names it
+                     self.incarnation_count *
+                     self.restart_draw.choice((-1, 1)))
+        self.incarnation = f"{self.ident}@{self.born}"  # name in the event log
         self.since = time.monotonic()
         self.clock_offset = (self.draw.randrange(10**6) -
                              int(self.since * 1000))
         self.runs = {}
-        self.highest_run = {}  # task: highest_run run stopped or ended here
+        self.highest_run = {}  # task: highest run stopped or ended here
         self.ended = []
         self.count = 0
         self.fence = 0
         self.lease_deadline = 0
         self.sequence = 0
-        self.changed.set()  # who waits for an end of the former incarnation
+        self.changed.set()  # wakes polls of the past incarnation
         self.changed = asyncio.Event()
 
     def clock_ms(self):
@@ -88,7 +92,8 @@
                       asyncio.create_task(self.run_tasks())]
 
     def crash(self, back_after_s, keeps_id=False):
-        """All that runs is gone; another incarnation begins later, or at once."""
+        """Loses all runs and begins the next incarnation; it is unreachable
+        for the first back_after_s seconds."""
         for task in self.runs:
             self.record.on_lost(self, task)
         self.begin_incarnation(keeps_id)
@@ -98,7 +103,7 @@
         asyncio.get_running_loop().call_later(
             back_after_s, lambda: setattr(self, "down", False))
 
-    # -- by itself -------------------------------------------------------------
+    # -- background tasks ----------------------------------------------------
 
     async def send_heartbeats(self):
         while True:
@@ -151,24 +156,25 @@
         self.changed.set()
         self.changed = asyncio.Event()
 
-    # -- orders ----------------------------------------------------------------
+    # -- orders --------------------------------------------------------------
 
     async def handle(self, _method, path, _query, headers, document):
         if self.down:
             raise Silence
         self.reset_stale_connection(headers["peer-port"])
         ident = headers.get("target-executor", self.ident)
-        incarnation = self.incarnation  # that took the call, whichever was meant
+        # The incarnation that accepted the call, which may not be its target.
+        incarnation = self.incarnation
         call = self.note_call(path, headers, document)
         if self.draw.random() < self.late_share:
-            self.note(call, "answer lost: silence; carried out late")
+            self.note(call, "answer lost: Silence; executed late")
             asyncio.get_running_loop().call_later(
                 self.draw.uniform(1, 5), self.execute_late, call, path, ident,
                 document, incarnation)
             raise Silence
         await self.delay_reading(call)
         if incarnation != self.incarnation:
-            raise Reset  # it went with the process that had it
+            raise Reset  # the process that accepted the call has ended
         status, answer = self.answer(call, path, ident, document)
         if self.occurs(self.slow_share):
             await asyncio.sleep(self.draw.uniform(*SLOW_S))
@@ -181,7 +187,7 @@
         return status, answer | {"clock_ms": self.clock_ms()}
 
     def reset_stale_connection(self, port):
-        """A connection ends with the incarnation that took it."""
+        """Resets a connection that a past incarnation accepted."""
         if (self.incarnation_of_port.setdefault(port, self.incarnation)
                 != self.incarnation):
             del self.incarnation_of_port[port]
@@ -191,18 +197,18 @@
         return share > 0 and self.draw.random() < share
 
     async def delay_reading(self, call):
-        """The call waits in its socket, whether or not its sender incarnation_count; calls
-        on other connections are answered meanwhile."""
+        """Leaves the call unread in its socket for a while, even if its sender
+        ends. Calls on other connections are answered meanwhile."""
         if not self.occurs(self.unread_share):
             return
-        self.note(call, "waits unread")
+        self.note(call, "left unread")
         await asyncio.sleep(self.draw.uniform(*UNREAD_S))
         self.note(call, "is read")
         if self.down:
             raise Silence
 
     def answer(self, call, path, ident, order):
-        """What the call is answered; a busy executor does nothing for it."""
+        """Executes the call and returns its answer; refuses it if busy."""
         if self.occurs(self.busy_share):
             status = self.draw.choice((429, 503))
             self.note(call, status, "busy")
@@ -217,7 +223,8 @@
             raise how
 
     def note_call(self, path, headers, order):
-        """The log's name of a call to start or stop; others have none."""
+        """Logs a start or stop and returns its name in the event log; other
+        calls have none."""
         kind = path.removeprefix("/springstair/")
         if kind not in ("run-start", "run-stop"):
             return ""
@@ -229,8 +236,8 @@
             self.record.note(call, *words)
 
     def execute_late(self, call, path, ident, order, incarnation):
-        """No bound of time holds for what the executor itself holds up; it
-        goes with its incarnation."""
+        """Executes a call after a delay, unless its incarnation has ended.
+        order_delayed exempts it from the checks' time bounds."""
         if incarnation != self.incarnation:
             return
         self.order_delayed = True
@@ -312,7 +319,8 @@
         running = []
         for task, run in self.runs.items():
             share = (now - run.began) / run.traits["seconds"]
-            percent = 100 if run.traits["long_running"] else min(99, int(100 * share))
+            percent = (100 if run.traits["long_running"]
+                       else min(99, int(100 * share)))
             running.append([task, run.number, run.checkpoint,
                             0 if self.stalled else percent, 100])
         return {"born": self.born, "running": running,
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -1,5 +1,5 @@
-"""Faults from outside the programs, drawn from a seed: each begins at some
-moment, lasts for a while, and others may begin meanwhile."""
+"""Faults injected from outside the programs, drawn from a seed. Faults may
+overlap. The names of the fault methods are reported in the results."""
 
 import asyncio
 import signal
@@ -8,8 +8,8 @@
 from executor import KEEPS_ID_SHARE
 from fleet import ZONES
 
-BETWEEN_REPORTS_S = 0.6  # guards report twice a second
-CLOSURE_FACTOR = 3  # closures outlast the bound on starts, most of them
+BETWEEN_REPORTS_S = 0.6  # longer than the guards' report interval of 0.5 s
+CLOSURE_FACTOR = 3  # makes most closures outlast record.CLOSURE_DEADLINE_S
 
 
 class Faults:
@@ -19,10 +19,11 @@
         self.draw = draw
         self.kinds = self.kinds_of(only)
         for kind in self.kinds:
-            record.fault_counts[kind.__name__] += 0  # told also if never played
+            record.fault_counts[kind.__name__] += 0  # reported even if zero
 
     def kinds_of(self, only):
-        """Some are drawn for themselves: seeds keep their meaning."""
+        """The fault kinds to draw from. Links and closures have their own
+        generators, so that they don't change the other draws of a seed."""
         if only == "silent links":
             return [self.hush, self.hush, self.hush_all, self.hold_back]
         if only == "closures":
@@ -51,13 +52,14 @@
             one.cancel()
         for error in await asyncio.gather(*running, return_exceptions=True):
             if not isinstance(error, (asyncio.CancelledError, type(None))):
-                self.record.breach("HARNESS", "a fault failed:", repr(error))
+                self.record.breach("HARNESS", "injecting a fault failed:",
+                                   repr(error))
 
     def process(self):
         return self.draw.choice(self.fleet.processes)
 
     def leader(self):
-        """The entry that holds the jobs, by the store."""
+        """The leader according to the store; any process if there is none."""
         item = self.fleet.store.items.get("springstair/holder")
         address = self.fleet.store.text(item)
         for one in self.fleet.processes:
@@ -68,7 +70,7 @@
     def victim(self):
         return self.leader() if self.draw.random() < 0.4 else self.process()
 
-    # -- processes ---------------------------------------------------------------
+    # -- processes -----------------------------------------------------------
 
     async def kill(self, _duration):
         one = self.victim()
@@ -99,7 +101,7 @@
         self.record.note_fault("SIGCONT", one.name)
         one.signal(signal.SIGCONT)
 
-    # -- links -------------------------------------------------------------------
+    # -- links ---------------------------------------------------------------
 
     async def on_link(self, what, duration, **fields):
         link = self.draw.choice(self.fleet.links)
@@ -107,7 +109,7 @@
         for name, value in fields.items():
             setattr(link, name, value)
         await asyncio.sleep(duration)
-        self.record.note_fault("heals", link.name)
+        self.record.note_fault("recovers", link.name)
         link.heal()
 
     async def delay(self, duration):
@@ -115,7 +117,8 @@
                            delay_s=self.draw.uniform(0.05, 0.6))
 
     async def silence(self, duration):
-        await self.on_link("silence", duration, silent_in=True, silent_out=True)
+        await self.on_link("silence", duration, silent_in=True,
+                           silent_out=True)
 
     async def half_cut(self, duration):
         side = self.draw.choice(("silent_in", "silent_out"))
@@ -128,17 +131,18 @@
 
     async def hush(self, _duration):
         link = self.draw.choice(self.fleet.links)
-        self.record.note_fault("silent for good", link.name, len(link.open))
+        self.record.note_fault("connections silenced", link.name,
+                               len(link.open))
         link.silence_connections()
 
     async def hush_all(self, _duration):
-        self.record.note_fault("silent for good, all links")
+        self.record.note_fault("connections silenced, all links")
         for link in self.fleet.links:
             link.silence_connections()
 
     async def hold_back(self, duration):
-        """What a guard sends to entries comes after its end, when its
-        successor has reported from the same address."""
+        """Delays what a guard sends to entries until after it is killed, when
+        its next incarnation has reported from the same address."""
         guard = self.draw.choice([one for one in self.fleet.processes
                                   if one.name in self.fleet.guards])
         self.record.note_fault("held back and SIGKILL", guard.name,
@@ -153,7 +157,7 @@
         for link in links:
             link.heal()
 
-    # -- the store ---------------------------------------------------------------
+    # -- the store -----------------------------------------------------------
 
     async def on_store(self, duration, **fields):
         store = self.fleet.store
@@ -162,7 +166,7 @@
         for name, value in fields.items():
             setattr(store, name, value)
         await asyncio.sleep(duration)
-        self.record.note_fault("store heals", *fields)
+        self.record.note_fault("store recovers", *fields)
         for name, value in defaults.items():
             setattr(store, name, value)
 
@@ -180,7 +184,7 @@
         await self.on_store(duration, late_share=0.3)
 
     async def store_forgets(self, _duration):
-        self.record.note_fault("store forgets its history")
+        self.record.note_fault("store discards its history")
         self.fleet.store.compact_history()
 
     async def store_revokes(self, _duration):
@@ -192,7 +196,8 @@
         self.fleet.configure()
 
     async def close(self, duration):
-        """No disturbance: it excuses nothing."""
+        """Closes a zone for a while. Not logged as a fault, since the bounds
+        on time hold during a closure."""
         zone = self.draw.choice(ZONES)
         if zone in self.record.closed:
             return
@@ -204,7 +209,7 @@
         del self.record.closed[zone]
         self.record.note("open", zone)
 
-    # -- workers -----------------------------------------------------------------
+    # -- workers -------------------------------------------------------------
 
     async def worker_crash(self, duration):
         one = self.draw.choice(self.fleet.executors)
@@ -217,7 +222,7 @@
         for name, value in fields.items():
             setattr(one, name, value)
         await asyncio.sleep(duration)
-        self.record.note_fault(one.incarnation, "heals")
+        self.record.note_fault(one.incarnation, "recovers")
         for name, value in fields.items():
             setattr(one, name, type(value)(0))
 
--- a/tests/soak/fleet.py
+++ b/tests/soak/fleet.py
@@ -1,6 +1,6 @@
-"""The real programs as separate processes, with the stand-ins around them.
-Each process has loopback addresses of its own: one it listens on, and one
-with a proxy that all others use. Processes are ended by their own ids."""
+"""Runs the real programs as separate processes, with stand-ins around them.
+Each process has two loopback addresses: one that it listens on, and one of a
+proxy that all others connect to. Processes are ended by their own pids."""
 
 import asyncio
 import json
@@ -21,22 +21,21 @@
                          os.path.join(BUILD, "springstaird"))
 (INTERNAL, CALLERS, READINESS, HEARTBEATS, EXECUTOR, STORE,
  ADVICE) = range(17001, 17008)
-APPLY_MS = 5000  # a configuration is in force everywhere by then
+APPLY_MS = 5000  # max time until a configuration is in force everywhere
 GRACE_S = 6
 HOST = "jobs.example"
-ZONES = ("dc-1", "dc-2")  # of the executors, in turn
+ZONES = ("dc-1", "dc-2")  # assigned to executors in turn
 CAPACITY = {"cpu": 8000, "mem_mb": 16000, "gpu": 0}
 
-
-# What one process may hold: an eighth of the smallest VM of the largest
-# fleet, 160 MB and 4,100 descriptors, since this fleet is a twentieth of it.
+# Limits per process: an eighth of the smallest VM of the largest fleet (160 MB
+# and 4,100 descriptors), since this fleet is a twentieth of its size.
 MEMORY_MB = 160
 DESCRIPTORS = 4100
 MAX_SHARE = 1 / 8
 
 
 def memory_mb(pid):
-    """Memory of its own that a process holds; none once it is gone."""
+    """Private memory of a process; 0 if it has ended."""
     try:
         with open(f"/proc/{pid}/status", encoding="utf-8") as status:
             for line in status:
@@ -55,7 +54,7 @@
 
 
 class Process:
-    """One of our programs, started again whenever it is not there."""
+    """A process of the program under test, restarted whenever it exits."""
 
     def __init__(self, name, settings, directory):
         self.name = name
@@ -81,7 +80,7 @@
                 stdout=out, stderr=out)
 
     def incarnation(self):
-        """Tells one run of the program from the next."""
+        """Name of the current run of the program in the event log."""
         return f"{self.name}#{self.incarnation_count}"
 
     def is_running(self):
@@ -102,14 +101,14 @@
             return
         if which in (signal.SIGTERM, signal.SIGKILL):
             self.stopped_by_harness = True
-        # What is killed while it is paused has ended, too.
+        # SIGKILL also ends a paused process.
         self.paused = which == signal.SIGSTOP or (
             self.paused and which not in (signal.SIGCONT, signal.SIGKILL))
         self.child.send_signal(which)
 
     def restart_if_exited(self):
-        """Starts it again if it has ended; counts ends of its own. Tells
-        whether it did."""
+        """Restarts the process if it has ended and returns whether it did;
+        counts exits that the harness did not cause."""
         if self.is_running():
             return False
         if self.child is not None and not self.stopped_by_harness:
@@ -131,7 +130,7 @@
         self.draw = draw
         self.record = record
         self.directory = directory
-        self.enforces = enforces  # whether executors reject what does not fit
+        self.enforces = enforces  # executors refuse runs that don't fit
         number = os.getpid()
         self.network = f"127.{20 + number // 250 % 200}.{1 + number % 250}"
         self.store = Store(draw)
@@ -145,7 +144,7 @@
         self.supervisor = None
 
     def ip(self, kind, number):
-        """Kinds: 0 a process's own, 1 its proxy, 2 executors, 3 the store."""
+        """An address by kind: 0 process, 1 its proxy, 2 executor, 3 store."""
         return f"{self.network}.{1 + 50 * kind + number}"
 
     async def start(self):
@@ -198,7 +197,7 @@
         link = await self.link(f"executor {number}", one.address, announced,
                                EXECUTOR)
         one.senders = link.senders
-        one.address = f"{announced}:{EXECUTOR}"  # as its heartbeats say
+        one.address = f"{announced}:{EXECUTOR}"  # announced in heartbeats
         self.executors.append(one)
 
     async def link(self, name, target, address, port):
@@ -211,7 +210,7 @@
         self.configure(without=queue)
 
     def configure(self, without=None):
-        """A newer configuration: the operator's own write to the store."""
+        """Writes a newer configuration to the store, as the operator does."""
         self.version += 3
         routes = [{"name": f"r{n}", "host": HOST, "path_prefix": f"/{queue}/",
                    "service": "s", "priority": n, "max_attempts": 3,
@@ -239,10 +238,10 @@
             if one.restart_if_exited():
                 self.record.note("started", one.incarnation(), one.child.pid)
         except OSError as error:
-            self.record.breach("HARNESS", one.name, "does not start:", error)
+            self.record.breach("HARNESS", one.name, "failed to start:", error)
 
     def end_faults(self):
-        """Ends every fault."""
+        """Ends all faults that are in progress."""
         for link in self.links:
             link.heal()
         for one in self.processes:
--- a/tests/soak/job_drills.py
+++ b/tests/soak/job_drills.py
@@ -1,5 +1,5 @@
-"""Drills of the job programs: one fault each, with real processes beside the
-soak's stand-ins."""
+"""Drills of the job programs: each injects one fault into real processes that
+run with the soak's stand-ins."""
 
 import asyncio
 import os
@@ -18,28 +18,30 @@
 from record import Record  # noqa: E402
 from wire import Reset  # noqa: E402
 
-TIMEOUT_S = 20  # ends a drill whose fleet does not come up
+TIMEOUT_S = 20  # fails a drill whose condition is not met in time
 WARM_TASKS = 12  # several at once on each of two executors
 SHORT_TASK_S = 0.2
-LONG_TASK_S = 3.0  # ends after the office has moved
-QUERY_SENT_S = 0.1  # a question is at the paused program by then
-TAKEOVER_S = 1.0  # the process is started again after 0.1 s; its lease ends at 2 s
-UNREAD_S = 1.9  # below the time limit of a start, 2 s
-BUSY_S = 3.0  # for what comes after a start
-UNREAD_S = 1.9  # below the time limit of a start, 2 s
-BUSY_S = 2.0  # the task runs for longer
-LEADER_KNOWN_S = 2.5  # each entry has heard from the holder
+LONG_TASK_S = 3.0  # ends only after a new leader is elected
+QUERY_SENT_S = 0.1  # enough for a query to reach the paused process
+# The killed leader restarts after 0.1 s; its lease would expire after 2 s.
+TAKEOVER_S = 1.0
+UNREAD_S = 1.9  # below the timeout of a start, 2 s
+BUSY_S = 3.0
+UNREAD_S = 1.9
+BUSY_S = 2.0  # shorter than LONG_TASK_S
+LEADER_KNOWN_S = 2.5  # enough for each entry to receive the leader's heartbeat
 LOST_ANSWERS = 5
 MAX_START_S = 0.3
 IDLE_S = 6.0
-WATCH_INTERVAL_S = 0.7  # the holder's watch of the operator's changes
-MAX_ANSWER_S = 1.6  # a caller that is given up on waits no longer for its answer
+WATCH_INTERVAL_S = 0.7  # time between the leader's polls for operator changes
+MAX_ANSWER_S = 1.6  # max time to an error answer during a store outage
 
 
 class FirstStart:
-    """The first start that comes to any executor. Its call waits unread for
-    some time, is carried out and is not answered: its connection ends. In the
-    meantime, and for a while after, the executor refuses starts as busy."""
+    """Injects faults into the first start that any executor receives. The call
+    is left unread for unread_s, then executed, and its connection is reset
+    without an answer. Until BUSY_S later, the executor refuses other starts as
+    busy."""
 
     def __init__(self, fleet, unread_s=0.0):
         self.unread_s = unread_s
@@ -108,7 +110,7 @@
             if await condition():
                 return
             await asyncio.sleep(0.1)
-        self.fail("waited in vain: " + description)
+        self.fail("timed out waiting until " + description)
 
     async def accepts_job(self):
         status, _ = await self.submit(self.caller.make_job())
@@ -127,7 +129,7 @@
         return address in store.text(store.items.get("springstair/holder"))
 
     async def query_state(self, entry, job):
-        """The state that an entry shows; none if it shows none."""
+        """The job's state as an entry reports it; None if it reports none."""
         connection = self.fleet.connection(entry)
         headers = {"Host": HOST, "Deadline-Ms": "2500"}
         status, answer = await connection.call(
@@ -139,7 +141,7 @@
         return await self.query_state(entry, job) == state
 
     async def submit_tasks(self, count, seconds):
-        """A job of one step that nothing goes wrong in by itself."""
+        """Submits a job of one step whose tasks don't fail by themselves."""
         job = self.caller.make_job()
         job.steps = [{"count": count, "cpu": 500, "mem_mb": 100,
                       "traits": {"fails": False, "seconds": seconds}}]
@@ -148,17 +150,19 @@
         return job
 
     async def wait_until_done(self, job):
-        await self.wait_until("it is done",
+        await self.wait_until("the job has succeeded",
                          lambda: self.has_state(0, job, "succeeded"))
 
     async def check_runs_once(self, unread_s=0.0, then=lambda first: None):
-        """A task whose first start is carried out and not answered."""
-        # Guards keep connections to their executors from here on.
+        """Checks that a task whose first start is executed but not answered
+        runs only once."""
+        # After these tasks, guards have open connections to their executors.
         await self.wait_until_done(
             await self.submit_tasks(WARM_TASKS, SHORT_TASK_S))
         first = FirstStart(self.fleet, unread_s)
         job = await self.submit_tasks(1, LONG_TASK_S)
-        await self.wait_until("a start comes", first.has_arrived)
+        await self.wait_until("an executor receives a start",
+                              first.has_arrived)
         then(first)
         await self.wait_until_done(job)
         await asyncio.sleep(1)
@@ -208,11 +212,12 @@
         connection.close()
         return status
 
-    # Nothing else was written for 0.35 s after each answer that was lost, and
-    # everything waited for that.
+    # Guards against stalled writes: after each lost answer the leader wrote
+    # nothing for 0.35 s, which delayed all jobs.
     async def test_a_write_whose_answer_is_lost_is_soon_repeated(self):
         entry_0 = self.fleet.processes[0].settings["announced_address"]
-        await self.wait_until("entry-0 holds", lambda: self.is_leader(entry_0))
+        await self.wait_until("entry-0 is leader",
+                              lambda: self.is_leader(entry_0))
         self.fleet.store.lose_answers_below = "springstair/progress/"
         waits = []
         for _ in range(LOST_ANSWERS):
@@ -224,11 +229,13 @@
         self.assertLess(min(waits), MAX_START_S, waits)
         self.assertGreaterEqual(len(self.fleet.store.lost_keys), LOST_ANSWERS)
 
-    # Each entry asked the store for the operator's changes every 0.7 s, and each
-    # guard for the holder every 20 s: 78% of the calls of 984 machines.
+    # Guards against idle load on the store: each entry polled it for operator
+    # changes every 0.7 s and each guard for the leader every 20 s, which made
+    # up 78% of the calls of 984 machines.
     async def test_at_rest_only_the_holder_asks_the_store(self):
         entry_0 = self.fleet.processes[0].settings["announced_address"]
-        await self.wait_until("entry-0 holds", lambda: self.is_leader(entry_0))
+        await self.wait_until("entry-0 is leader",
+                              lambda: self.is_leader(entry_0))
         await asyncio.sleep(LEADER_KNOWN_S)
         calls = self.fleet.store.recorded_calls = []
         await asyncio.sleep(IDLE_S)
@@ -241,7 +248,8 @@
     async def test_an_entry_whose_watch_hears_nothing_follows_the_operator(
             self):
         entry_0 = self.fleet.processes[0].settings["announced_address"]
-        await self.wait_until("entry-0 holds", lambda: self.is_leader(entry_0))
+        await self.wait_until("entry-0 is leader",
+                              lambda: self.is_leader(entry_0))
         await asyncio.sleep(LEADER_KNOWN_S)
         self.store_link(1).silence_connections()
         self.fleet.remove_route("quick")
@@ -255,11 +263,13 @@
         await self.wait_until("the route is gone", is_refused)
         self.assertLess(time.monotonic() - written, APPLY_MS / 1000)
 
-    # One entry after the other refused its first callers, and passed the
-    # next ones on to a holder that the store turned away, too.
+    # Guards against refused callers while the store rejects an entry: each
+    # entry refused its first callers and forwarded the next ones to a leader
+    # that the store rejected, too.
     async def test_an_entry_that_the_store_turns_away_serves_its_callers(self):
         entry_0 = self.fleet.processes[0].settings["announced_address"]
-        await self.wait_until("entry-0 holds", lambda: self.is_leader(entry_0))
+        await self.wait_until("entry-0 is leader",
+                              lambda: self.is_leader(entry_0))
         await asyncio.sleep(LEADER_KNOWN_S)
         self.store_link(2).begin_rejecting()
         for _ in range(3):
@@ -274,7 +284,8 @@
 
     async def test_a_holder_that_the_store_turns_away_gives_its_office(self):
         entry_0 = self.fleet.processes[0].settings["announced_address"]
-        await self.wait_until("entry-0 holds", lambda: self.is_leader(entry_0))
+        await self.wait_until("entry-0 is leader",
+                              lambda: self.is_leader(entry_0))
         await asyncio.sleep(LEADER_KNOWN_S)
         items = self.fleet.store.items
         before = items["springstair/holder"]["revision"]
@@ -285,13 +296,13 @@
 
         turned_away = time.monotonic()
         self.store_link(0).begin_rejecting()
-        await self.wait_until("another entry holds", is_new)
+        await self.wait_until("another entry is leader", is_new)
         self.assertLess(time.monotonic() - turned_away, TAKEOVER_S)
         await self.wait_until_done(await self.submit_tasks(2, SHORT_TASK_S))
 
     async def test_a_holder_that_stops_gives_its_office(self):
         leader = self.fleet.processes[0]
-        await self.wait_until("entry-0 holds", lambda: self.is_leader(
+        await self.wait_until("entry-0 is leader", lambda: self.is_leader(
             leader.settings["announced_address"]))
         await asyncio.sleep(LEADER_KNOWN_S)
         items, seen = self.fleet.store.items, []
@@ -299,17 +310,18 @@
         while len(set(seen)) < 2:
             seen.append(items.get("springstair/holder", {}).get("revision"))
             await asyncio.sleep(0.01)
-        self.assertNotIn(None, seen)  # at no time without a holder
+        self.assertNotIn(None, seen)  # there is always a leader
 
     async def test_the_office_moves_to_the_larger_entry(self):
         entry_0 = self.fleet.processes[0].settings["announced_address"]
 
-        await self.wait_until("entry-0 holds", lambda: self.is_leader(entry_0))
+        await self.wait_until("entry-0 is leader",
+                              lambda: self.is_leader(entry_0))
         await self.wait_until("jobs are accepted", self.accepts_job)
 
     async def test_a_holder_that_is_started_again_takes_its_office_back(self):
         leader = self.fleet.processes[0]
-        await self.wait_until("entry-0 holds", lambda: self.is_leader(
+        await self.wait_until("entry-0 is leader", lambda: self.is_leader(
             leader.settings["announced_address"]))
         items = self.fleet.store.items
         before = items["springstair/holder"]["revision"]
@@ -320,14 +332,14 @@
 
         killed = time.monotonic()
         leader.signal(signal.SIGKILL)
-        await self.wait_until("an entry holds again", is_new)
+        await self.wait_until("an entry is leader again", is_new)
         self.assertLess(time.monotonic() - killed, TAKEOVER_S)
         self.assertTrue(
             await self.is_leader(leader.settings["announced_address"]))
 
     async def test_a_paused_holder_shows_no_state_that_has_changed(self):
         paused = self.fleet.processes[0]
-        await self.wait_until("entry-0 holds", lambda: self.is_leader(
+        await self.wait_until("entry-0 is leader", lambda: self.is_leader(
             paused.settings["announced_address"]))
         job = self.caller.make_job()
         step = {"count": 1, "cpu": 500, "mem_mb": 100,
@@ -335,10 +347,10 @@
         job.steps, job.queue = [step], "quick"
         status, _ = await self.submit(job)
         self.assertEqual(status, 200)
-        await self.wait_until("it runs",
+        await self.wait_until("the job is running",
                               lambda: self.has_state(0, job, "running"))
         paused.signal(signal.SIGSTOP)
-        await self.wait_until("another shows its end",
+        await self.wait_until("another entry reports its end",
                          lambda: self.has_state(1, job, "succeeded"))
         query = asyncio.create_task(self.query_state(0, job))
         await asyncio.sleep(QUERY_SENT_S)
--- a/tests/soak/links.py
+++ b/tests/soak/links.py
@@ -1,28 +1,29 @@
-"""A loopback proxy that delays, resets, silences or half-cuts what goes
-through it. One stands in front of every port that others connect to."""
+"""A loopback proxy that delays, resets or silences connections, in one or both
+directions. Every port that other processes connect to has one."""
 
 import asyncio
 
 from wire import read_message
 
-FORWARD_S = 0.02  # a request of one segment is at its target by then
-ANSWER_DELAY_S = 1.0  # ... and was carried out
+FORWARD_S = 0.02  # enough for a request of one segment to reach its target
+ANSWER_DELAY_S = 1.0  # ... and to be executed
+
 
 class Link:
     def __init__(self, name, target, sender=lambda: "?"):
         self.name = name
         self.target = target
-        self.sender = sender  # tells who connects now
-        self.senders = {}  # our port towards the target: who connected
+        self.sender = sender  # returns the process that connects now
+        self.senders = {}  # local port towards the target: who connected
         self.delay_s = 0.0
-        self.silent_in = False  # nothing reaches the target
-        self.silent_out = False  # no answer comes back
+        self.silent_in = False  # delays requests until the link recovers
+        self.silent_out = False  # delays answers until the link recovers
         self.open = set()
-        self.dead = set()  # connections that say nothing any more
-        self.held = set()  # connections whose bytes wait until it heals
-        self.held_in = set()  # ... of which only requests wait
-        self.cuts_left = 0  # requests that pass and then lose their connection
-        self.rejects_all = False  # each request is answered 503 here
+        self.dead = set()  # connections that transmit nothing any more
+        self.held = set()  # connections delayed until the link recovers
+        self.held_in = set()  # ... whose requests only are delayed
+        self.cuts_left = 0  # requests after which the connection is cut
+        self.rejects_all = False  # answers each request with 503
 
     async def start(self, address, port):
         self.server = await asyncio.start_server(self.connect, address, port)
@@ -50,7 +51,7 @@
         except (OSError, ConnectionError):
             pass
         except asyncio.CancelledError:
-            pass  # the soak is over; its loop ends what is left
+            pass  # the event loop cancels open connections at the end
         finally:
             self.open.discard(pair)
             self.dead.discard(pair)
@@ -66,7 +67,7 @@
             if self.delay_s:
                 await asyncio.sleep(self.delay_s)
             while silent() or pair in self.held:
-                await asyncio.sleep(0.05)  # held up until it heals
+                await asyncio.sleep(0.05)
             writer.write(data)
             await writer.drain()
             if inward and self.cuts_left > 0:
@@ -75,7 +76,7 @@
             writer.write_eof()
 
     async def reject_requests(self, reader, writer):
-        """Answers every request in the target's place that nothing is done."""
+        """Answers every request with 503 without forwarding it."""
         try:
             while self.rejects_all:
                 await read_message(reader)
@@ -91,8 +92,8 @@
         self.reset()
 
     async def cut(self, pair):
-        """Ends a connection for its client, once its request has passed; the
-        target never learns that nobody hears the answer."""
+        """Aborts the client's side of a connection once its request has been
+        forwarded; the target executes it and its answer is lost."""
         self.cuts_left -= 1
         self.dead.add(pair)
         client, target = pair
@@ -102,8 +103,8 @@
         target.transport.abort()
 
     def silence_connections(self):
-        """What is open now stays open and says nothing more, also after the
-        link heals; new connections work."""
+        """Makes all open connections dead: they stay open and transmit nothing
+        any more, even after the link recovers. New connections work."""
         self.dead |= self.open
 
     def reset(self):
@@ -112,12 +113,12 @@
                 one.transport.abort()
 
     def hold(self):
-        """Holds back what is sent on connections that are open now, also
-        beyond their sender's end; new ones work."""
+        """Delays all data on the open connections until the link recovers,
+        even if the sender ends. New connections work."""
         self.held |= self.open
 
     def hold_requests(self):
-        """As hold, while answers pass."""
+        """Like hold(), but answers are not delayed."""
         self.held_in |= self.open
 
     def heal(self):
--- a/tests/soak/outages.py
+++ b/tests/soak/outages.py
@@ -1,18 +1,20 @@
-"""Outages: many processes die at one moment and are back at once, while calls
-to executors wait unread, lose their answers or are refused; and orders that
-come late or twice. Each trouble also comes by itself."""
+"""Outages: many processes are killed at once and restart immediately, while
+calls to executors are left unread, lose their answers or are refused; and
+orders arrive late or twice. Each of these faults also occurs on its own. The
+names of the fault methods are reported in the results."""
 
 import asyncio
 import signal
 
 from faults import Faults
 
-TROUBLE_BEFORE_S = (0.1, 1.0)  # of executors, before processes die
-TROUBLE_AFTER_S = (0.3, 3.0)
+TROUBLE_BEFORE_S = (0.1, 1.0)  # executor faults before processes are killed
+TROUBLE_AFTER_S = (0.3, 3.0)  # executor faults after processes are killed
 BETWEEN_OUTAGES_S = (7, 25)
-SILENCED_EXECUTORS = 2  # executors
-SILENCED_S = (8, 18)  # a holder waits 10.5 s for permits of the one before it
-SHARES = (0.0, 0.3, 0.8)  # of calls that a trouble meets
+SILENCED_EXECUTORS = 2
+# A new leader waits 10.5 s for the previous leader's lease grants to expire.
+SILENCED_S = (8, 18)
+SHARES = (0.0, 0.3, 0.8)  # shares of calls that meet a fault
 MAX_CUTS = 3
 
 
@@ -24,16 +26,17 @@
                 self.cut_reports, self.lose_and_refuse, self.lose_and_refuse,
                 self.lose_unlooked, self.lose_unlooked]
 
-    # -- executors in trouble ------------------------------------------------
+    # -- faults of all executors ---------------------------------------------
 
     async def on_workers(self, duration, **shares):
-        """For all executors at once, as on a machine that is short of time."""
+        """Injects faults into all executors at once, as on an overloaded
+        machine."""
         self.record.note_fault("all executors", shares, f"{duration:.1f} s")
         for one in self.fleet.executors:
             for name, value in shares.items():
                 setattr(one, name, value)
         await asyncio.sleep(duration)
-        self.record.note_fault("all executors heal", *shares)
+        self.record.note_fault("all executors recover", *shares)
         for one in self.fleet.executors:
             for name in shares:
                 setattr(one, name, 0.0)
@@ -51,10 +54,11 @@
         await self.on_workers(duration, slow_share=0.4)
 
     async def lose_and_refuse(self, duration):
-        """A call that was carried out unanswered comes again and is refused."""
+        """Calls that were executed without an answer are retried and then
+        refused."""
         await self.on_workers(duration, lost_share=0.4, busy_share=0.4)
 
-    # -- losses of many processes --------------------------------------------
+    # -- kills of many processes ---------------------------------------------
 
     async def lose(self, what, processes):
         share = self.draw.choice
@@ -88,38 +92,39 @@
         await self.lose_all(duration)
 
     async def lose_unlooked(self, duration):
-        """Executors hear their guards and are not heard, but for their
-        heartbeats, across a loss of all processes."""
+        """Some executors receive calls, but their answers are delayed, while
+        all processes are killed. Their heartbeats still arrive."""
         links = self.draw.sample(self.links("executor"), SILENCED_EXECUTORS)
         silenced_s = self.draw.uniform(*SILENCED_S)
         for link in links:
             self.record.note_fault("silent_out", link.name,
-                                f"until {silenced_s:.1f} s after the loss")
+                                f"until {silenced_s:.1f} s after the kill")
             link.silent_out = True
         await self.lose_all(duration)
         await asyncio.sleep(silenced_s)
         for link in links:
-            self.record.note_fault("heals", link.name)
+            self.record.note_fault("recovers", link.name)
             link.heal()
 
-    # -- orders late or twice ------------------------------------------------
+    # -- delayed and duplicate orders ----------------------------------------
 
     def links(self, prefix):
         return [one for one in self.fleet.links if one.name.startswith(prefix)]
 
     async def hold_orders(self, duration):
-        """Orders wait in their connections, while new ones pass by."""
+        """Delays orders on open connections, while orders on new connections
+        overtake them."""
         links = self.links("to guard")
-        self.record.note_fault("orders wait", f"{duration:.1f} s")
+        self.record.note_fault("orders delayed", f"{duration:.1f} s")
         for link in links:
             link.hold_requests()
         await asyncio.sleep(duration)
-        self.record.note_fault("orders go on")
+        self.record.note_fault("orders no longer delayed")
         for link in links:
             link.held_in.clear()
 
     async def cut(self, prefix, duration):
-        self.record.note_fault("requests pass, their connections end:", prefix)
+        self.record.note_fault("connections cut after their requests:", prefix)
         for link in self.links(prefix):
             link.cuts_left = self.draw.randint(0, MAX_CUTS)
         await asyncio.sleep(duration)
--- a/tests/soak/record.py
+++ b/tests/soak/record.py
@@ -1,17 +1,18 @@
-"""What callers and executors saw, checked against the promises. A breach is
-kept with its moment; the soak fails if there is any."""
+"""Records what callers and executors observed and checks it against the
+system's guarantees. Breaches are logged with their time; any breach fails the
+soak."""
 
 import collections
 import time
 
-CANCEL_DEADLINE_S = 3.0  # after a cancellation nothing starts any more
-UNDISTURBED_S = 4.0  # bounds on time hold once nothing was last_fault_at for so long
+CANCEL_DEADLINE_S = 3.0  # max time from a cancellation to the last start
+UNDISTURBED_S = 4.0  # min time since the last fault for that deadline to hold
 MAX_ATTEMPTS = 3
-MIN_CRASHES_TO_FAIL = 2  # a job may end for a task after so many
-MAX_CRASHES = 3  # of executors that one task may bring about ...
-STARTS_AFTER = 2  # ... and starts of it after that
-CLOSURE_DEADLINE_S = 5.0  # after a zone is closed nothing begins there any more
-MAX_HELD_UP_S = 6.0  # links and pauses may hold an order back for so long
+MIN_CRASHES_TO_FAIL = 2  # executor crashes of a task that may fail its job
+MAX_CRASHES = 3  # executor crashes after which starts are limited ...
+STARTS_AFTER = 2  # ... to this number
+CLOSURE_DEADLINE_S = 5.0  # max time from a zone's closure to the last start
+MAX_HELD_UP_S = 6.0  # max time that links and pauses may delay an order
 FINAL_STATES = ("succeeded", "failed", "cancelled")
 
 
@@ -19,14 +20,14 @@
     def __init__(self, ident, spec, steps):
         self.ident = ident
         self.spec = spec
-        self.steps = steps  # as submitted, with hidden traits beside
-        self.answers = []  # statuses; None: unknown
+        self.steps = steps  # as submitted, plus traits that are not sent
+        self.answers = []  # statuses; None: outcome unknown, 0: not sent
         self.accepted = None
         self.cancelled = None
         self.cancel_sent = False
         self.started = False
         self.state = "pending"
-        self.state_at = 0.0  # when the newest state was shown
+        self.state_at = 0.0  # when this state was first reported
 
     def tasks(self):
         for step, traits in enumerate(self.steps):
@@ -42,21 +43,21 @@
         self.began = time.monotonic()
         self.jobs = {}
         self.live = {}  # task: executors that run it now
-        self.done = set()  # tasks of which an end "done" was listed
-        self.acknowledged_done = set()  # ... and taken note of
-        self.failures = {}  # task: failures that were listed
-        self.acknowledged_failures = {}  # task: ... and taken note of
-        self.unacknowledged_done = {}  # task: ends "done" that are not taken note of yet
-        self.restarted_ends = set()  # ... and after which the task was started
-        self.crashes = {}  # task: executors that crashed under it
-        self.starts_after_limit = {}  # ... and its starts after the last allowed one
+        self.done = set()  # tasks with an end "done"
+        self.acknowledged_done = set()  # ... that was acknowledged
+        self.failures = {}  # task: number of failed runs
+        self.acknowledged_failures = {}  # ... that were acknowledged
+        self.unacknowledged_done = {}  # task: its unacknowledged "done" ends
+        self.restarted_ends = set()  # ... after which the task started again
+        self.crashes = {}  # task: number of executor crashes while it ran
+        self.starts_after_limit = {}  # task: starts after MAX_CRASHES crashes
         self.last_fault_at = self.began
-        self.entries = 0  # executors are numbered after them
+        self.entries = 0  # number of entries; executors' numbers follow
         self.closed = {}  # zone: when it was closed
-        self.held_up_at = {}  # guard or link: when it last was held up or healed
+        self.held_up_at = {}  # guard or link: when a fault last began or ended
         self.start_count = 0
         self.call_count = 0
-        self.refused = collections.Counter()  # starts and stops, by answer
+        self.refused = collections.Counter()  # refused starts, stops by answer
         self.fault_counts = collections.Counter()  # faults by kind
         self.breaches = []
         self.log = [f"     began at {time.time():.3f} (s since 1970)"]
@@ -78,13 +79,13 @@
     def is_undisturbed(self):
         return time.monotonic() - self.last_fault_at > UNDISTURBED_S
 
-    # -- executors ---------------------------------------------------------------
+    # -- executors -----------------------------------------------------------
 
     def on_call(self, executor, kind, order, sender):
-        """An order to start or to stop came; gives the call's name."""
+        """Logs a received start or stop and returns its name in the log."""
         self.call_count += 1
         call = f"call {self.call_count}"
-        self.note(call, "came:", kind, order["task"], order["run"],
+        self.note(call, "received:", kind, order["task"], order["run"],
                   executor.incarnation, "from", sender)
         return call
 
@@ -94,12 +95,12 @@
         return job, (job.steps[int(step)] if job else None)
 
     def on_start(self, executor, task, number, order, call):
-        """A run begins. Gives what it is to do."""
+        """Checks the start of a run; returns how the run is to behave."""
         self.start_count += 1
         self.note("start", task, number, executor.incarnation, "by", call)
         job, step = self.find_task(task)
         if job is None or job.spec != order["spec"]:
-            self.breach("UNASKED", task, "was not submitted so")
+            self.breach("UNASKED", task, "was not submitted with this spec")
             return {"long_running": False, "seconds": 0.1, "fails": False,
                     "crashes_after": None}
         job.started = True
@@ -115,9 +116,9 @@
         others = [f"{one.incarnation} as run {one.runs[task].number} by "
                   f"{one.runs[task].call}" for one in self.live.get(task, [])]
         if others:
-            self.breach("TWICE", task, "runs already at", others)
+            self.breach("TWICE", task, "already runs at", others)
         if task in self.acknowledged_done:
-            self.breach("TWICE", task, "was done")
+            self.breach("TWICE", task, "started after its acknowledged end")
         self.restarted_ends |= self.unacknowledged_done.get(task, set())
         for before in step.get("depends_on", []):
             for index in range(job.steps[before]["count"]):
@@ -125,13 +126,13 @@
                     self.breach("ORDER", task, "before step", before)
         failures = self.acknowledged_failures.get(task, 0)
         if failures >= MAX_ATTEMPTS and not job.is_long_running():
-            self.breach("BUDGET", task, "after", failures)
+            self.breach("BUDGET", task, "started after", failures, "failures")
         self.check_crashes(step, task)
         self.check_open(executor, task)
         late = (job.cancelled and
                 time.monotonic() - job.cancelled > CANCEL_DEADLINE_S)
         if late and self.is_undisturbed():
-            self.breach("UNASKED", task, "was cancelled")
+            self.breach("UNASKED", task, "started after its cancellation")
         for resource, amount in self.exceeded_capacity(executor, task).items():
             self.breach("LIMIT", executor.incarnation, resource, amount)
 
@@ -155,10 +156,12 @@
             self.starts_after_limit.get(task, 0) + 1)
         crashes = "crashes_after" in step["traits"] and task.endswith(".0")
         if crashes and self.starts_after_limit[task] > STARTS_AFTER:
-            self.breach("BUDGET", task, "has crashed", self.crashes[task])
+            self.breach("BUDGET", task, "started after",
+                        self.crashes[task], "executor crashes")
 
     def exceeded_capacity(self, executor, task):
-        """What an executor has too little of to run a task beside its own."""
+        """The resources that an executor's runs and this task exceed, with the
+        amounts needed."""
         used = {"cpu": 0, "mem_mb": 0}
         for other in [*executor.runs, task]:
             _, step = self.find_task(other)
@@ -175,7 +178,7 @@
     def on_lost(self, executor, task):
         self.remove_run(executor, task)
         self.crashes[task] = self.crashes.get(task, 0) + 1
-        self.note("vanished", task, executor.incarnation)
+        self.note("lost", task, executor.incarnation)
 
     def on_end(self, executor, task, number, how):
         self.remove_run(executor, task)
@@ -194,18 +197,19 @@
             self.unacknowledged_done[task].discard(end)
             self.acknowledged_done.add(task)
             if end in self.restarted_ends:
-                self.breach("TWICE", task, "started after its end")
+                self.breach("TWICE", task, "started after an end that was "
+                            "acknowledged later")
         if how == "failed":
             self.acknowledged_failures[task] = (
                 self.acknowledged_failures.get(task, 0) + 1)
 
     def on_lease_expired(self, executor):
-        """Ends listed before a lease ran out count as taken note of no more
-        (the platform's rule)."""
+        """Drops the executor's unacknowledged ends: after a lease expires,
+        their acknowledgement no longer counts (the platform's rule)."""
         for ends in self.unacknowledged_done.values():
             ends -= {end for end in ends if end[2] == executor.incarnation}
 
-    # -- callers -----------------------------------------------------------------
+    # -- callers -------------------------------------------------------------
 
     def on_answer(self, job, status):
         job.answers.append(status)
@@ -218,17 +222,17 @@
         self.note("cancelled", job.ident)
 
     def on_state(self, job, status, state, asked_at, entry):
-        """An entry's answer to a question that was sent at a time."""
+        """Checks an entry's answer to a query sent at asked_at."""
         if status == 410 and job.accepted and not job.cancel_sent:
-            self.breach("LOST", job.ident, "is not known any more")
+            self.breach("LOST", job.ident, "is no longer known")
         if status != 200:
             return
         ended = job.state in FINAL_STATES
         if state != job.state:
-            self.note("shown", job.ident, state, "by entry", entry,
-                      f"asked {time.monotonic() - asked_at:.3f} s ago")
-        # An ask from before the end may be answered late with what was then;
-        # no ask is ever answered with another end.
+            self.note("reported", job.ident, state, "by entry", entry,
+                      f"queried {time.monotonic() - asked_at:.3f} s ago")
+        # A query sent before the job's end was reported may be answered late
+        # with an earlier state; no answer may report a different end.
         changed = state in FINAL_STATES or asked_at > job.state_at
         if ended and state != job.state and changed:
             self.breach("MIXED", job.ident, job.state, "then", state,
@@ -243,19 +247,22 @@
         if state == "succeeded" and missing:
             self.breach("MIXED", job.ident, "succeeded without", missing)
         if state == "cancelled" and not job.cancel_sent:
-            self.breach("LOST", job.ident, "was never cancelled")
+            self.breach("LOST", job.ident,
+                        "is cancelled, but no caller cancelled it")
         if state == "failed" and not self.has_cause(job):
-            self.breach("LOST", job.ident, "failed without cause")
+            self.breach("LOST", job.ident,
+                        "failed without enough failures or crashes")
 
     def has_cause(self, job):
         return any(self.failures.get(task, 0) >= MAX_ATTEMPTS
                    or self.crashes.get(task, 0) >= MIN_CRASHES_TO_FAIL
                    for task in job.tasks())
 
-    # -- in the end --------------------------------------------------------------
+    # -- final checks --------------------------------------------------------
 
     def open_jobs(self):
-        """Accepted jobs that are not where they should be in the end."""
+        """Accepted jobs, neither cancelled nor failed, that have not ended; or
+        long-running ones with a task that does not run."""
         out = []
         for job in self.jobs.values():
             if not job.accepted or job.cancelled or job.state == "failed":
@@ -270,12 +277,13 @@
 
     def check_end(self):
         for job in self.open_jobs():
-            self.breach("LOST", job.ident, "is", job.state, "in the end")
+            self.breach("LOST", job.ident, "is", job.state, "at the end")
         for job in self.jobs.values():
             refused = job.answers and all(
                 status in (429, 503, 0) for status in job.answers)
             if refused and job.started:
-                self.breach("REFUSED", job.ident, "ran though refused")
+                self.breach("REFUSED", job.ident, "ran although refused")
             running = [task for task in job.tasks() if self.live.get(task)]
             if job.cancelled and running:
-                self.breach("UNASKED", "cancelled, but runs:", running)
+                self.breach("UNASKED", "cancelled, but still running:",
+                            running)
--- a/tests/soak/restarts.py
+++ b/tests/soak/restarts.py
@@ -1,6 +1,7 @@
-"""Executors that start again under the id that they had, at once or after
-seconds: alone, some together, while calls wait unread, while their former
-incarnation's word is stalled on its way, and together with all of our processes."""
+"""Executor restarts under the same id, at once or after some seconds: one
+executor, several together, while calls are left unread or unanswered, while a
+heartbeat of the past incarnation is in flight, and together with all of our
+processes. The names of the fault methods are reported in the results."""
 
 import asyncio
 import signal
@@ -8,8 +9,8 @@
 from outages import Outages
 
 DOWNTIME_S = (0.2, 4.0)
-DELAY_S = (0.3, 3.0)  # of a heartbeat that its sender's next incarnation overtakes
-BEFORE_CRASH_S = (0.1, 0.6)  # before the crash
+DELAY_S = (0.3, 3.0)  # to a second restart, or of a stale heartbeat
+BEFORE_CRASH_S = (0.1, 0.6)  # from the start of a fault to the crash
 
 
 class Restarts(Outages):
@@ -22,12 +23,12 @@
         return self.draw.choice(self.fleet.executors)
 
     def downtime_s(self):
-        """Half of them are back at once."""
+        """Zero in half of the cases."""
         return self.draw.choice((0, self.draw.uniform(*DOWNTIME_S)))
 
     def restart_executor(self, executor):
         downtime_s = self.downtime_s()
-        self.record.note_fault("starts again", executor.incarnation,
+        self.record.note_fault("restarts", executor.incarnation,
                                f"after {downtime_s:.1f} s")
         executor.crash(downtime_s, keeps_id=True)
 
@@ -67,7 +68,7 @@
         await executor.send(*heartbeat)
 
     async def restart_with_all(self, _duration):
-        self.record.note_fault("SIGKILL to all, and executors start again")
+        self.record.note_fault("SIGKILL to all, and executors restart")
         for process in self.fleet.processes:
             process.signal(signal.SIGKILL)
         for executor in self.draw.sample(self.fleet.executors,
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -1,8 +1,8 @@
-"""A randomized soak of the job system: the real programs, faults from
-outside, and a check of what callers and executors saw.
+"""Randomized soak test of the job system: runs the real programs, injects
+faults from outside and checks what callers and executors observed.
 
-    soak.py --seed 7                    one seed
-    soak.py --seeds 50 --from 1 --jobs 4    many, a few at a time
+    soak.py --seed 7                        one seed
+    soak.py --seeds 50 --from 1 --jobs 4    seeds 1 to 50, four at a time
 """
 
 import argparse
@@ -25,11 +25,11 @@
 from record import FINAL_STATES, Record  # noqa: E402
 from restarts import Restarts  # noqa: E402
 
-READY_S = 20  # to a first accepted job; ends a fleet that does not come up
-SETTLE_S = 25  # after the last fault every job has ended; leases are 10 s
-SILENCE_INTERVAL_S = 4  # between connections that go silent, in the mean
-CLOSURE_INTERVAL_S = 3  # two zones are closed for about half of the time
-OBSERVATION_S = 1.5  # what must not happen after the end gets this long to happen
+READY_S = 20  # timeout for the first accepted job
+SETTLE_S = 25  # max time from the last fault to every job's end; leases: 10 s
+SILENCE_INTERVAL_S = 4  # mean time between faults that silence connections
+CLOSURE_INTERVAL_S = 3  # keeps the two zones closed about half of the time
+OBSERVATION_S = 1.5  # wait for forbidden events after all jobs have ended
 
 
 async def wait_until_ready(fleet, record, draw, options):
@@ -38,7 +38,7 @@
         if await caller.submit(caller.make_job()):
             return caller
         await asyncio.sleep(0.25)
-    record.breach("START", "no job was accepted")
+    record.breach("START", f"no job was accepted within {READY_S} s")
     return caller
 
 
@@ -62,7 +62,8 @@
             Faults(fleet, record, random.Random(seed + 2)).run(
                 options.seconds, options.gap),
             Faults(fleet, record, random.Random(seed + 3),
-                   only="silent links").run(options.seconds, SILENCE_INTERVAL_S),
+                   only="silent links").run(
+                       options.seconds, SILENCE_INTERVAL_S),
             Faults(fleet, record, random.Random(seed + 4),
                    only="closures").run(options.seconds, CLOSURE_INTERVAL_S),
             Outages(fleet, record, random.Random(seed + 5)).run(
@@ -70,24 +71,26 @@
             Restarts(fleet, record, random.Random(seed + 7)).run(
                 options.seconds, options.restart_gap))
         fleet.end_faults()
-        record.note_fault("calm from here on")
+        record.note_fault("all faults ended")
         await wait_for_jobs(fleet, record, caller)
         until.set()
         await load
         await asyncio.sleep(OBSERVATION_S)
         record.check_end()
         caller.close()
-        for one in fleet.processes:
-            if not one.is_running():
-                record.breach("AWAY", one.name, "is not there in the end")
-            if one.unexpected_exits:
-                record.breach("EXIT", one.name, "ended by itself")
-            if one.exceeds_bounds():
-                record.breach("BOUNDS", one.name, one.max_mb, "MB",
-                              one.max_descriptors, "descriptors")
-        record.note("most used:", *(
-            f"{one.name} {one.max_mb:.1f} MB {one.max_descriptors} fds;"
-            for one in fleet.processes))
+        for process in fleet.processes:
+            if not process.is_running():
+                record.breach("AWAY", process.name,
+                              "is not running at the end")
+            if process.unexpected_exits:
+                record.breach("EXIT", process.name, "exited unexpectedly")
+            if process.exceeds_bounds():
+                record.breach("BOUNDS", process.name, process.max_mb, "MB",
+                              process.max_descriptors, "descriptors")
+        record.note("peak usage:", *(
+            f"{process.name} {process.max_mb:.1f} MB "
+            f"{process.max_descriptors} fds;"
+            for process in fleet.processes))
     finally:
         fleet.end()
     record.takeovers = fleet.store.takeovers
@@ -95,7 +98,8 @@
 
 
 async def wait_for_jobs(fleet, record, caller):
-    """Every job reaches its end, and jobs of lost answers are asked for."""
+    """Waits until no accepted job is open, or for SETTLE_S. Queries open jobs,
+    since the answers to earlier queries may be lost."""
     loop = asyncio.get_running_loop()
     end = loop.time() + SETTLE_S
     while record.open_jobs() and loop.time() < end:
@@ -111,16 +115,17 @@
     ended = sum(job.state in FINAL_STATES for job in record.jobs.values())
     accepted = sum(job.accepted is not None for job in record.jobs.values())
     print(f"seed {seed}: {len(record.jobs)} jobs, {accepted} accepted, {ended} "
-          f"ended, {record.start_count} starts, {len(record.breaches)} breaches",
+          f"ended, {record.start_count} starts, "
+          f"{len(record.breaches)} breaches",
           flush=True)
-    for one in record.breaches[:8]:
-        print("   ", one, flush=True)
+    for breach in record.breaches[:8]:
+        print("   ", breach, flush=True)
 
 
 def result_counts(record):
-    """What the table of many seeds sums up."""
+    """The counts of one seed that print_totals sums up."""
     return {"breaches": collections.Counter(
-                one.partition(":")[0] for one in record.breaches),
+                breach.partition(":")[0] for breach in record.breaches),
             "counts": {"starts": record.start_count,
                        "takeovers": record.takeovers,
                        "accepted jobs": sum(job.accepted is not None
@@ -130,21 +135,22 @@
 
 
 def print_totals(directory):
-    """The sums over all seeds, by kind; what stands at 0 never happened."""
+    """Prints the sums over all seeds by kind, and the fault kinds that no seed
+    injected."""
     sums = {}
     seeds = os.listdir(directory)
     for name in seeds:
         with open(os.path.join(directory, name), encoding="utf-8") as text:
             for group, counts in json.load(text).items():
                 sums.setdefault(group, collections.Counter()).update(counts)
-    print("seeds with figures:", len(seeds))
+    print("seeds with results:", len(seeds))
     for group, counts in sums.items():
         print(f"{group}:", ", ".join(
             f"{name} {count}" for name, count in sorted(counts.items()))
             or "none")
     faults = sums.get("faults", {})
     never = [name for name, count in faults.items() if not count]
-    print("faults never played:", ", ".join(sorted(never)) or "none")
+    print("faults never injected:", ", ".join(sorted(never)) or "none")
 
 
 def run_one_seed(options):
@@ -164,7 +170,7 @@
 
 
 def command_for_seed(options, seed, figures):
-    """The command that plays one seed of many as all are to be played."""
+    """The command that runs one of many seeds with the given options."""
     line = [sys.executable, __file__, "--seed", str(seed),
             "--figures", os.path.join(figures, f"{seed}.json")]
     for name in ("seconds", "rate", "gap", "outage_gap", "restart_gap",
@@ -177,8 +183,8 @@
 
 
 def run_many_seeds(options):
-    """Each seed in a process of its own, a few side by side; all of one
-    copy of the program, so that a build meanwhile changes nothing."""
+    """Runs each seed in its own process, options.jobs at a time. All run one
+    copy of the program, so a concurrent build does not affect them."""
     copies = tempfile.mkdtemp(prefix="springstair-program-")
     os.environ["SPRINGSTAIR_PROGRAM"] = shutil.copy2(PROGRAM, copies)
     figures = tempfile.mkdtemp(prefix="springstair-figures-")
@@ -211,16 +217,19 @@
     parser.add_argument("--gap", type=float, default=1.2)
     parser.add_argument("--outage-gap", type=float, default=5)
     parser.add_argument("--restart-gap", type=float, default=4,
-                        help="between executors that start again, seconds")
+                        help="mean seconds between executor restarts")
     parser.add_argument("--entries", type=int, default=3)
     parser.add_argument("--guards", type=int, default=5)
     parser.add_argument("--weights", type=int, nargs=3, default=WEIGHTS,
-                        help="of quick, heavy and lasting jobs")
+                        help="relative frequency of quick, heavy and lasting "
+                        "jobs")
     parser.add_argument("--crashing", type=float, default=CRASHING_SHARE,
                         help="share of jobs with a task that crashes executors")
-    parser.add_argument("--keep", help="directory for logs and the story; "
-                        "of many seeds, one in it for each")
-    parser.add_argument("--figures", help="file for one seed's counts")
+    parser.add_argument("--keep", help="directory for process logs and the "
+                        "event log (story.txt); with --seeds, one "
+                        "subdirectory per seed")
+    parser.add_argument("--figures",
+                        help="output file (JSON) for one seed's counts")
     options = parser.parse_args()
     return run_many_seeds(options) if options.seeds else run_one_seed(options)
 
--- a/tests/soak/store.py
+++ b/tests/soak/store.py
@@ -1,5 +1,5 @@
-"""A stand-in of the platform's store: items with revisions, leases, watches,
-transactions; and the ways in which the real one misbehaves."""
+"""Stand-in for the platform's store: items with revisions, leases, watches and
+transactions, and the faults of the real one."""
 
 import asyncio
 import base64
@@ -18,19 +18,19 @@
         self.revision = 0
         self.items = {}
         self.history = []  # (revision, event)
-        self.compacted_revision = 0  # history up to this revision is forgotten
-        self.leases = {}  # id: [ttl, ends at]
+        self.compacted_revision = 0  # history up to here is discarded
+        self.leases = {}  # id: [ttl_ms, expires at]
         self.changed = asyncio.Event()
-        # Misbehaviour, switched by the soak.
-        self.lose_answers_below = None
+        # Set by the soak and the drills.
+        self.lose_answers_below = None  # key prefix; see loses_answer()
         self.lost_keys = set()
-        self.recorded_calls = None  # paths and prefixes of calls, once it is a list
+        self.recorded_calls = None  # list of (path, prefix), if recording
         self.outage = None  # None, "silent", "busy" or "reset"
         self.delay_s = 0.0
         self.lost_share = 0.0
         self.late_share = 0.0
         self.calls = 0
-        self.takeovers = 0  # times an entry became the holder
+        self.takeovers = 0  # times that an entry became leader
 
     async def start(self, address, port):
         self.server = await serve(address, port, self.handle)
@@ -79,12 +79,12 @@
         self.history.clear()
 
     def configure(self, document):
-        """The operator's write; no fault holds it up."""
+        """Writes the operator's configuration; faults do not affect it."""
         text = base64.b64encode(json.dumps(document).encode()).decode()
         self.write([{"tls_key": "op/config", "value": text}], [])
 
     def close(self, zone):
-        """The operator wants no run to begin there."""
+        """Closes a zone, as the operator does: no run may start there."""
         self.write([{"tls_key": f"op/evacuate/{zone}",
                      "value": base64.b64encode(b"{}").decode()}], [])
 
@@ -93,11 +93,11 @@
 
     @staticmethod
     def text(item):
-        """The value of an item as it was written; empty without one."""
+        """The decoded value of an item; empty without an item."""
         return base64.b64decode(item["value"]).decode() if item else ""
 
     def revoke(self, prefix):
-        """Takes keys under leases away at once; nobody is told."""
+        """Removes leased keys at once; their leases stay valid."""
         keys = [key for key, item in self.items.items()
                 if key.startswith(prefix) and item["lease"]]
         if keys:
@@ -158,8 +158,8 @@
         return answer
 
     def loses_answer(self, document):
-        """Whether the answer to a write is lost: one for each key below a
-        prefix, if such a prefix is set."""
+        """Whether the answer to a write is lost. If lose_answers_below is set,
+        the first answer for each key with that prefix is lost."""
         for put in document.get("put", []):
             key = put["tls_key"]
             if self.lose_answers_below \
--- a/tests/soak/wire.py
+++ b/tests/soak/wire.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 with keep-alive for the stand-ins and the soak's callers."""
+"""HTTP/1.1 with keep-alive, for the stand-ins and the soak's callers."""
 
 import asyncio
 import json
@@ -6,15 +6,15 @@
 
 
 class Silence(Exception):
-    """The server says nothing more on this connection."""
+    """The server stops answering on this connection and keeps it open."""
 
 
 class Reset(Exception):
-    """The server breaks the connection off."""
+    """The server resets the connection."""
 
 
 async def read_message(reader):
-    """One request or answer: its first line, headers and body."""
+    """Reads one request or answer; returns first line, headers and body."""
     head = await reader.readuntil(b"\r\n\r\n")
     lines = head.decode("latin-1").split("\r\n")
     headers = {}
@@ -27,9 +27,9 @@
 
 
 async def serve(address, port, handler):
-    """Serves @handler(method, path, query, headers, document), which gives a
-    status and a document, or raises Silence or Reset. Beside the headers
-    that were sent, `peer-port` tells the connection."""
+    """Serves requests with handler(method, path, query, headers, document),
+    which returns a status and a document, or raises Silence or Reset. The
+    additional header `peer-port` identifies the connection."""
 
     async def connection(reader, writer):
         peer_port = writer.get_extra_info("peername")[1]
@@ -62,21 +62,21 @@
         try:
             await connection(reader, writer)
         except asyncio.CancelledError:
-            pass  # the soak is over; its loop ends what is left
+            pass  # the event loop cancels open connections at the end
 
     return await asyncio.start_server(until_the_end, address, port)
 
 
 class Connection:
-    """A caller's connection, kept open until its peer ends it."""
+    """A client connection, kept open between calls and reopened on failure."""
 
     def __init__(self, address):
         self.address = address
         self.stream = None
 
     async def call(self, method, path, document=None, headers=None, timeout=3):
-        """Gives the status and document; None if the outcome is unknown,
-        0 if nothing was sent."""
+        """Returns status and document. The status is None if the outcome is
+        unknown, 0 if nothing was sent."""
         sent = False
         try:
             async with asyncio.timeout(timeout):
