--- a/bench/bench.py
+++ b/bench/bench.py
@@ -34,9 +34,9 @@
     return table
 
 
-def stream(work, rate, service_ms, workspace="w1", deadline_ms=10000):
-    return {"label": f"{workspace}/{work}", "class": work, "rate": rate,
-            "credential": workspace, "workspace": workspace,
+def stream(class_name, rate, service_ms, workspace="w1", deadline_ms=10000):
+    return {"label": f"{workspace}/{class_name}", "class": class_name,
+            "rate": rate, "credential": workspace, "workspace": workspace,
             "service_ms": service_ms, "deadline_ms": deadline_ms}
 
 
@@ -44,9 +44,9 @@
     return stream("fast", rate, FAST_MS, workspace, 1000)
 
 
-def overload(times=1.2):
+def overload(factor=1.2):
     """Heavy and background work that asks for `times` all slots."""
-    rate = times * SLOTS / (HEAVY_MS / 1000)
+    rate = factor * SLOTS / (HEAVY_MS / 1000)
     return [stream("heavy", rate * 0.7, HEAVY_MS),
             stream("background", rate * 0.3, HEAVY_MS)]
 
@@ -75,39 +75,39 @@
 # -- the fast class beside overload -------------------------------------------
 
 
-def heavy_done(result):
+def completed_heavy(result):
     return sum(one["in_window"] for label, one in result.items()
                if not label.endswith("fast"))
 
 
 def beside_overload(size):
     print(f"{size}: fast class beside 1.2 x heavy and background work")
-    ways = {"ours": {}, "random": {"routing": "random", "reserve": False},
+    variants = {"ours": {}, "random": {"routing": "random", "reserve": False},
             "least loaded": {"routing": "least_loaded", "reserve": False}}
-    alone, p99, done, refused = [], {w: [] for w in ways}, \
-        {w: [] for w in ways}, {w: [] for w in ways}
-    for way, options in ways.items():
+    unloaded_p99, p99, done, refused = [], {v: [] for v in variants}, \
+        {v: [] for v in variants}, {v: [] for v in variants}
+    for variant, options in variants.items():
         with deployment(size, **options) as fleet:
             fleet.up(rows())
             for seed in SEEDS:
-                if way == "ours":
-                    only = run(fleet, size, [fast()], seed)
-                    alone.append(only["w1/fast"]["p99_ms"])
+                if variant == "ours":
+                    unloaded = run(fleet, size, [fast()], seed)
+                    unloaded_p99.append(unloaded["w1/fast"]["p99_ms"])
                 result = run(fleet, size, [fast()] + overload(), seed)
                 one = result["w1/fast"]
-                p99[way].append(one["p99_ms"])
-                refused[way].append(
+                p99[variant].append(one["p99_ms"])
+                refused[variant].append(
                     100 * (one["sent"] - one["answered"]) / one["sent"])
-                done[way].append(heavy_done(result))
-    show("fast alone, p99", alone, " ms")
-    for way in ways:
-        show(f"{way}: p99", p99[way], " ms")
-        show(f"{way}: p99 / fast alone",
-             [a / b for a, b in zip(p99[way], alone)])
-        show(f"{way}: fast not answered", refused[way], " %")
-        show(f"{way}: heavy work done / best baseline's",
+                done[variant].append(completed_heavy(result))
+    show("fast alone, p99", unloaded_p99, " ms")
+    for variant in variants:
+        show(f"{variant}: p99", p99[variant], " ms")
+        show(f"{variant}: p99 / fast alone",
+             [a / b for a, b in zip(p99[variant], unloaded_p99)])
+        show(f"{variant}: fast not answered", refused[variant], " %")
+        show(f"{variant}: heavy work done / best baseline's",
              [d / max(r, s) for d, r, s in zip(
-                 done[way], done["random"], done["least loaded"])])
+                 done[variant], done["random"], done["least loaded"])])
 
 
 # -- one workspace floods -------------------------------------------------------
@@ -116,31 +116,31 @@
 def flood(size):
     print(f"{size}: one workspace offers ten times its share")
     others = ("w2", "w3", "w4")
-    moved = []
+    ratios = []
     with deployment(size) as fleet:
         fleet.up(rows(4, limit=60))
         for seed in SEEDS:
-            def streams(times):
-                result = [fast(100 * times, "w1"),
-                          stream("heavy", 40 * times, HEAVY_MS, "w1")]
+            def streams(factor):
+                result = [fast(100 * factor, "w1"),
+                          stream("heavy", 40 * factor, HEAVY_MS, "w1")]
                 for name in others:
                     result += [fast(100, name),
                                stream("heavy", 40, HEAVY_MS, name)]
                 return result
-            calm = run(fleet, size, streams(1), seed)
-            loud = run(fleet, size, streams(10), seed)
-            moved.append(max(loud[f"{n}/fast"]["p99_ms"] /
-                             calm[f"{n}/fast"]["p99_ms"] for n in others))
+            baseline = run(fleet, size, streams(1), seed)
+            flooded = run(fleet, size, streams(10), seed)
+            ratios.append(max(flooded[f"{n}/fast"]["p99_ms"] /
+                             baseline[f"{n}/fast"]["p99_ms"] for n in others))
             print("      refused of the flood:",
-                  loud["w1/fast"]["not_run"], "others:",
-                  [loud[f"{n}/fast"]["not_run"] for n in others])
-    show("others' worst p99, flood / calm", moved)
+                  flooded["w1/fast"]["not_run"], "others:",
+                  [flooded[f"{n}/fast"]["not_run"] for n in others])
+    show("others' worst p99, flood / calm", ratios)
 
 
 # -- the store away -------------------------------------------------------------
 
 
-def store_away(size):
+def store_down(size):
     print(f"{size}: the store down for the whole run")
     with deployment(size) as fleet:
         fleet.up(rows())
@@ -179,7 +179,7 @@
             idle = {k: cpu_seconds(fleet, k) for k in kinds}
             time.sleep(SECONDS)
             before = {k: cpu_seconds(fleet, k) for k in kinds}
-            through = run(fleet, size, [fast(rate)], seed)["w1/fast"]
+            scheduled = run(fleet, size, [fast(rate)], seed)["w1/fast"]
             after = {k: cpu_seconds(fleet, k) for k in kinds}
             direct = collect(fleet.load({
                 "duration_ms": SECONDS * 1000, "seed": seed,
@@ -187,12 +187,13 @@
                 "client_delay_us": SIZES[size]["client_us"],
                 "targets": [{"address": a} for a in fleet.workers.values()],
                 "streams": [fast(rate)]}, ids=False))["w1/fast"]
-            p50.append(through["p50_ms"] - direct["p50_ms"])
-            latency.append(through["p99_ms"] / direct["p99_ms"])
+            p50.append(scheduled["p50_ms"] - direct["p50_ms"])
+            latency.append(scheduled["p99_ms"] / direct["p99_ms"])
             for kind in kinds:
                 base = before[kind] - idle[kind]
                 spent = after[kind] - before[kind] - base
-                print(f"      {kind}: {1e6 * spent / through['sent']:.0f} us "
+                print(f"      {kind}: "
+                      f"{1e6 * spent / scheduled['sent']:.0f} us "
                       f"of processor a request; idle "
                       f"{100 * base / SECONDS:.2f}% of a core in all")
         show("p50 through - direct", p50, " ms")
@@ -225,10 +226,11 @@
             time.sleep(0.1)
         result = collect(load)
         sent = sum(one["sent"] for one in result.values())
-        hurt = sum(one["sent"] - one["answered"] for one in result.values())
-        print(f"    {sent} sent, {hurt} not answered well "
-              f"({100 * hurt / sent:.2f} %), {seen} reached it; it was given "
-              f"more than a probe for {last_growth:.1f} s")
+        unanswered = sum(one["sent"] - one["answered"]
+                         for one in result.values())
+        print(f"    {sent} sent, {unanswered} not answered well "
+              f"({100 * unanswered / sent:.2f} %), {seen} reached it; "
+              f"it was given more than a probe for {last_growth:.1f} s")
 
 
 def silent(size):
@@ -247,23 +249,25 @@
         until = time.monotonic() - begin
         result = collect(load)
         sent = sum(one["sent"] for one in result.values())
-        hurt = sum(one["sent"] - one["answered"] for one in result.values())
-        print(f"    {sent} sent, {hurt} not answered well "
-              f"({100 * hurt / sent:.2f} %); no new work after {until:.2f} s")
+        unanswered = sum(one["sent"] - one["answered"]
+                         for one in result.values())
+        print(f"    {sent} sent, {unanswered} not answered well "
+              f"({100 * unanswered / sent:.2f} %); "
+              f"no new work after {until:.2f} s")
         print("    ", {label: {**one["not_run"], **one["unknown"]}
                        for label, one in result.items()})
 
 
-ALL = {"overload": beside_overload, "flood": flood, "store": store_away,
+BENCHMARKS = {"overload": beside_overload, "flood": flood, "store": store_down,
        "hops": hops, "failing": failing, "silent": silent}
 
 
 def main():
-    chosen = sys.argv[1:] or list(ALL)
+    chosen = sys.argv[1:] or list(BENCHMARKS)
     for name in chosen:
         sizes = SIZES if name in ("overload", "flood") else ["port-of-spain"]
         for size in sizes:
-            ALL[name](size)
+            BENCHMARKS[name](size)
             print(flush=True)
 
 
--- a/scripts/fleet.py
+++ b/scripts/fleet.py
@@ -24,7 +24,7 @@
     return hashlib.sha256(credential.encode()).hexdigest()
 
 
-HELD_PORTS = {}
+LOCKED_PORTS = {}
 
 
 def free_port():
@@ -32,10 +32,10 @@
     this process against others that choose at the same moment."""
     locks = os.path.join(tempfile.gettempdir(), "springstair-ports")
     os.makedirs(locks, exist_ok=True)
-    draw = random.Random(os.getpid() * 1000 + len(HELD_PORTS))
+    draw = random.Random(os.getpid() * 1000 + len(LOCKED_PORTS))
     while True:
         port = draw.randrange(12000, 32000)
-        if port in HELD_PORTS:
+        if port in LOCKED_PORTS:
             continue
         lock = open(os.path.join(locks, str(port)), "w", encoding="utf-8")
         try:
@@ -45,7 +45,7 @@
         except OSError:
             lock.close()
             continue
-        HELD_PORTS[port] = lock
+        LOCKED_PORTS[port] = lock
         return port
 
 
@@ -66,7 +66,7 @@
         connection.close()
 
 
-def wait_for(what, condition, seconds=20):
+def wait_for(description, condition, seconds=20):
     """Waits for a condition; the bound only ends a run that has failed."""
     until = time.monotonic() + seconds
     while time.monotonic() < until:
@@ -76,7 +76,7 @@
         except (OSError, KeyError, http.client.HTTPException):
             pass
         time.sleep(0.02)
-    raise AssertionError("waited in vain: " + what)
+    raise AssertionError("waited in vain: " + description)
 
 
 class Fleet:
@@ -94,7 +94,7 @@
         self.guards = {}
         self.workers = {}
         self.store = f"{ADDRESS}:{free_port()}"
-        centres = [f"dc-{1 + n}" for n in range(data_centres)]
+        data_centre_names = [f"dc-{1 + n}" for n in range(data_centres)]
         names = [f"entry-{1 + n}" for n in range(entries)]
         for name in names:
             self.entries[name] = f"{ADDRESS}:{free_port()}"
@@ -102,7 +102,7 @@
                                 "port=" + self.store.split(":")[1]])
         for n in range(guards):
             name = f"guard-{1 + n}"
-            centre = centres[n % data_centres]
+            centre = data_centre_names[n % data_centres]
             self.workers[name] = f"{ADDRESS}:{free_port()}"
             self.guards[name] = f"{ADDRESS}:{free_port()}"
             self._declare(f"worker-{1 + n}", [
@@ -123,13 +123,15 @@
                        "operator_credential_hashes": [hash_of(OPERATOR)],
                        "drain_grace_ms": 500}
             section.update(entry_extra or {})
-            self._declare_daemon(name, "entry", centres[n % data_centres],
-                                 self.entries[name], section)
-        self.centre_of_entry = {name: centres[n % data_centres]
+            self._declare_daemon(
+                name, "entry", data_centre_names[n % data_centres],
+                self.entries[name], section)
+        self.centre_of_entry = {name: data_centre_names[n % data_centres]
                                 for n, name in enumerate(names)}
 
-    def _declare(self, name, words):
-        self.commands[name] = [os.path.join(BUILD, words[0])] + words[1:]
+    def _declare(self, name, arguments):
+        self.commands[name] = ([os.path.join(BUILD, arguments[0])] +
+                               arguments[1:])
 
     def _declare_daemon(self, name, role, centre, address, section,
                         rack="none"):
@@ -153,8 +155,8 @@
                 stdin=subprocess.DEVNULL)
             log.close()
 
-    def signal(self, name, which):
-        self.processes[name].send_signal(which)
+    def signal(self, name, number):
+        self.processes[name].send_signal(number)
 
     def kill(self, name):
         self.signal(name, signal.SIGKILL)
@@ -195,12 +197,12 @@
 
     # What the fleet says ---------------------------------------------------
 
-    def cli(self, *words, credential=OPERATOR, entries=None):
+    def cli(self, *arguments, credential=OPERATOR, entries=None):
         """Runs the operators' command line; gives code, output, errors."""
         chosen = ",".join(entries or self.entries.values())
         done = subprocess.run(
             [os.path.join(BUILD, "springstair"), "--entries", chosen,
-             "--credential", credential, *words],
+             "--credential", credential, *arguments],
             capture_output=True, text=True, check=False)
         return done.returncode, done.stdout, done.stderr
 
@@ -248,8 +250,8 @@
             for name, address in self.entries.items()])
         with open(path, "w", encoding="utf-8") as file:
             json.dump(plan, file)
-        words = [os.path.join(BUILD, "springstair_load"), path]
-        return subprocess.Popen(words + (["ids"] if ids else []),
+        arguments = [os.path.join(BUILD, "springstair_load"), path]
+        return subprocess.Popen(arguments + (["ids"] if ids else []),
                                 stdout=subprocess.PIPE, text=True)
 
     def import_table(self, rows):
@@ -297,12 +299,12 @@
 def two_workspaces():
     """The rows of the demonstration: rival firms, three kinds of work."""
     rows = {}
-    for firm, weight in (("ferreira", 2), ("ramdeen", 1)):
-        rows[firm] = {"weight": weight, "max_in_flight": 400,
-                      "credential_hashes": [hash_of(firm + "-secret")]}
-        rows[firm + "/clause-fill"] = {
+    for workspace, weight in (("ferreira", 2), ("ramdeen", 1)):
+        rows[workspace] = {"weight": weight, "max_in_flight": 400,
+                      "credential_hashes": [hash_of(workspace + "-secret")]}
+        rows[workspace + "/clause-fill"] = {
             "kind": "latency-critical", "weight": 4, "reserved_slots": 2,
             "target_ms": 50, "repeatable": True}
-        rows[firm + "/bundle-render"] = {"kind": "heavy", "weight": 1}
-        rows[firm + "/statute-watch"] = {"kind": "batch", "weight": 1}
+        rows[workspace + "/bundle-render"] = {"kind": "heavy", "weight": 1}
+        rows[workspace + "/statute-watch"] = {"kind": "batch", "weight": 1}
     return rows
--- a/scripts/run.py
+++ b/scripts/run.py
@@ -7,9 +7,10 @@
 from fleet import Fleet, call, collect, two_workspaces, wait_for
 
 
-def stream(firm, work, rate, service_ms, repeatable):
-    return {"label": f"{firm}/{work}", "class": work, "rate": rate,
-            "credential": firm + "-secret", "workspace": firm,
+def stream(workspace, class_name, rate, service_ms, repeatable):
+    return {"label": f"{workspace}/{class_name}", "class": class_name,
+            "rate": rate, "credential": workspace + "-secret",
+            "workspace": workspace,
             "service_ms": service_ms, "repeatable": repeatable,
             "deadline_ms": 5000}
 
@@ -49,9 +50,9 @@
         print(fleet.cli("table", "set", "ramdeen", "weight", "3")[1])
         print("sending mixed load for 5 seconds ...\n")
         streams = []
-        for firm in ("ferreira", "ramdeen"):
-            streams += [stream(firm, "clause-fill", 100, 3, "true"),
-                        stream(firm, "bundle-render", 12, 400, "false")]
+        for workspace in ("ferreira", "ramdeen"):
+            streams += [stream(workspace, "clause-fill", 100, 3, "true"),
+                        stream(workspace, "bundle-render", 12, 400, "false")]
         results = collect(fleet.load(
             {"duration_ms": 5000, "seed": 7, "streams": streams}, ids=False))
         show(results)
--- a/tests/drills/drills.py
+++ b/tests/drills/drills.py
@@ -16,19 +16,20 @@
 from fleet import (Fleet, OPERATOR, call, collect, hash_of,  # noqa: E402
                    two_workspaces, wait_for)
 
-FIRMS = ("ferreira", "ramdeen")
+WORKSPACES = ("ferreira", "ramdeen")
 SECRET = {"springstair-credential": "ferreira-secret"}
 
 
 def mixed_plan(milliseconds, rate=60, seed=11):
     streams = []
-    for firm in FIRMS:
-        common = {"credential": firm + "-secret", "workspace": firm}
-        streams.append({"label": firm + "-fill", "class": "clause-fill",
+    for workspace in WORKSPACES:
+        common = {"credential": workspace + "-secret", "workspace": workspace}
+        streams.append({"label": workspace + "-fill", "class": "clause-fill",
                         "rate": rate, "service_ms": 3, "repeatable": "true",
                         "deadline_ms": 2000, **common})
-        streams.append({"label": firm + "-render", "class": "bundle-render",
-                        "rate": rate / 4, "service_ms": 120,
+        streams.append({"label": workspace + "-render",
+                        "class": "bundle-render", "rate": rate / 4,
+                        "service_ms": 120,
                         "repeatable": "false", "deadline_ms": 4000,
                         **common})
     return {"duration_ms": milliseconds, "seed": seed, "streams": streams}
@@ -51,9 +52,11 @@
             sent += one["sent"]
             answered += one["answered"]
             self.assertEqual(one["mixed"], 0, label)
-            told = len(one["ids"]["not_run"]) + len(one["ids"]["unknown"])
+            unanswered = (len(one["ids"]["not_run"]) +
+                          len(one["ids"]["unknown"]))
             self.assertEqual(
-                one["sent"], one["answered"] + one["failed"] + told, label)
+                one["sent"], one["answered"] + one["failed"] + unanswered,
+                label)
             ran = [i for i in one["ids"]["not_run"] if runs.get(i, 0) > 0]
             self.assertEqual(ran, [], "called not_run, but ran")
             lost = [i for i in one["ids"]["answered"] if runs.get(i, 0) < 1]
@@ -67,7 +70,7 @@
               "answered, mixed/doubled/false not_run/overshoot all 0")
         return sent, answered
 
-    def unknown_of(self, results):
+    def count_unknown(self, results):
         return sum(sum(one["unknown"].values()) for one in results.values())
 
     # -- the request path ---------------------------------------------------
@@ -141,7 +144,7 @@
         sent, answered = self.check_requests(fleet, results)
         reasons = {label: {**one["not_run"], **one["unknown"]}
                    for label, one in results.items()}
-        self.assertEqual(self.unknown_of(results), 0, reasons)
+        self.assertEqual(self.count_unknown(results), 0, reasons)
         self.assertEqual(sent, answered, reasons)
 
     def test_leaving_executor_gets_no_new_work(self):
@@ -153,7 +156,7 @@
         fleet.set_vms(leaving=("guard-2",))
         wait_for("both are known to leave", lambda: all(
             fleet.live_guards(entry) == 1 for entry in fleet.entries), 5)
-        at_most = fleet.history()
+        before = fleet.history()
         time.sleep(0.5)  # what was on its way then has arrived
         settled = fleet.history()
         results = collect(load)
@@ -161,7 +164,7 @@
         for name in ("guard-1", "guard-2"):
             self.assertEqual(len(settled[name]["executor"]["runs"]),
                              len(after[name]["executor"]["runs"]), name)
-            self.assertGreater(len(at_most[name]["executor"]["runs"]), 0)
+            self.assertGreater(len(before[name]["executor"]["runs"]), 0)
         self.check_requests(fleet, results)
 
     def test_store_down_slow_and_lying(self):
@@ -276,12 +279,12 @@
              {"springstair-workspace": "ramdeen",
               "springstair-fleet-key": "guess"}, 401),
         ]
-        for name, address, method, path, headers, wanted in cases:
+        for name, address, method, path, headers, expected in cases:
             with self.subTest(name):
                 status, body = call(address, method, path,
                                     {} if method == "POST" else None,
                                     headers)
-                self.assertEqual(status, wanted, body)
+                self.assertEqual(status, expected, body)
                 self.assertEqual(body.get("outcome", "not_run"), "not_run")
         record = self.submit(fleet, {"run_ms": 10})
         rival = {"springstair-credential": "ramdeen-secret"}
@@ -363,9 +366,9 @@
         tasks = [self.submit(fleet, {"run_ms": 3000}, "entry-2")["id"]
                  for n in range(10)]
         fleet.freeze("entry-2")
-        held = lambda: sum(len(one["shards"]) for one in fleet.status()
+        count_shards = lambda: sum(len(one["shards"]) for one in fleet.status()
                            ["entries"] if one["entry"] == "entry-1")
-        wait_for("entry-1 holds every shard", lambda: held() == 8, 40)
+        wait_for("entry-1 holds every shard", lambda: count_shards() == 8, 40)
         fleet.thaw("entry-2")
         self.check_tasks(fleet, tasks)
 
@@ -393,8 +396,8 @@
                  for n in range(12)]
         wait_for("they run", lambda: sum(
             one["tasks"] for one in fleet.status()["guards"]) == 12)
-        there = fleet.history()["guard-3"]["worker"]["intervals"]
-        self.assertGreater(len(there), 0)
+        intervals = fleet.history()["guard-3"]["worker"]["intervals"]
+        self.assertGreater(len(intervals), 0)
         fleet.kill("worker-3")
         fleet.kill("guard-3")
         fleet.set_vms(gone=("guard-3",))
--- a/tests/tools/rounds_tests.py
+++ b/tests/tools/rounds_tests.py
@@ -73,9 +73,9 @@
         self.assertIn("worth 0.200", self.run_tool())
 
     def test_an_interval_widens_with_the_spread(self):
-        mean, half = rounds.interval([0.1, 0.3])
+        mean, half_width = rounds.interval([0.1, 0.3])
         self.assertAlmostEqual(mean, 0.2)
-        self.assertAlmostEqual(half, 12.71 * 0.1)
+        self.assertAlmostEqual(half_width, 12.71 * 0.1)
         self.assertTrue(math.isinf(rounds.interval([0.1])[1]))
 
 
