--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# Entry points for people; CMake does the building.
+# Entry points for developers; the build itself is done by CMake.
 BUILD := build
 PYTHON := /usr/bin/python3
 
--- a/bench/bench.py
+++ b/bench/bench.py
@@ -1,5 +1,5 @@
-"""Measures the request path at the sizes of both deployments. Every figure
-that counts is a ratio within one run of this program."""
+"""Measures the request path at the sizes of both deployments. Only ratios
+within one run are meaningful; absolute figures depend on the machine."""
 
 import json
 import os
@@ -45,7 +45,8 @@
 
 
 def overload(factor=1.2):
-    """Heavy and background work that asks for `times` all slots."""
+    """Heavy and background streams that offer `factor` times the load that all
+    slots can serve."""
     rate = factor * SLOTS / (HEAVY_MS / 1000)
     return [stream("heavy", rate * 0.7, HEAVY_MS),
             stream("background", rate * 0.3, HEAVY_MS)]
@@ -72,7 +73,7 @@
           f"({min(values):.2f} to {max(values):.2f})", flush=True)
 
 
-# -- the fast class beside overload -------------------------------------------
+# -- fast class beside overload ----------------------------------------------
 
 
 def completed_heavy(result):
@@ -102,15 +103,15 @@
     show("fast alone, p99", unloaded_p99, " ms")
     for variant in variants:
         show(f"{variant}: p99", p99[variant], " ms")
-        show(f"{variant}: p99 / fast alone",
+        show(f"{variant}: p99 / p99 of fast alone",
              [a / b for a, b in zip(p99[variant], unloaded_p99)])
         show(f"{variant}: fast not answered", refused[variant], " %")
-        show(f"{variant}: heavy work done / best baseline's",
+        show(f"{variant}: heavy work completed / best baseline's",
              [d / max(r, s) for d, r, s in zip(
                  done[variant], done["random"], done["least loaded"])])
 
 
-# -- one workspace floods -------------------------------------------------------
+# -- one workspace floods the fleet ------------------------------------------
 
 
 def flood(size):
@@ -131,13 +132,13 @@
             flooded = run(fleet, size, streams(10), seed)
             ratios.append(max(flooded[f"{n}/fast"]["p99_ms"] /
                              baseline[f"{n}/fast"]["p99_ms"] for n in others))
-            print("      refused of the flood:",
+            print("      refused, flooding workspace:",
                   flooded["w1/fast"]["not_run"], "others:",
                   [flooded[f"{n}/fast"]["not_run"] for n in others])
-    show("others' worst p99, flood / calm", ratios)
+    show("worst p99 of the others, flooded / baseline", ratios)
 
 
-# -- the store away -------------------------------------------------------------
+# -- store outage ------------------------------------------------------------
 
 
 def store_down(size):
@@ -155,7 +156,7 @@
             down["w1/fast"]["p99_ms"] / up["w1/fast"]["p99_ms"]])
 
 
-# -- what the two hops cost ---------------------------------------------------
+# -- cost of the two hops ----------------------------------------------------
 
 
 def cpu_seconds(fleet, kind):
@@ -169,7 +170,7 @@
 
 
 def hops(size):
-    print("the cost of the two hops, against calling executors directly")
+    print("cost of the two hops, compared to calling executors directly")
     rate = 400
     with deployment(size) as fleet:
         fleet.up(rows())
@@ -194,13 +195,13 @@
                 spent = after[kind] - before[kind] - base
                 print(f"      {kind}: "
                       f"{1e6 * spent / scheduled['sent']:.0f} us "
-                      f"of processor a request; idle "
-                      f"{100 * base / SECONDS:.2f}% of a core in all")
-        show("p50 through - direct", p50, " ms")
-        show("p99 through / direct", latency)
+                      f"of processor time per request; idle "
+                      f"{100 * base / SECONDS:.2f}% of a core in total")
+        show("p50 scheduled - direct", p50, " ms")
+        show("p99 scheduled / direct", latency)
 
 
-# -- executors that fail everything, and one that dies silently -------------
+# -- executors that fail every request, and one that becomes unresponsive ----
 
 
 def runs_at(fleet, name):
@@ -209,7 +210,7 @@
 
 
 def failing(size):
-    print(f"{size}: a tenth of the executors fail everything")
+    print(f"{size}: one of eleven executors fails every request")
     with deployment(size) as fleet:
         fleet.up(rows())
         call(fleet.workers["guard-2"], "POST", "/control",
@@ -220,7 +221,7 @@
         seen, last_growth, begin = 0, 0, time.monotonic()
         while load.poll() is None:
             now_at = runs_at(fleet, "guard-2")
-            if now_at > seen + 1:  # a probe is one
+            if now_at > seen + 1:  # a probe adds one run
                 last_growth = time.monotonic() - begin
             seen = now_at
             time.sleep(0.1)
@@ -234,7 +235,7 @@
 
 
 def silent(size):
-    print(f"{size}: one executor's machine dies silently (frozen, not closed)")
+    print(f"{size}: one executor's machine becomes unresponsive (frozen)")
     with deployment(size) as fleet:
         fleet.up(rows())
         load = fleet.load({"duration_ms": SECONDS * 1000, "seed": 1,
@@ -244,7 +245,7 @@
         fleet.freeze("worker-2")
         fleet.freeze("guard-2")
         begin = time.monotonic()
-        wait_for("nothing is sent there", lambda: all(
+        wait_for("no entry counts its guard as live", lambda: all(
             fleet.live_guards(entry) == 10 for entry in fleet.entries))
         until = time.monotonic() - begin
         result = collect(load)
--- a/scripts/fleet.py
+++ b/scripts/fleet.py
@@ -1,5 +1,5 @@
-"""Starts a fleet of plain processes on this machine, for the demonstration,
-the drills and the measurements. Every process is ended by its own id."""
+"""Runs a fleet of processes on this machine for the demonstration, the drills
+and the measurements. Every process is ended by its own pid."""
 
 import fcntl
 import hashlib
@@ -28,8 +28,8 @@
 
 
 def free_port():
-    """A port below the range from which clients' ports are taken, held for
-    this process against others that choose at the same moment."""
+    """Returns a free port below the ephemeral range. A file lock keeps other
+    processes that call this at the same time from choosing it."""
     locks = os.path.join(tempfile.gettempdir(), "springstair-ports")
     os.makedirs(locks, exist_ok=True)
     draw = random.Random(os.getpid() * 1000 + len(LOCKED_PORTS))
@@ -50,7 +50,7 @@
 
 
 def call(address, method, path, body=None, headers=None, timeout=10):
-    """One HTTP call; gives the status and the parsed body."""
+    """Makes one HTTP call; returns the status and the parsed body."""
     host, port = address.split(":")
     connection = http.client.HTTPConnection(host, int(port), timeout=timeout)
     try:
@@ -67,7 +67,7 @@
 
 
 def wait_for(description, condition, seconds=20):
-    """Waits for a condition; the bound only ends a run that has failed."""
+    """Polls until condition() is true; fails after the given seconds."""
     until = time.monotonic() + seconds
     while time.monotonic() < until:
         try:
@@ -76,11 +76,11 @@
         except (OSError, KeyError, http.client.HTTPException):
             pass
         time.sleep(0.02)
-    raise AssertionError("waited in vain: " + description)
+    raise AssertionError("timed out waiting for: " + description)
 
 
 class Fleet:
-    """Entries, guards with their workers, and the platform's stand-in."""
+    """Entries, guards with their workers, and a stand-in for the platform."""
 
     def __init__(self, guards=3, entries=2, data_centres=2, slots=8,
                  routing="sampled", reserve=True, cpu_millis=16000,
@@ -145,7 +145,7 @@
             json.dump(settings, file, indent=2)
         self._declare(name, ["springstaird", "--settings", path])
 
-    # Processes ------------------------------------------------------------
+    # -- processes ----------------------------------------------------------
 
     def start(self, *names):
         for name in names or self.commands:
@@ -169,7 +169,7 @@
         self.signal(name, signal.SIGCONT)
 
     def stop(self, name, seconds=30):
-        """A planned stop; gives the exit code."""
+        """Stops a process as planned (SIGTERM); returns its exit code."""
         process = self.processes[name]
         process.send_signal(signal.SIGTERM)
         code = process.wait(timeout=seconds)
@@ -195,10 +195,11 @@
     def __exit__(self, *_):
         self.end()
 
-    # What the fleet says ---------------------------------------------------
+    # -- control and observation --------------------------------------------
 
     def cli(self, *arguments, credential=OPERATOR, entries=None):
-        """Runs the operators' command line; gives code, output, errors."""
+        """Runs the operators' command line; returns exit code, stdout and
+        stderr."""
         chosen = ",".join(entries or self.entries.values())
         done = subprocess.run(
             [os.path.join(BUILD, "springstair"), "--entries", chosen,
@@ -229,12 +230,12 @@
         call(self.store, "POST", "/control/vms", {"vms": vms})
 
     def history(self):
-        """What each worker did, by its guard's name."""
+        """Each worker's record of what it ran, by its guard's name."""
         return {name: call(address, "GET", "/control")[1]
                 for name, address in self.workers.items()}
 
     def runs(self):
-        """How often each request ran, over all executors."""
+        """The number of runs of each request over all executors."""
         all_runs = {}
         for one in self.history().values():
             for request, count in one["executor"]["runs"].items():
@@ -242,7 +243,7 @@
         return all_runs
 
     def load(self, plan, ids=True):
-        """Starts the load tool; collect() gives its result."""
+        """Starts the load tool; collect() returns its result."""
         path = os.path.join(self.directory, f"plan-{time.monotonic()}.json")
         plan.setdefault("targets", [
             {"address": address,
@@ -263,26 +264,27 @@
         return out
 
     def up(self, rows):
-        """Starts everything, saves the table and waits until all serve."""
+        """Starts all processes, imports the table and waits until they
+        serve."""
         self.start()
-        wait_for("the store", lambda: self.store_counts() is not None)
+        wait_for("the store answers", lambda: self.store_counts() is not None)
         self.set_vms()
         for address in self.entries.values():
-            wait_for("an entry", lambda a=address: call(
+            wait_for("an entry answers", lambda a=address: call(
                 a, "GET", "/healthz")[0] in (200, 503))
         self.import_table(rows)
         self.wait_until_serving()
 
     def wait_until_serving(self):
         for name, address in self.entries.items():
-            wait_for(name, lambda a=address: call(
+            wait_for(name + " serves", lambda a=address: call(
                 a, "GET", "/healthz")[0] == 200)
-            wait_for("all guards at " + name, lambda n=name: self.live_guards(
-                n) == len(self.guards))
+            wait_for("all guards are live at " + name,
+                     lambda n=name: self.live_guards(n) == len(self.guards))
 
     def wait_until_tasks_run(self):
         for name in self.entries:
-            wait_for("workers take tasks", lambda n=name: all(
+            wait_for("all workers accept tasks", lambda n=name: all(
                 one["tasks_ready"] for one in self.status(n)["guards"]))
 
     def live_guards(self, entry="entry-1"):
@@ -297,7 +299,8 @@
 
 
 def two_workspaces():
-    """The rows of the demonstration: rival firms, three kinds of work."""
+    """Table rows of the demonstration: two rival workspaces, each with
+    latency-critical, heavy and batch work."""
     rows = {}
     for workspace, weight in (("ferreira", 2), ("ramdeen", 1)):
         rows[workspace] = {"weight": weight, "max_in_flight": 400,
--- a/scripts/lint.sh
+++ b/scripts/lint.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Formatter and linter over every source file; fails on the first finding.
+# Runs the formatter and the linter on every source file; fails on a finding.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 git ls-files -co --exclude-standard '*.cpp' '*.hpp' \
--- a/scripts/run.py
+++ b/scripts/run.py
@@ -1,5 +1,5 @@
-"""The main job: starts a small fleet, sends mixed load through it, shows
-what came of each class, and stops clean."""
+"""Demonstration: starts a small fleet, sends mixed load through it, prints the
+results of each class and a task, and stops all processes cleanly."""
 
 import json
 import sys
@@ -36,9 +36,9 @@
         nonlocal status, record
         status, record = call(entry, "POST", "/v1/tasks", task, credential)
         return status == 202
-    wait_for("a shard of tasks", submitted)
+    wait_for("a task is accepted", submitted)
     path = "/v1/tasks/" + record["id"]
-    wait_for("the task's end", lambda: call(
+    wait_for("the task is finished", lambda: call(
         entry, "GET", path, headers=credential)[1]["state"] == "finished")
     print("\ntask", record["id"], call(entry, "GET", path,
                                        headers=credential)[1])
@@ -61,7 +61,7 @@
         print(fleet.cli("status")[1])
         codes = {name: fleet.stop(name)
                  for name in list(fleet.guards) + list(fleet.entries)}
-        print("stopped clean:", all(code == 0 for code in codes.values()))
+        print("stopped cleanly:", all(code == 0 for code in codes.values()))
         return 0 if all(code == 0 for code in codes.values()) else 1
 
 
--- a/scripts/setup.sh
+++ b/scripts/setup.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Installs everything the build, the tests and the demonstration need.
+# Installs the packages that the build, the tests and the demonstration need.
 set -euo pipefail
 packages=(
     g++ cmake ninja-build ccache make pkg-config clang-format clang-tidy
--- a/tests/drills/drills.py
+++ b/tests/drills/drills.py
@@ -43,7 +43,8 @@
         return fleet
 
     def check_requests(self, fleet, results):
-        """The promises of the request path, by the recorded history."""
+        """Checks the guarantees of the request path against the recorded
+        history."""
         runs = fleet.runs()
         overshoot = max(one["executor"]["overshoot"]
                         for one in fleet.history().values())
@@ -58,14 +59,14 @@
                 one["sent"], one["answered"] + one["failed"] + unanswered,
                 label)
             ran = [i for i in one["ids"]["not_run"] if runs.get(i, 0) > 0]
-            self.assertEqual(ran, [], "called not_run, but ran")
+            self.assertEqual(ran, [], "reported as not_run, but ran")
             lost = [i for i in one["ids"]["answered"] if runs.get(i, 0) < 1]
             self.assertEqual(lost, [], "answered, but never ran")
             if label.endswith("-render"):
                 twice = [i for i, n in runs.items()
                          if n > 1 and label in i]
-                self.assertEqual(twice, [], "must not be repeated")
-        self.assertLessEqual(overshoot, 0, "slots")
+                self.assertEqual(twice, [], "ran twice, but not repeatable")
+        self.assertLessEqual(overshoot, 0, "more requests than slots")
         print(f"    {self.id().split('.')[-1]}: {sent} sent, {answered} "
               "answered, mixed/doubled/false not_run/overshoot all 0")
         return sent, answered
@@ -84,14 +85,15 @@
             fleet.start(name)
         results = collect(load)
         self.check_requests(fleet, results)
-        wait_for("the guards are back", lambda: fleet.live_guards() == 3)
+        wait_for("all guards are live", lambda: fleet.live_guards() == 3)
 
     def test_guard_frozen_and_thawed(self):
         fleet = self.fleet()
         load = fleet.load(mixed_plan(6000))
         time.sleep(1)
         fleet.freeze("guard-1")
-        wait_for("the freeze is seen", lambda: fleet.live_guards() == 2)
+        wait_for("the frozen guard is not live",
+                 lambda: fleet.live_guards() == 2)
         fleet.thaw("guard-1")
         self.check_requests(fleet, collect(load))
 
@@ -135,10 +137,10 @@
         for name in list(fleet.guards) + list(fleet.entries):
             self.assertEqual(fleet.restart(name), 0, name)
             other = "entry-2" if name == "entry-1" else "entry-1"
-            wait_for("all guards live", lambda: fleet.live_guards(
+            wait_for("all guards are live", lambda: fleet.live_guards(
                 other) == 4)
-            wait_for("it serves", lambda: name not in fleet.entries or call(
-                fleet.entries[name], "GET", "/healthz")[0] == 200)
+            wait_for("the process serves", lambda: name not in fleet.entries
+                     or call(fleet.entries[name], "GET", "/healthz")[0] == 200)
         self.assertIsNone(load.poll(), "the load ended before the drill")
         results = collect(load)
         sent, answered = self.check_requests(fleet, results)
@@ -154,10 +156,10 @@
         code, _, err = fleet.cli("drain", "guard-1")
         self.assertEqual(code, 0, err)
         fleet.set_vms(leaving=("guard-2",))
-        wait_for("both are known to leave", lambda: all(
+        wait_for("both guards are leaving", lambda: all(
             fleet.live_guards(entry) == 1 for entry in fleet.entries), 5)
         before = fleet.history()
-        time.sleep(0.5)  # what was on its way then has arrived
+        time.sleep(0.5)  # until requests in flight have arrived
         settled = fleet.history()
         results = collect(load)
         after = fleet.history()
@@ -176,13 +178,13 @@
         fleet.set_store("up")
         results = collect(load)
         sent, answered = self.check_requests(fleet, results)
-        self.assertEqual(sent, answered, "none is refused for the store")
+        self.assertEqual(sent, answered, "requests failed in a store outage")
 
-    # -- the table ------------------------------------------------------------
+    # -- the table ----------------------------------------------------------
 
     def test_edit_in_force_although_the_store_goes_away(self):
         fleet = self.fleet()
-        fleet.set_store("lie")  # the answer is lost, the effect is not
+        fleet.set_store("lie")  # the write is applied, its answer is lost
         done = threading.Event()
 
         def heal():
@@ -203,10 +205,11 @@
             status = fleet.status()
             return all(one["table_revision"] >= revision
                        for one in status["guards"] + status["entries"])
-        wait_for("in force everywhere", everywhere, 6)
-        print(f"    in force after {time.monotonic() - saved:.2f} s, "
-              "store down since the success line")
-        # A process that starts during the outage takes it from its peers.
+        wait_for("the edit is in force everywhere", everywhere, 6)
+        print(f"    in force after {time.monotonic() - saved:.2f} s; "
+              "store down since the edit succeeded")
+        # A process that starts during the outage gets the table from its
+        # peers.
         fleet.kill("entry-2")
         fleet.start("entry-2")
         wait_for("the new process serves", lambda: call(
@@ -216,7 +219,7 @@
         self.assertEqual(seen, revision)
         fleet.kill("guard-1")
         fleet.start("guard-1")
-        wait_for("the new guard has it", everywhere, 6)
+        wait_for("the edit is in force at the new guard", everywhere, 6)
 
     def test_racing_operators(self):
         fleet = self.fleet()
@@ -240,7 +243,8 @@
         edits = [one["edits"][0]["value"]
                  for one in json.loads(out)["history"][1:]]
         self.assertEqual(sorted(edits), [1000 + n for n in range(12)])
-        # The loser of the same cell sees both values.
+        # The operator whose edit conflicts gets the expected and the current
+        # value.
         code, _, err = fleet.cli("--expects", "1", "table", "set", "ramdeen",
                                  "weight", "9")
         self.assertEqual(code, 0, err)
@@ -252,7 +256,7 @@
         self.assertEqual(code, 4)
         self.assertIn("/rows/ramdeen/weight", err)
 
-    # -- who is told what -------------------------------------------------------
+    # -- access control -----------------------------------------------------
 
     def test_strangers_and_rivals_are_told_nothing(self):
         fleet = self.fleet()
@@ -289,9 +293,9 @@
         record = self.submit(fleet, {"run_ms": 10})
         rival = {"springstair-credential": "ramdeen-secret"}
         path = "/v1/tasks/" + record["id"]
-        # Its owner finds it at every entry, so what the rival is told is
-        # not for want of knowing who holds its shard.
-        wait_for("every entry finds it", lambda: all(
+        # Every entry answers the task's owner, so a 404 to the rival is not
+        # due to an unknown shard owner.
+        wait_for("every entry finds the task", lambda: all(
             call(address, "GET", path, headers=SECRET)[0] == 200
             for address in fleet.entries.values()))
         for method in ("GET", "DELETE"):
@@ -321,8 +325,9 @@
                     headers=SECRET)[1]
 
     def check_tasks(self, fleet, tasks, lost_workers=()):
-        """Every accepted task ends once, in one place at a time. Gives the
-        times at which each ran, by the workers' own records."""
+        """Checks that every task finishes exactly once and never runs at two
+        workers at a time. Returns the intervals of each task's runs as the
+        workers recorded them."""
         for task in tasks:
             wait_for("the end of " + task, lambda t=task: self.state_of(
                 fleet, t, "entry-1").get("state") == "finished", 60)
@@ -358,7 +363,7 @@
         fleet.start("entry-2")
         ran = self.check_tasks(fleet, tasks)
         evicted = {task: ran[task] for task in tasks if len(ran[task]) != 1}
-        self.assertEqual(evicted, {}, "nobody was evicted")
+        self.assertEqual(evicted, {}, "tasks that did not run exactly once")
 
     def test_tasks_with_entry_frozen_past_its_lease(self):
         fleet = self.fleet()
@@ -368,7 +373,7 @@
         fleet.freeze("entry-2")
         count_shards = lambda: sum(len(one["shards"]) for one in fleet.status()
                            ["entries"] if one["entry"] == "entry-1")
-        wait_for("entry-1 holds every shard", lambda: count_shards() == 8, 40)
+        wait_for("entry-1 owns every shard", lambda: count_shards() == 8, 40)
         fleet.thaw("entry-2")
         self.check_tasks(fleet, tasks)
 
@@ -380,12 +385,12 @@
         wait_for("they run", lambda: sum(
             one["tasks"] for one in fleet.status()["guards"]) == 10)
         fleet.set_store("down")
-        wait_for("the outage is seen", lambda: not fleet.status()[
+        wait_for("the outage is detected", lambda: not fleet.status()[
             "store_available"])
         refusal = self.submit(fleet, {"run_ms": 10}, expected=503)
         self.assertEqual(refusal["outcome"], "not_run")
         self.assertGreater(refusal["retry_after_ms"], 0)
-        time.sleep(12)  # longer than the lease of a shard's holder
+        time.sleep(12)  # longer than a shard owner's lease
         fleet.set_store("up")
         self.check_tasks(fleet, tasks)
 
@@ -416,7 +421,7 @@
         self.assertIn("/cpu_millis", bad[1]["detail"])
         self.assertIn("/memory_mb", bad[1]["detail"])
         failing = self.submit(fleet, {"fail": True})["id"]
-        wait_for("it is failed for good", lambda: self.state_of(
+        wait_for("the task has failed", lambda: self.state_of(
             fleet, failing, "entry-1")["state"] == "failed", 60)
         self.assertEqual(self.state_of(fleet, failing,
                                        "entry-1")["failures"], 2)
@@ -424,11 +429,11 @@
         done = call(fleet.entries["entry-2"], "DELETE", "/v1/tasks/" + long,
                     headers=SECRET)
         self.assertEqual((done[0], done[1]["state"]), (200, "cancelled"))
-        wait_for("it runs nowhere", lambda: all(
+        wait_for("no worker runs the task", lambda: all(
             i["state"] != "running" for one in fleet.history().values()
             for i in one["worker"]["intervals"]))
 
-    # -- settings -------------------------------------------------------------
+    # -- settings -----------------------------------------------------------
 
     def test_bad_settings_start_nothing(self):
         fleet = Fleet()
--- a/tests/tools/checks_tests.py
+++ b/tests/tools/checks_tests.py
@@ -1,4 +1,4 @@
-"""The tool that reads played days for what no rule tells."""
+"""Tests of platform/tools/checks.py."""
 
 import json
 import os
@@ -60,7 +60,8 @@
 
     def test_good_days_have_no_findings(self):
         self.assertEqual(self.check_day(), (0, "1 files, 0 findings\n"))
-        # Half of the smallest machine's, less what is kept for files.
+        # Its usage is just below half of the smallest machine's memory and
+        # descriptors, less the 200 that are reserved for files.
         self.assertEqual(self.check(GOOD_REPORT)[0], 0)
 
     def test_a_size_that_fell_short_is_found(self):
--- a/tests/tools/rounds_tests.py
+++ b/tests/tools/rounds_tests.py
@@ -1,4 +1,4 @@
-"""The tool for rounds, with a player in place of the real one."""
+"""Tests of platform/tools/rounds.py with a stand-in for the player."""
 
 import math
 import os
@@ -15,8 +15,8 @@
 
 import rounds  # noqa: E402
 
-# A day's worth is its seed's tenth, and 0.05 more in a folder named "after";
-# seed 2 breaks a rule there.
+# Reports a worth of seed / 10, plus 0.05 in a folder named "after", where seed
+# 2 also breaks a rule.
 PLAYER = """#!/usr/bin/python3
 import json, os, sys
 if sys.argv[1] == "run":
