--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -126,5 +126,5 @@
 
     def close(self):
         for idle in self.idle:
-            for one in idle:
-                one.close()
+            for connection in idle:
+                connection.close()
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -48,8 +48,8 @@
             duration = self.draw.uniform(0.3, 5)
             self.record.fault_counts[kind.__name__] += 1
             running.append(asyncio.create_task(kind(duration)))
-        for one in running:
-            one.cancel()
+        for task in running:
+            task.cancel()
         for error in await asyncio.gather(*running, return_exceptions=True):
             if not isinstance(error, (asyncio.CancelledError, type(None))):
                 self.record.breach("HARNESS", "injecting a fault failed:",
@@ -62,9 +62,9 @@
         """The leader according to the store; any process if there is none."""
         item = self.fleet.store.items.get("springstair/holder")
         address = self.fleet.store.text(item)
-        for one in self.fleet.processes:
-            if one.settings["announced_address"] in address:
-                return one
+        for process in self.fleet.processes:
+            if process.settings["announced_address"] in address:
+                return process
         return self.process()
 
     def victim(self):
@@ -73,39 +73,39 @@
     # -- processes -----------------------------------------------------------
 
     async def kill(self, _duration):
-        one = self.victim()
-        self.record.note_fault("SIGKILL", one.name)
-        one.signal(signal.SIGKILL)
+        process = self.victim()
+        self.record.note_fault("SIGKILL", process.name)
+        process.signal(signal.SIGKILL)
 
     async def kill_all(self, _duration):
         self.record.note_fault("SIGKILL to all")
-        for one in self.fleet.processes:
-            one.signal(signal.SIGKILL)
+        for process in self.fleet.processes:
+            process.signal(signal.SIGKILL)
 
     async def stop(self, _duration):
-        one = self.victim()
-        self.record.note_fault("SIGTERM", one.name)
-        one.signal(signal.SIGTERM)
+        process = self.victim()
+        self.record.note_fault("SIGTERM", process.name)
+        process.signal(signal.SIGTERM)
 
     async def roll(self, duration):
-        for one in list(self.fleet.processes):
-            self.record.note_fault("SIGTERM", one.name, "in turn")
-            one.signal(signal.SIGTERM)
+        for process in list(self.fleet.processes):
+            self.record.note_fault("SIGTERM", process.name, "in turn")
+            process.signal(signal.SIGTERM)
             await asyncio.sleep(duration / 5)
 
     async def pause(self, duration):
-        one = self.victim()
-        self.record.note_fault("SIGSTOP", one.name, f"{duration:.1f} s")
-        one.signal(signal.SIGSTOP)
+        process = self.victim()
+        self.record.note_fault("SIGSTOP", process.name, f"{duration:.1f} s")
+        process.signal(signal.SIGSTOP)
         await asyncio.sleep(duration)
-        self.record.note_fault("SIGCONT", one.name)
-        one.signal(signal.SIGCONT)
+        self.record.note_fault("SIGCONT", process.name)
+        process.signal(signal.SIGCONT)
 
     # -- links ---------------------------------------------------------------
 
-    async def on_link(self, what, duration, **fields):
+    async def on_link(self, fault, duration, **fields):
         link = self.draw.choice(self.fleet.links)
-        self.record.note_fault(what, link.name, f"{duration:.1f} s")
+        self.record.note_fault(fault, link.name, f"{duration:.1f} s")
         for name, value in fields.items():
             setattr(link, name, value)
         await asyncio.sleep(duration)
@@ -143,8 +143,8 @@
     async def hold_back(self, duration):
         """Delays what a guard sends to entries until after it is killed, when
         its next incarnation has reported from the same address."""
-        guard = self.draw.choice([one for one in self.fleet.processes
-                                  if one.name in self.fleet.guards])
+        guard = self.draw.choice([process for process in self.fleet.processes
+                                  if process.name in self.fleet.guards])
         self.record.note_fault("held back and SIGKILL", guard.name,
                             f"{duration:.1f} s")
         links = [link for link in self.fleet.links
@@ -212,19 +212,22 @@
     # -- workers -------------------------------------------------------------
 
     async def worker_crash(self, duration):
-        one = self.draw.choice(self.fleet.executors)
-        self.record.note_fault("crash", one.incarnation, f"{duration:.1f} s")
-        one.crash(duration, one.restart_draw.random() < KEEPS_ID_SHARE)
+        executor = self.draw.choice(self.fleet.executors)
+        self.record.note_fault("crash", executor.incarnation,
+                               f"{duration:.1f} s")
+        executor.crash(duration,
+                       executor.restart_draw.random() < KEEPS_ID_SHARE)
 
     async def on_worker(self, duration, **fields):
-        one = self.draw.choice(self.fleet.executors)
-        self.record.note_fault(one.incarnation, fields, f"{duration:.1f} s")
+        executor = self.draw.choice(self.fleet.executors)
+        self.record.note_fault(executor.incarnation, fields,
+                               f"{duration:.1f} s")
         for name, value in fields.items():
-            setattr(one, name, value)
+            setattr(executor, name, value)
         await asyncio.sleep(duration)
-        self.record.note_fault(one.incarnation, "recovers")
+        self.record.note_fault(executor.incarnation, "recovers")
         for name, value in fields.items():
-            setattr(one, name, type(value)(0))
+            setattr(executor, name, type(value)(0))
 
     async def worker_late(self, duration):
         await self.on_worker(duration, late_share=0.3)
--- a/tests/soak/fleet.py
+++ b/tests/soak/fleet.py
@@ -190,21 +190,21 @@
         self.processes.append(process)
 
     async def add_executor(self, number, own, announced):
-        one = Executor(f"x{number}", ZONES[number % len(ZONES)], self.draw,
+        executor = Executor(f"x{number}", ZONES[number % len(ZONES)], self.draw,
                        self.record, f"{own}:{HEARTBEATS}", CAPACITY,
                        self.advice, self.enforces)
-        await one.start(self.ip(2, number), EXECUTOR)
-        link = await self.link(f"executor {number}", one.address, announced,
-                               EXECUTOR)
-        one.senders = link.senders
-        one.address = f"{announced}:{EXECUTOR}"  # announced in heartbeats
-        self.executors.append(one)
+        await executor.start(self.ip(2, number), EXECUTOR)
+        link = await self.link(f"executor {number}", executor.address,
+                               announced, EXECUTOR)
+        executor.senders = link.senders
+        executor.address = f"{announced}:{EXECUTOR}"  # announced in heartbeats
+        self.executors.append(executor)
 
     async def link(self, name, target, address, port):
-        one = Link(name, target)
-        await one.start(address, port)
-        self.links.append(one)
-        return one
+        link = Link(name, target)
+        await link.start(address, port)
+        self.links.append(link)
+        return link
 
     def remove_route(self, queue):
         self.configure(without=queue)
@@ -218,8 +218,8 @@
                   for n, queue in enumerate(("quick", "heavy", "lasting"))]
         routes[1]["advice"] = {"decide_ms": 20, "each_ms": 2,
                                "valid_ms": VALID_MS}
-        routes = [one for one in routes
-                  if one["path_prefix"] != f"/{without}/"]
+        routes = [route for route in routes
+                  if route["path_prefix"] != f"/{without}/"]
         document = {"version": self.version, "routes": routes,
                     "services": [{"name": "s",
                                   "enforces_capacity": self.enforces}]}
@@ -228,35 +228,38 @@
     async def supervise(self):
         while True:
             await asyncio.sleep(0.1)
-            for one in self.processes:
-                one.sample_usage()
-                if not one.paused:
-                    self.restart_if_exited(one)
+            for process in self.processes:
+                process.sample_usage()
+                if not process.paused:
+                    self.restart_if_exited(process)
 
-    def restart_if_exited(self, one):
+    def restart_if_exited(self, process):
         try:
-            if one.restart_if_exited():
-                self.record.note("started", one.incarnation(), one.child.pid)
+            if process.restart_if_exited():
+                self.record.note("started", process.incarnation(),
+                                 process.child.pid)
         except OSError as error:
-            self.record.breach("HARNESS", one.name, "failed to start:", error)
+            self.record.breach("HARNESS", process.name, "failed to start:",
+                               error)
 
     def end_faults(self):
         """Ends all faults that are in progress."""
         for link in self.links:
             link.heal()
-        for one in self.processes:
-            if one.paused:
-                one.signal(signal.SIGCONT)
+        for process in self.processes:
+            if process.paused:
+                process.signal(signal.SIGCONT)
         store = self.store
         store.outage = None
         store.delay_s = store.lost_share = store.late_share = 0.0
         for zone in list(self.record.closed):
             store.open(zone)
             del self.record.closed[zone]
-        for one in self.executors:
-            one.late_share = one.unread_share = one.lost_share = 0.0
-            one.busy_share = one.slow_share = 0.0
-            one.fails_all = one.stalled = False
+        for executor in self.executors:
+            executor.late_share = executor.unread_share = 0.0
+            executor.lost_share = executor.busy_share = 0.0
+            executor.slow_share = 0.0
+            executor.fails_all = executor.stalled = False
 
     def connection(self, number):
         return Connection(f"{self.ip(1, number)}:{CALLERS}")
@@ -264,7 +267,8 @@
     def end(self):
         if self.supervisor:
             self.supervisor.cancel()
-        for one in self.processes:
-            one.end()
-        for one in [self.store, self.advice, *self.links, *self.executors]:
-            one.server.close()
+        for process in self.processes:
+            process.end()
+        for stand_in in [self.store, self.advice, *self.links,
+                         *self.executors]:
+            stand_in.server.close()
--- a/tests/soak/job_drills.py
+++ b/tests/soak/job_drills.py
@@ -23,7 +23,7 @@
 SHORT_TASK_S = 0.2
 LONG_TASK_S = 3.0  # ends only after a new leader is elected
 QUERY_SENT_S = 0.1  # enough for a query to reach the paused process
-# The killed leader restarts after 0.1 s; its lease would expire after 2 s.
+# A killed leader restarts after 0.1 s; its lease would expire after 2 s.
 TAKEOVER_S = 1.0
 UNREAD_S = 1.9  # below the timeout of a start, 2 s
 BUSY_S = 3.0
@@ -48,8 +48,8 @@
         self.call = ""
         self.executor = None
         self.busy_until = 0.0
-        for one in fleet.executors:
-            self.instrument(one)
+        for executor in fleet.executors:
+            self.instrument(executor)
 
     def instrument(self, executor):
         original = executor.note_call
@@ -176,8 +176,8 @@
         def kill_its_guard(first):
             number = self.fleet.executors.index(first.executor)
             guard = self.fleet.guards[number]
-            next(one for one in self.fleet.processes
-                 if one.name == guard).signal(signal.SIGKILL)
+            next(process for process in self.fleet.processes
+                 if process.name == guard).signal(signal.SIGKILL)
 
         await self.check_runs_once(UNREAD_S, kill_its_guard)
 
@@ -194,12 +194,12 @@
         await self.wait_until("jobs are accepted again", self.accepts_job)
         await asyncio.sleep(1)
         self.record.check_end()
-        self.assertEqual([one for one in self.record.breaches
-                          if one.startswith("REFUSED")], [])
+        self.assertEqual([breach for breach in self.record.breaches
+                          if breach.startswith("REFUSED")], [])
 
     def store_link(self, entry):
-        return next(one for one in self.fleet.links
-                    if one.name == f"store of entry-{entry}")
+        return next(link for link in self.fleet.links
+                    if link.name == f"store of entry-{entry}")
 
     async def call(self, entry, method, job):
         connection = self.fleet.connection(entry)
--- a/tests/soak/links.py
+++ b/tests/soak/links.py
@@ -57,8 +57,8 @@
             self.dead.discard(pair)
             self.held.discard(pair)
             self.held_in.discard(pair)
-            for one in pair:
-                one.transport.abort()
+            for side in pair:
+                side.transport.abort()
 
     async def pump(self, pair, reader, writer, silent, inward=False):
         while data := await reader.read(65536):
@@ -109,8 +109,8 @@
 
     def reset(self):
         for pair in list(self.open):
-            for one in pair:
-                one.transport.abort()
+            for side in pair:
+                side.transport.abort()
 
     def hold(self):
         """Delays all data on the open connections until the link recovers,
--- a/tests/soak/outages.py
+++ b/tests/soak/outages.py
@@ -32,14 +32,14 @@
         """Injects faults into all executors at once, as on an overloaded
         machine."""
         self.record.note_fault("all executors", shares, f"{duration:.1f} s")
-        for one in self.fleet.executors:
+        for executor in self.fleet.executors:
             for name, value in shares.items():
-                setattr(one, name, value)
+                setattr(executor, name, value)
         await asyncio.sleep(duration)
         self.record.note_fault("all executors recover", *shares)
-        for one in self.fleet.executors:
+        for executor in self.fleet.executors:
             for name in shares:
-                setattr(one, name, 0.0)
+                setattr(executor, name, 0.0)
 
     async def unread(self, duration):
         await self.on_workers(duration, unread_share=0.3)
@@ -60,22 +60,24 @@
 
     # -- kills of many processes ---------------------------------------------
 
-    async def lose(self, what, processes):
-        share = self.draw.choice
+    async def lose(self, description, processes):
+        draw_share = self.draw.choice
         await self.on_workers(
-            self.draw.uniform(*TROUBLE_BEFORE_S), unread_share=share(SHARES),
-            lost_share=share(SHARES))
-        self.record.note_fault("SIGKILL to", what)
-        for one in processes:
-            one.signal(signal.SIGKILL)
+            self.draw.uniform(*TROUBLE_BEFORE_S),
+            unread_share=draw_share(SHARES),
+            lost_share=draw_share(SHARES))
+        self.record.note_fault("SIGKILL to", description)
+        for process in processes:
+            process.signal(signal.SIGKILL)
         await self.on_workers(
-            self.draw.uniform(*TROUBLE_AFTER_S), busy_share=share(SHARES),
-            lost_share=share(SHARES),
-            unread_share=share(SHARES), slow_share=share(SHARES))
+            self.draw.uniform(*TROUBLE_AFTER_S), busy_share=draw_share(SHARES),
+            lost_share=draw_share(SHARES),
+            unread_share=draw_share(SHARES), slow_share=draw_share(SHARES))
 
     async def lose_guards(self, _duration):
-        await self.lose("all guards", [one for one in self.fleet.processes
-                                       if one.name in self.fleet.guards])
+        await self.lose("all guards",
+                        [process for process in self.fleet.processes
+                         if process.name in self.fleet.guards])
 
     async def lose_all(self, _duration):
         await self.lose("all processes", self.fleet.processes)
@@ -83,8 +85,8 @@
     async def lose_all_but_one(self, _duration):
         spared = self.victim()
         await self.lose(f"all but {spared.name}",
-                        [one for one in self.fleet.processes
-                         if one is not spared])
+                        [process for process in self.fleet.processes
+                         if process is not spared])
 
     async def lose_all_twice(self, duration):
         await self.lose_all(duration)
@@ -109,7 +111,8 @@
     # -- delayed and duplicate orders ----------------------------------------
 
     def links(self, prefix):
-        return [one for one in self.fleet.links if one.name.startswith(prefix)]
+        return [link for link in self.fleet.links
+                if link.name.startswith(prefix)]
 
     async def hold_orders(self, duration):
         """Delays orders on open connections, while orders on new connections
