--- a/tests/soak/links.py
+++ b/tests/soak/links.py
@@ -1,35 +1,36 @@
-"""A loopback proxy that delays, resets, silences or half-cuts what goes
-through it. One stands in front of every port that others connect to."""
+"""A loopback proxy that delays, resets or silences connections, in one or both
+directions. Every port that other processes connect to has one."""
 
 import asyncio
 
 from wire import read_message
 
-PASSES_S = 0.02  # a request of one segment is at its target by then
-ANSWERED_S = 1.0  # ... and was carried out
+FORWARD_S = 0.02  # enough for a request of one segment to reach its target
+ANSWER_DELAY_S = 1.0  # ... and to be executed
+
 
 class Link:
     def __init__(self, name, target, sender=lambda: "?"):
         self.name = name
         self.target = target
-        self.sender = sender  # tells who connects now
-        self.senders = {}  # our port towards the target: who connected
+        self.sender = sender  # returns the process that connects now
+        self.senders = {}  # local port towards the target: who connected
         self.delay_s = 0.0
-        self.silent_in = False  # nothing reaches the target
-        self.silent_out = False  # no answer comes back
+        self.silent_in = False  # delays requests until the link recovers
+        self.silent_out = False  # delays answers until the link recovers
         self.open = set()
-        self.hushed = set()  # connections that say nothing any more
-        self.held = set()  # connections whose bytes wait until it heals
-        self.held_in = set()  # ... of which only requests wait
-        self.cuts_left = 0  # requests that pass and then lose their connection
-        self.turns_away = False  # each request is answered 503 here
+        self.dead = set()  # connections that transmit nothing any more
+        self.held = set()  # connections delayed until the link recovers
+        self.held_in = set()  # ... whose requests only are delayed
+        self.cuts_left = 0  # requests after which the connection is cut
+        self.rejects_all = False  # answers each request with 503
 
     async def start(self, address, port):
         self.server = await asyncio.start_server(self.connect, address, port)
 
     async def connect(self, reader, writer):
-        if self.turns_away:
-            await self.turn_away(reader, writer)
+        if self.rejects_all:
+            await self.reject_requests(reader, writer)
             return
         try:
             host, port = self.target.split(":")
@@ -50,34 +51,34 @@
         except (OSError, ConnectionError):
             pass
         except asyncio.CancelledError:
-            pass  # the soak is over; its loop ends what is left
+            pass  # the event loop cancels open connections at the end
         finally:
             self.open.discard(pair)
-            self.hushed.discard(pair)
+            self.dead.discard(pair)
             self.held.discard(pair)
             self.held_in.discard(pair)
-            for one in pair:
-                one.transport.abort()
+            for side in pair:
+                side.transport.abort()
 
     async def pump(self, pair, reader, writer, silent, inward=False):
         while data := await reader.read(65536):
-            if pair in self.hushed:
+            if pair in self.dead:
                 continue
             if self.delay_s:
                 await asyncio.sleep(self.delay_s)
             while silent() or pair in self.held:
-                await asyncio.sleep(0.05)  # held up until it heals
+                await asyncio.sleep(0.05)
             writer.write(data)
             await writer.drain()
             if inward and self.cuts_left > 0:
                 await self.cut(pair)
-        if pair not in self.hushed:
+        if pair not in self.dead:
             writer.write_eof()
 
-    async def turn_away(self, reader, writer):
-        """Answers every request in the target's place that nothing is done."""
+    async def reject_requests(self, reader, writer):
+        """Answers every request with 503 without forwarding it."""
         try:
-            while self.turns_away:
+            while self.rejects_all:
                 await read_message(reader)
                 writer.write(b"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n")
                 await writer.drain()
@@ -86,42 +87,42 @@
         finally:
             writer.transport.abort()
 
-    def begin_turning_away(self):
-        self.turns_away = True
+    def begin_rejecting(self):
+        self.rejects_all = True
         self.reset()
 
     async def cut(self, pair):
-        """Ends a connection for its client, once its request has passed; the
-        target never learns that nobody hears the answer."""
+        """Aborts the client's side of a connection once its request has been
+        forwarded; the target executes it and its answer is lost."""
         self.cuts_left -= 1
-        self.hushed.add(pair)
+        self.dead.add(pair)
         client, target = pair
-        await asyncio.sleep(PASSES_S)
+        await asyncio.sleep(FORWARD_S)
         client.transport.abort()
-        await asyncio.sleep(ANSWERED_S)
+        await asyncio.sleep(ANSWER_DELAY_S)
         target.transport.abort()
 
-    def hush(self):
-        """What is open now stays open and says nothing more, also after the
-        link heals; new connections work."""
-        self.hushed |= self.open
+    def silence_connections(self):
+        """Makes all open connections dead: they stay open and transmit nothing
+        any more, even after the link recovers. New connections work."""
+        self.dead |= self.open
 
     def reset(self):
         for pair in list(self.open):
-            for one in pair:
-                one.transport.abort()
+            for side in pair:
+                side.transport.abort()
 
     def hold(self):
-        """Holds back what is sent on connections that are open now, also
-        beyond their sender's end; new ones work."""
+        """Delays all data on the open connections until the link recovers,
+        even if the sender ends. New connections work."""
         self.held |= self.open
 
     def hold_requests(self):
-        """As hold, while answers pass."""
+        """Like hold(), but answers are not delayed."""
         self.held_in |= self.open
 
     def heal(self):
-        self.turns_away = False
+        self.rejects_all = False
         self.held.clear()
         self.held_in.clear()
         self.cuts_left = 0
--- a/tests/soak/outages.py
+++ b/tests/soak/outages.py
@@ -1,19 +1,21 @@
-"""Outages: many processes die at one moment and are back at once, while calls
-to executors wait unread, lose their answers or are refused; and orders that
-come late or twice. Each trouble also comes by itself."""
+"""Outages: many processes are killed at once and restart immediately, while
+calls to executors are left unread, lose their answers or are refused; and
+orders arrive late or twice. Each of these faults also occurs on its own. The
+names of the fault methods are reported in the results."""
 
 import asyncio
 import signal
 
 from faults import Faults
 
-TROUBLE_BEFORE_S = (0.1, 1.0)  # of executors, before processes die
-TROUBLE_AFTER_S = (0.3, 3.0)
+TROUBLE_BEFORE_S = (0.1, 1.0)  # executor faults before processes are killed
+TROUBLE_AFTER_S = (0.3, 3.0)  # executor faults after processes are killed
 BETWEEN_OUTAGES_S = (7, 25)
-UNHEARD = 2  # executors
-UNHEARD_S = (8, 18)  # a holder waits 10.5 s for permits of the one before it
-SHARES = (0.0, 0.3, 0.8)  # of calls that a trouble meets
-MOST_CUTS = 3
+SILENCED_EXECUTORS = 2
+# A new leader waits 10.5 s for the previous leader's lease grants to expire.
+SILENCED_S = (8, 18)
+SHARES = (0.0, 0.3, 0.8)  # shares of calls that meet a fault
+MAX_CUTS = 3
 
 
 class Outages(Faults):
@@ -24,113 +26,119 @@
                 self.cut_reports, self.lose_and_refuse, self.lose_and_refuse,
                 self.lose_unlooked, self.lose_unlooked]
 
-    # -- executors in trouble ------------------------------------------------
+    # -- faults of all executors ---------------------------------------------
 
-    async def on_workers(self, length, **shares):
-        """For all executors at once, as on a machine that is short of time."""
-        self.record.disturb("all executors", shares, f"{length:.1f} s")
-        for one in self.fleet.executors:
+    async def on_workers(self, duration, **shares):
+        """Injects faults into all executors at once, as on an overloaded
+        machine."""
+        self.record.note_fault("all executors", shares, f"{duration:.1f} s")
+        for executor in self.fleet.executors:
             for name, value in shares.items():
-                setattr(one, name, value)
-        await asyncio.sleep(length)
-        self.record.disturb("all executors heal", *shares)
-        for one in self.fleet.executors:
+                setattr(executor, name, value)
+        await asyncio.sleep(duration)
+        self.record.note_fault("all executors recover", *shares)
+        for executor in self.fleet.executors:
             for name in shares:
-                setattr(one, name, 0.0)
+                setattr(executor, name, 0.0)
 
-    async def unread(self, length):
-        await self.on_workers(length, unread_share=0.3)
+    async def unread(self, duration):
+        await self.on_workers(duration, unread_share=0.3)
 
-    async def lose_answers(self, length):
-        await self.on_workers(length, lost_share=0.3)
+    async def lose_answers(self, duration):
+        await self.on_workers(duration, lost_share=0.3)
 
-    async def busy(self, length):
-        await self.on_workers(length, busy_share=0.4)
+    async def busy(self, duration):
+        await self.on_workers(duration, busy_share=0.4)
 
-    async def slow(self, length):
-        await self.on_workers(length, slow_share=0.4)
+    async def slow(self, duration):
+        await self.on_workers(duration, slow_share=0.4)
 
-    async def lose_and_refuse(self, length):
-        """A call that was carried out unanswered comes again and is refused."""
-        await self.on_workers(length, lost_share=0.4, busy_share=0.4)
+    async def lose_and_refuse(self, duration):
+        """Calls that were executed without an answer are retried and then
+        refused."""
+        await self.on_workers(duration, lost_share=0.4, busy_share=0.4)
 
-    # -- losses of many processes --------------------------------------------
+    # -- kills of many processes ---------------------------------------------
 
-    async def lose(self, what, processes):
-        share = self.draw.choice
+    async def lose(self, description, processes):
+        draw_share = self.draw.choice
         await self.on_workers(
-            self.draw.uniform(*TROUBLE_BEFORE_S), unread_share=share(SHARES),
-            lost_share=share(SHARES))
-        self.record.disturb("SIGKILL to", what)
-        for one in processes:
-            one.signal(signal.SIGKILL)
+            self.draw.uniform(*TROUBLE_BEFORE_S),
+            unread_share=draw_share(SHARES),
+            lost_share=draw_share(SHARES))
+        self.record.note_fault("SIGKILL to", description)
+        for process in processes:
+            process.signal(signal.SIGKILL)
         await self.on_workers(
-            self.draw.uniform(*TROUBLE_AFTER_S), busy_share=share(SHARES),
-            lost_share=share(SHARES),
-            unread_share=share(SHARES), slow_share=share(SHARES))
+            self.draw.uniform(*TROUBLE_AFTER_S), busy_share=draw_share(SHARES),
+            lost_share=draw_share(SHARES),
+            unread_share=draw_share(SHARES), slow_share=draw_share(SHARES))
 
-    async def lose_guards(self, _length):
-        await self.lose("all guards", [one for one in self.fleet.processes
-                                       if one.name in self.fleet.guards])
+    async def lose_guards(self, _duration):
+        await self.lose("all guards",
+                        [process for process in self.fleet.processes
+                         if process.name in self.fleet.guards])
 
-    async def lose_all(self, _length):
+    async def lose_all(self, _duration):
         await self.lose("all processes", self.fleet.processes)
 
-    async def lose_all_but_one(self, _length):
+    async def lose_all_but_one(self, _duration):
         spared = self.victim()
         await self.lose(f"all but {spared.name}",
-                        [one for one in self.fleet.processes
-                         if one is not spared])
+                        [process for process in self.fleet.processes
+                         if process is not spared])
 
-    async def lose_all_twice(self, length):
-        await self.lose_all(length)
+    async def lose_all_twice(self, duration):
+        await self.lose_all(duration)
         await asyncio.sleep(self.draw.uniform(*BETWEEN_OUTAGES_S))
-        await self.lose_all(length)
+        await self.lose_all(duration)
 
-    async def lose_unlooked(self, length):
-        """Executors hear their guards and are not heard, but for their
-        heartbeats, across a loss of all processes."""
-        links = self.draw.sample(self.links("executor"), UNHEARD)
-        silent = self.draw.uniform(*UNHEARD_S)
+    async def lose_unlooked(self, duration):
+        """Some executors receive calls, but their answers are delayed, while
+        all processes are killed. Their heartbeats still arrive."""
+        links = self.draw.sample(self.links("executor"), SILENCED_EXECUTORS)
+        silenced_s = self.draw.uniform(*SILENCED_S)
         for link in links:
-            self.record.disturb("silent_out", link.name,
-                                f"until {silent:.1f} s after the loss")
+            self.record.note_fault("silent_out", link.name,
+                                f"until {silenced_s:.1f} s after the kill")
             link.silent_out = True
-        await self.lose_all(length)
-        await asyncio.sleep(silent)
+        await self.lose_all(duration)
+        await asyncio.sleep(silenced_s)
         for link in links:
-            self.record.disturb("heals", link.name)
+            self.record.note_fault("recovers", link.name)
             link.heal()
 
-    # -- orders late or twice ------------------------------------------------
+    # -- delayed and duplicate orders ----------------------------------------
 
-    def links(self, start):
-        return [one for one in self.fleet.links if one.name.startswith(start)]
+    def links(self, prefix):
+        return [link for link in self.fleet.links
+                if link.name.startswith(prefix)]
 
-    async def hold_orders(self, length):
-        """Orders wait in their connections, while new ones pass by."""
+    async def hold_orders(self, duration):
+        """Delays orders on open connections, while orders on new connections
+        overtake them."""
         links = self.links("to guard")
-        self.record.disturb("orders wait", f"{length:.1f} s")
+        self.record.note_fault("orders delayed", f"{duration:.1f} s")
         for link in links:
             link.hold_requests()
-        await asyncio.sleep(length)
-        self.record.disturb("orders go on")
+        await asyncio.sleep(duration)
+        self.record.note_fault("orders no longer delayed")
         for link in links:
             link.held_in.clear()
 
-    async def cut(self, start, length):
-        self.record.disturb("requests pass, their connections end:", start)
-        for link in self.links(start):
-            link.cuts_left = self.draw.randint(0, MOST_CUTS)
-        await asyncio.sleep(length)
-        for link in self.links(start):
+    async def cut(self, prefix, duration):
+        self.record.note_fault("connections cut after their requests:", prefix)
+        for link in self.links(prefix):
+            link.cuts_left = self.draw.randint(0, MAX_CUTS)
+        await asyncio.sleep(duration)
+        for link in self.links(prefix):
             link.cuts_left = 0
 
-    async def cut_orders(self, length):
-        await self.cut("to guard", length)
+    async def cut_orders(self, duration):
+        await self.cut("to guard", duration)
 
-    async def cut_calls(self, length):
-        await self.cut("executor", length)
+    async def cut_calls(self, duration):
+        await self.cut("executor", duration)
 
-    async def cut_reports(self, length):
-        await self.cut("to entry", length)
+    async def cut_reports(self, duration):
+        await self.cut("to entry", duration)
--- a/tests/soak/store.py
+++ b/tests/soak/store.py
@@ -1,5 +1,5 @@
-"""A stand-in of the platform's store: items with revisions, leases, watches,
-transactions; and the ways in which the real one misbehaves."""
+"""Stand-in for the platform's store: items with revisions, leases, watches and
+transactions, and the faults of the real one."""
 
 import asyncio
 import base64
@@ -18,19 +18,19 @@
         self.revision = 0
         self.items = {}
         self.history = []  # (revision, event)
-        self.dropped = 0  # history up to this revision is forgotten
-        self.leases = {}  # id: [ttl, ends at]
+        self.compacted_revision = 0  # history up to here is discarded
+        self.leases = {}  # id: [ttl_ms, expires at]
         self.changed = asyncio.Event()
-        # Misbehaviour, switched by the soak.
-        self.loses_below = None
+        # Set by the soak and the drills.
+        self.lose_answers_below = None  # key prefix; see loses_answer()
         self.lost_keys = set()
-        self.noted = None  # paths and prefixes of calls, once it is a list
-        self.away = None  # None, "silent", "busy" or "reset"
+        self.recorded_calls = None  # list of (path, prefix), if recording
+        self.outage = None  # None, "silent", "busy" or "reset"
         self.delay_s = 0.0
         self.lost_share = 0.0
         self.late_share = 0.0
         self.calls = 0
-        self.takeovers = 0  # times an entry became the holder
+        self.takeovers = 0  # times that an entry became leader
 
     async def start(self, address, port):
         self.server = await serve(address, port, self.handle)
@@ -40,8 +40,8 @@
         while True:
             await asyncio.sleep(TICK_S)
             now = time.monotonic()
-            for lease, (_, ends) in list(self.leases.items()):
-                if now >= ends and self.away is None:
+            for lease, (_, expires_at) in list(self.leases.items()):
+                if now >= expires_at and self.outage is None:
                     self.end_lease(lease)
 
     # -- the data ------------------------------------------------------------
@@ -74,17 +74,17 @@
             if keys:
                 self.write([], keys)
 
-    def forget_history(self):
-        self.dropped = self.revision
+    def compact_history(self):
+        self.compacted_revision = self.revision
         self.history.clear()
 
     def configure(self, document):
-        """The operator's write; no fault holds it up."""
+        """Writes the operator's configuration; faults do not affect it."""
         text = base64.b64encode(json.dumps(document).encode()).decode()
         self.write([{"tls_key": "op/config", "value": text}], [])
 
     def close(self, zone):
-        """The operator wants no run to begin there."""
+        """Closes a zone, as the operator does: no run may start there."""
         self.write([{"tls_key": f"op/evacuate/{zone}",
                      "value": base64.b64encode(b"{}").decode()}], [])
 
@@ -93,11 +93,11 @@
 
     @staticmethod
     def text(item):
-        """The value of an item as it was written; empty without one."""
+        """The decoded value of an item; empty without an item."""
         return base64.b64decode(item["value"]).decode() if item else ""
 
     def revoke(self, prefix):
-        """Takes keys under leases away at once; nobody is told."""
+        """Removes leased keys at once; their leases stay valid."""
         keys = [key for key, item in self.items.items()
                 if key.startswith(prefix) and item["lease"]]
         if keys:
@@ -107,8 +107,8 @@
 
     async def handle(self, method, path, query, _headers, document):
         self.calls += 1
-        if self.noted is not None:
-            self.noted.append((path, query.get("path_prefix", "")))
+        if self.recorded_calls is not None:
+            self.recorded_calls.append((path, query.get("path_prefix", "")))
         if self.refuses():
             return 503, {}
         await asyncio.sleep(0.002 + self.delay_s)
@@ -139,11 +139,11 @@
         return 200, {}
 
     def refuses(self):
-        if self.away == "silent":
+        if self.outage == "silent":
             raise Silence
-        if self.away == "reset":
+        if self.outage == "reset":
             raise Reset
-        return self.away == "busy"
+        return self.outage == "busy"
 
     async def transact(self, document):
         if self.draw.random() < self.late_share:
@@ -153,16 +153,17 @@
         answer = self.apply(document)
         if self.draw.random() < self.lost_share:
             raise Silence
-        if self.loses_next(document):
+        if self.loses_answer(document):
             raise Silence
         return answer
 
-    def loses_next(self, document):
-        """Whether the answer to a write is lost: one for each key below a
-        prefix, if such a prefix is set."""
+    def loses_answer(self, document):
+        """Whether the answer to a write is lost. If lose_answers_below is set,
+        the first answer for each key with that prefix is lost."""
         for put in document.get("put", []):
             key = put["tls_key"]
-            if self.loses_below and key.startswith(self.loses_below) \
+            if self.lose_answers_below \
+                    and key.startswith(self.lose_answers_below) \
                     and key not in self.lost_keys:
                 self.lost_keys.add(key)
                 return True
@@ -193,7 +194,7 @@
         since = int(query["depends_on"])
         until = time.monotonic() + int(query["wait_ms"]) / 1000
         while True:
-            if since < self.dropped:
+            if since < self.compacted_revision:
                 return 410, {}
             events = [event for revision, event in self.history
                       if revision > since
--- a/tests/tools/rounds_tests.py
+++ b/tests/tools/rounds_tests.py
@@ -1,4 +1,4 @@
-"""The tool for rounds, with a player in place of the real one."""
+"""Tests of platform/tools/rounds.py with a stand-in for the player."""
 
 import math
 import os
@@ -15,8 +15,8 @@
 
 import rounds  # noqa: E402
 
-# A day's worth is its seed's tenth, and 0.05 more in a folder named "after";
-# seed 2 breaks a rule there.
+# Reports a worth of seed / 10, plus 0.05 in a folder named "after", where seed
+# 2 also breaks a rule.
 PLAYER = """#!/usr/bin/python3
 import json, os, sys
 if sys.argv[1] == "run":
@@ -73,9 +73,9 @@
         self.assertIn("worth 0.200", self.run_tool())
 
     def test_an_interval_widens_with_the_spread(self):
-        mean, half = rounds.interval([0.1, 0.3])
+        mean, half_width = rounds.interval([0.1, 0.3])
         self.assertAlmostEqual(mean, 0.2)
-        self.assertAlmostEqual(half, 12.71 * 0.1)
+        self.assertAlmostEqual(half_width, 12.71 * 0.1)
         self.assertTrue(math.isinf(rounds.interval([0.1])[1]))
 
 
