--- a/packages/core/include/springstair/core.hpp
+++ b/packages/core/include/springstair/core.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Values, time, errors, events and metrics that every package shares.
+/// Types shared by all packages: names, time, errors, events and metrics.
 
 #include <springstair/detail/core/errors.hpp>
 #include <springstair/detail/core/events.hpp>
--- a/packages/core/include/springstair/detail/core/errors.hpp
+++ b/packages/core/include/springstair/detail/core/errors.hpp
@@ -8,7 +8,7 @@
 namespace springstair
 {
 
-/// @brief One thing wrong with a document, and where it stands.
+/// @brief One error in a document and its location.
 struct finding
 {
     std::string place; ///< JSON pointer into the document
@@ -17,16 +17,16 @@
     auto operator<=>(const finding&) const = default;
 };
 
-/// @brief Everything wrong with a document, in the order of discovery.
+/// @brief All errors of a document, in the order in which they were found.
 using findings = std::vector<finding>;
 
 /// @brief Base of all exceptions of this project.
 ///
-/// @a id is stable; docs/EVENTS.md lists every number with its meaning.
+/// @a id is stable; docs/EVENTS.md lists all ids with their meaning.
 class exception : public std::runtime_error
 {
 public:
-    /// @brief The number of this error.
+    /// @brief The stable id of this error.
     [[nodiscard]] int id() const noexcept
     {
         return id_;
@@ -39,13 +39,13 @@
     int id_;
 };
 
-/// @brief 101: a document has findings; 102: it cannot be read at all.
+/// @brief 101: a document has findings; 102: it cannot be parsed at all.
 class document_error : public exception
 {
 public:
-    /// @brief Error 101, with every finding in its message.
+    /// @brief Creates error 101, with every finding in its message.
     explicit document_error(findings all);
-    /// @brief Error 102. @param message why it cannot be read
+    /// @brief Creates error 102. @param message why it cannot be parsed
     explicit document_error(const std::string& message);
 
     /// @brief The findings; empty for error 102.
@@ -62,15 +62,15 @@
 class transport_error : public exception
 {
 public:
-    /// @brief Error @p id with a message.
+    /// @brief Creates error @p id with a message.
     transport_error(int id, const std::string& message);
 };
 
-/// @brief 301: a JSON-RPC answer reports an error or cannot be read.
+/// @brief 301: a JSON-RPC answer reports an error or cannot be parsed.
 class rpc_error : public exception
 {
 public:
-    /// @brief Error 301 with a message.
+    /// @brief Creates error 301 with a message.
     explicit rpc_error(const std::string& message);
 };
 
--- a/packages/core/include/springstair/detail/core/events.hpp
+++ b/packages/core/include/springstair/detail/core/events.hpp
@@ -9,7 +9,7 @@
 namespace springstair
 {
 
-/// @brief Numbered events of the log; docs/EVENTS.md is their catalogue.
+/// @brief Ids of all log events; docs/EVENTS.md describes them.
 enum class event_id : std::uint16_t
 {
     process_started = 1001,
@@ -78,7 +78,7 @@
     commit_uncertain = 1661
 };
 
-/// @brief How much an event matters.
+/// @brief Severity of an event.
 enum class severity : std::uint8_t
 {
     info,
@@ -86,7 +86,7 @@
     error
 };
 
-/// @brief One row of the catalogue.
+/// @brief Description of one event in the catalogue.
 struct event_description
 {
     event_id id;
@@ -95,10 +95,10 @@
     std::string_view meaning;
 };
 
-/// @brief The whole catalogue, in the order of the numbers.
+/// @brief Descriptions of all events, ordered by id.
 std::span<const event_description> event_catalogue() noexcept;
 
-/// @brief A named value of an event.
+/// @brief A named value that is logged with an event.
 struct event_field
 {
     std::string_view name;
@@ -107,19 +107,20 @@
 
 /// @brief Writes one event as a line of JSON to the log.
 /// @param id which event @param fields its values
-/// Safe from any thread.
+///
+/// Thread-safe.
 void log_event(event_id id, std::initializer_list<event_field> fields = {});
 
 /// @copydoc log_event
 void log_event(event_id id, std::span<const event_field> fields);
 
-/// @brief Lines that were not written because there were too many, or because
-/// nobody read them.
+/// @brief Number of log lines dropped because the rate limit was exceeded or
+/// standard output was not writable.
 std::int64_t dropped_log_lines() noexcept;
 
-/// @brief Sends the log to standard output, one line an event. It never waits
-/// for a reader.
-/// @param process name put into each line
+/// @brief Directs the log to standard output, one line per event. Lines are
+/// dropped rather than blocking when standard output is not writable.
+/// @param process process name written in each line
 void start_log(const std::string& process);
 
 /// @brief The version of this build.
--- a/packages/core/include/springstair/detail/core/log_rate_limiter.hpp
+++ b/packages/core/include/springstair/detail/core/log_rate_limiter.hpp
@@ -8,18 +8,18 @@
 namespace springstair
 {
 
-/// @brief Bounds of a process's log.
+/// @brief Rate limits of a process's log.
 struct log_rate_options
 {
-    /// Lines a second in the long run: a holder at a thousand starts a second
-    /// writes the most, and a line costs about 20 us.
+    /// Sustained lines per second. The busiest writer is a leader with 1000
+    /// starts per second; a line costs about 20 us.
     double lines_a_second = 400;
-    /// Lines at once, after a quiet time: an office that begins tells of each
-    /// worker and job.
+    /// Maximum burst, in lines: a new leader logs every worker and job at the
+    /// start of its term.
     double burst = 2000;
 };
 
-/// @brief Decides which lines are written, and counts those that are not.
+/// @brief Token bucket that admits log lines and counts the dropped ones.
 class log_rate_limiter
 {
 public:
@@ -28,8 +28,8 @@
     {
     }
 
-    /// @brief Whether a line may be written now. @param writable whether the
-    /// output takes it without waiting
+    /// @brief Whether a line may be written now; if so, takes a token.
+    /// @param writable whether the output accepts it without blocking
     bool admit(time_point now, bool writable)
     {
         const double earned = to_seconds(std::max(now - last_, duration{0})) *
@@ -45,7 +45,7 @@
         return true;
     }
 
-    /// @brief Lines that were not written, since the start.
+    /// @brief Number of lines dropped since construction.
     [[nodiscard]] std::int64_t dropped() const noexcept
     {
         return dropped_;
--- a/packages/core/include/springstair/detail/core/mailbox.hpp
+++ b/packages/core/include/springstair/detail/core/mailbox.hpp
@@ -11,20 +11,21 @@
 namespace springstair
 {
 
-/// @brief Hands events from any thread to the one thread that drains it.
+/// @brief Queue of events from any number of threads to one consumer thread.
 template <class Event>
 class mailbox
 {
 public:
-    /// @brief Adds an event. Safe from any thread. O(1) amortised.
+    /// @brief Adds an event. Thread-safe. Amortised O(1).
     void post(Event event)
     {
         const absl::MutexLock lock(&mutex_);
         events_.push_back(std::move(event));
     }
 
-    /// @brief Takes everything posted so far, waiting at most @p patience.
-    /// @return the events in the order they were posted; maybe none
+    /// @brief Removes all queued events; if there are none, waits for one for
+    /// at most @p patience.
+    /// @return the events in the order of posting; may be empty
     std::vector<Event> drain(duration patience)
     {
         std::vector<Event> taken;
--- a/packages/core/include/springstair/detail/core/metrics.hpp
+++ b/packages/core/include/springstair/detail/core/metrics.hpp
@@ -10,14 +10,14 @@
 namespace springstair
 {
 
-/// @brief The metrics of one process, in Prometheus' text form.
+/// @brief The metrics of one process, exposed in the Prometheus text format.
 ///
-/// Classes beyond @ref max_classes share the label `other`, so that a
-/// workspace cannot grow a process's memory by naming classes.
+/// Classes beyond the first @ref max_classes share the label `other`, so that
+/// a workspace cannot grow the process's memory by naming new classes.
 class metrics
 {
 public:
-    /// @brief Bound on the number of class labels of one process.
+    /// @brief Maximum number of distinct class labels.
     static constexpr std::size_t max_classes = 4096;
 
     metrics();
@@ -25,15 +25,16 @@
     metrics(const metrics&) = delete;
     metrics& operator=(const metrics&) = delete;
 
-    /// @brief Adds a reading to the histogram @p name of a class, in
-    /// seconds. Safe from any thread.
+    /// @brief Adds @p value, in seconds, to the histogram @p name of a class.
+    /// Thread-safe.
     void observe(std::string_view name, const class_name& of, duration value);
-    /// @brief Counts an event of a class, such as a refusal by reason.
+    /// @brief Increments the counter @p name of a class and reason, such as
+    /// refusals by reason.
     void count(std::string_view name, const class_name& of,
                std::string_view reason);
-    /// @brief Sets a value of the whole process.
+    /// @brief Sets the process-wide gauge @p name.
     void set(std::string_view name, double value);
-    /// @brief Everything, as the text that a scrape expects.
+    /// @brief All metrics in the Prometheus text format.
     [[nodiscard]] std::string text() const;
 
 private:
--- a/packages/core/include/springstair/detail/core/names.hpp
+++ b/packages/core/include/springstair/detail/core/names.hpp
@@ -9,7 +9,7 @@
 namespace springstair
 {
 
-/// @brief A string that only mixes with strings of the same meaning.
+/// @brief A strongly typed string: values of different tags do not mix.
 template <class Tag>
 struct named
 {
@@ -18,7 +18,7 @@
     auto operator<=>(const named&) const = default; // NOLINT: no pointer
 };
 
-/// @brief A name is its text on the wire.
+/// @brief Serializes a name as a plain JSON string.
 template <class Json, class Tag>
 void to_json(Json& to, const named<Tag>& from)
 {
@@ -32,11 +32,11 @@
     from.get_to(to.value);
 }
 
-/// @brief Names one entry process, from its settings.
+/// @brief Name of an entry process, from its settings.
 using entry_name = named<struct entry_tag>;
-/// @brief Names one guard, from its settings.
+/// @brief Name of a guard, from its settings.
 using guard_name = named<struct guard_tag>;
-/// @brief Names one attempt of one request, unique over the fleet.
+/// @brief Id of one attempt of a request, unique in the fleet.
 using attempt_name = named<struct attempt_tag>;
 
 /// @brief A class of work of one workspace.
@@ -47,14 +47,14 @@
 
     auto operator<=>(const class_name&) const = default; // NOLINT
 
-    /// @brief `workspace/class`, the name of its row in the table.
+    /// @brief Name of the class's row in the table: `workspace/class`.
     [[nodiscard]] std::string row() const
     {
         return workspace + "/" + work_class;
     }
 };
 
-/// @brief How work of a class behaves.
+/// @brief Kind of work in a class.
 enum class class_kind : std::uint8_t
 {
     latency_critical,
@@ -62,15 +62,15 @@
     batch
 };
 
-/// @brief What is known of a request that got no executor's answer.
+/// @brief Known result of a request that no executor answered.
 enum class outcome : std::uint8_t
 {
-    not_run, ///< the request truly did not run
+    not_run, ///< the request certainly did not run
     unknown, ///< it may have run
     failed   ///< it ran and failed
 };
 
-/// @brief Why a request was refused or given up.
+/// @brief Why a request was refused or abandoned.
 enum class refusal : std::uint8_t
 {
     unauthenticated,
@@ -88,17 +88,17 @@
     starting,
     store_unavailable,
     never_fits,
-    busy ///< no slot is free at once, and the attempt may not wait
+    busy ///< no slot is free now, and the attempt may not be queued
 };
 
-/// @brief The wire name of a value; empty for a value out of range.
+/// @brief The wire name of a value; empty if the value is out of range.
 std::string_view to_string(class_kind value) noexcept;
 /// @copydoc to_string(class_kind)
 std::string_view to_string(outcome value) noexcept;
 /// @copydoc to_string(class_kind)
 std::string_view to_string(refusal value) noexcept;
 
-/// @brief The value of a wire name, or nothing if no value has it.
+/// @brief Parses a wire name; empty if no value has that name.
 template <class Enum>
 std::optional<Enum> from_string(std::string_view name) noexcept
 {
--- a/packages/core/include/springstair/detail/core/object_reader.hpp
+++ b/packages/core/include/springstair/detail/core/object_reader.hpp
@@ -23,37 +23,38 @@
     std::int64_t most = std::numeric_limits<std::int32_t>::max();
 };
 
-/// @brief Reads the members of a JSON object and collects what is wrong.
+/// @brief Reads the members of a JSON object and collects its errors.
 ///
-/// Every accessor returns its fallback when the member is absent or bad; a
-/// bad member adds a finding with its JSON pointer. Nothing throws.
+/// Every accessor returns its fallback if the member is absent or invalid; an
+/// invalid member adds a finding with its JSON pointer. Nothing throws.
 class object_reader
 {
 public:
-    /// @param object what to read @param place its JSON pointer
-    /// @param out where findings go; must outlive the reader
+    /// @param object the object to read; must outlive the reader
+    /// @param place JSON pointer of the object
+    /// @param out receives the findings; must outlive the reader
     object_reader(const json& object, std::string place, findings& out);
 
-    /// @brief A text member; without @p fallback it is required.
+    /// @brief A non-empty string; required if there is no @p fallback.
     std::string text(std::string_view key,
                      const std::optional<std::string>& fallback = {});
-    /// @brief A whole number within @p range.
+    /// @brief An integer within @p range; required if there is no @p fallback.
     std::int64_t integer(std::string_view key,
                          std::optional<std::int64_t> fallback,
                          number_range range = {});
-    /// @brief A real number above zero.
+    /// @brief A number greater than 0.
     double positive(std::string_view key, double fallback);
-    /// @brief True or false.
+    /// @brief A boolean.
     bool boolean(std::string_view key, bool fallback);
-    /// @brief A list of texts; empty when absent.
+    /// @brief An array of strings; empty if the member is absent.
     std::vector<std::string> texts(std::string_view key);
-    /// @brief A member of any type, or null when absent.
+    /// @brief A member of any type; nullptr if it is absent.
     const json* member(std::string_view key);
-    /// @brief Adds a finding for every member that was never asked for.
+    /// @brief Adds a finding for every member that no accessor has read.
     void reject_unknown();
-    /// @brief Adds a finding at a member of this object.
+    /// @brief Adds a finding for the member @p key.
     void report(std::string_view key, const std::string& message);
-    /// @brief The JSON pointer of a member.
+    /// @brief The JSON pointer of the member @p key.
     [[nodiscard]] std::string place_of(std::string_view key) const;
 
 private:
--- a/packages/core/include/springstair/detail/core/problem_report.hpp
+++ b/packages/core/include/springstair/detail/core/problem_report.hpp
@@ -9,20 +9,21 @@
 namespace springstair
 {
 
-/// @brief What a refused or given-up request is told.
+/// @brief The answer to a request that was refused or abandoned.
 struct problem_report
 {
     outcome result = outcome::not_run;
     refusal reason = refusal::bad_request;
-    duration retry_after{0}; ///< zero: asking again will not help
+    duration retry_after{0}; ///< 0: retrying does not help
     std::string detail;
 
     bool operator==(const problem_report&) const = default;
 };
 
-/// @brief A refusal of what did not run.
-/// @param reason why @param retry_after when to come back; zero: never
-/// @param detail for the caller to read
+/// @brief Reports the refusal of a request that did not run.
+/// @param reason why it was refused
+/// @param retry_after delay before a retry; 0: retrying does not help
+/// @param detail explanation for the caller
 inline problem_report not_run(refusal reason, duration retry_after,
                               std::string detail = {})
 {
--- a/packages/core/include/springstair/detail/core/secrets.hpp
+++ b/packages/core/include/springstair/detail/core/secrets.hpp
@@ -6,14 +6,14 @@
 namespace springstair
 {
 
-/// @brief Lower-case hexadecimal SHA-256 of a text (64 characters).
+/// @brief SHA-256 of @p text as 64 lower-case hexadecimal digits.
 std::string sha256_hex(std::string_view text);
 
-/// @brief Whether two texts are equal, in time that depends on length only.
+/// @brief Compares two strings in time that depends on their lengths only.
 bool equal_in_constant_time(std::string_view left,
                             std::string_view right) noexcept;
 
-/// @brief Hexadecimal text of @p bytes bytes from the system's generator.
+/// @brief @p bytes random bytes from OpenSSL's generator, in hexadecimal.
 /// @throw transport_error 202 if the generator fails
 std::string random_hex(int bytes);
 
--- a/packages/core/include/springstair/detail/core/time.hpp
+++ b/packages/core/include/springstair/detail/core/time.hpp
@@ -7,10 +7,10 @@
 namespace springstair
 {
 
-/// @brief Tag of the clock that counts while the machine is suspended.
+/// @brief Monotonic clock that also advances while the machine is suspended.
 ///
-/// Readings are comparable on one machine only; between machines only
-/// durations travel.
+/// Time points are comparable on one machine only; messages between machines
+/// carry durations instead.
 struct boot_clock
 {
     using duration = std::chrono::microseconds;
@@ -19,17 +19,17 @@
     using time_point = std::chrono::time_point<boot_clock>;
     static constexpr bool is_steady = true;
 
-    /// @brief The present reading of CLOCK_BOOTTIME.
+    /// @brief The current value of CLOCK_BOOTTIME.
     static time_point now() noexcept;
 };
 
-/// @brief Resolution of every duration inside a process: microseconds.
+/// @brief Duration type used inside a process; resolution 1 us.
 using duration = boot_clock::duration;
 
-/// @brief A reading of the boot clock.
+/// @brief A point in time on the boot clock.
 using time_point = boot_clock::time_point;
 
-/// @brief Anything that tells the present time.
+/// @brief A type that provides the current time.
 template <class Clock>
 concept clock_source = requires(const Clock& clock)
 {
@@ -42,24 +42,24 @@
 class system_clock_source
 {
 public:
-    /// @brief The present time. @return a reading of the boot clock
+    /// @brief The current time on the boot clock.
     [[nodiscard]] time_point now() const noexcept
     {
         return boot_clock::now();
     }
 };
 
-/// @brief A clock that stands still until a test advances it.
+/// @brief Clock for tests that advances only by advance().
 class manual_clock
 {
 public:
-    /// @brief The time the test has set.
+    /// @brief The current simulated time.
     [[nodiscard]] time_point now() const noexcept
     {
         return now_;
     }
 
-    /// @brief Moves the clock forward. @param step how far
+    /// @brief Advances the clock by @p step.
     void advance(duration step) noexcept
     {
         now_ += step;
@@ -69,19 +69,19 @@
     time_point now_{std::chrono::hours(1)};
 };
 
-/// @brief Whole milliseconds of a duration, rounded down.
+/// @brief Converts to whole milliseconds, truncating towards zero.
 constexpr std::int64_t to_milliseconds(duration value) noexcept
 {
     return std::chrono::duration_cast<std::chrono::milliseconds>(value).count();
 }
 
-/// @brief Seconds of a duration as a real number.
+/// @brief Converts to fractional seconds.
 constexpr double to_seconds(duration value) noexcept
 {
     return std::chrono::duration<double>(value).count();
 }
 
-/// @brief A duration from seconds as a real number.
+/// @brief Converts from fractional seconds, truncating towards zero.
 constexpr duration from_seconds(double seconds) noexcept
 {
     return std::chrono::duration_cast<duration>(
--- a/packages/core/src/events.cpp
+++ b/packages/core/src/events.cpp
@@ -191,7 +191,7 @@
     return trivial::error;
 }
 
-// A pipe that polls writable takes a line of up to PIPE_BUF at once.
+// A pipe that poll() reports writable accepts PIPE_BUF bytes without blocking.
 bool output_takes_a_line() noexcept
 {
     pollfd output{.fd = STDOUT_FILENO, .events = POLLOUT, .revents = 0};
@@ -203,7 +203,7 @@
     std::mutex mutex;
     log_rate_limiter budget;
     std::atomic<bool> started = false;
-    std::int64_t told = 0; ///< dropped lines that the log mentions
+    std::int64_t told = 0; ///< dropped lines already reported in the log
 };
 
 log_state& shared_log()
@@ -212,14 +212,14 @@
     return state;
 }
 
-// Whether a line may be written, and how many were left out before it.
+// Whether a line may be written, and how many were dropped since the last one.
 std::pair<bool, std::int64_t> admit_line()
 {
     log_state& log = shared_log();
     const std::lock_guard<std::mutex> lock(log.mutex);
     if (!log.started)
     {
-        return {true, 0}; // a test, or a tool
+        return {true, 0}; // tests and tools: no rate limit
     }
     if (!log.budget.admit(boot_clock::now(), output_takes_a_line()))
     {
@@ -272,7 +272,7 @@
         -1, ' ', false, nlohmann::ordered_json::error_handler_t::replace);
     if (!shared_log().started)
     {
-        std::cerr << text + '\n'; // the output of a tool is its result
+        std::cerr << text + '\n'; // a tool's stdout is for its result
         return;
     }
     boost::log::sources::severity_logger_mt<trivial::severity_level> logger;
--- a/packages/membership/include/springstair/detail/membership/directory.hpp
+++ b/packages/membership/include/springstair/detail/membership/directory.hpp
@@ -10,27 +10,29 @@
 namespace springstair
 {
 
-/// @brief When silence counts.
+/// @brief Timeouts since the last message of a guard or entry.
 struct directory_options
 {
+    /// Suspect after this time; it then receives no new work.
     duration suspect_after = std::chrono::milliseconds(1500);
+    /// Removed after this time.
     duration forget_after = std::chrono::minutes(5);
 };
 
-/// @brief What an entry knows of one guard.
+/// @brief An entry's view of one guard.
 struct guard_view
 {
     guard_report report;
     time_point heard;
-    bool listed_leaving = false; ///< by the platform's lagging list
-    bool unreachable = false;    ///< a connection was refused since heard
+    bool listed_leaving = false; ///< in the platform's (delayed) list
+    bool unreachable = false;    ///< connection refused since last heartbeat
 
-    /// @brief Whether new work may be sent there at @p now.
+    /// @brief Whether new work may be sent to the guard at @p now.
     [[nodiscard]] bool usable(time_point now,
                               const directory_options& options) const;
 };
 
-/// @brief What a heartbeat changed.
+/// @brief State change of a guard caused by a heartbeat.
 enum class guard_change : std::uint8_t
 {
     none,
@@ -39,36 +41,36 @@
     leaving
 };
 
-/// @brief The guards an entry knows, from their own heartbeats first and
-/// the platform's lagging list second.
+/// @brief The guards known to an entry, from their heartbeats and from the
+/// platform's list of leaving VMs, which is delayed.
 class guard_directory
 {
 public:
-    /// @param options when silence counts
+    /// @param options timeouts
     explicit guard_directory(directory_options options = {});
 
-    /// @brief Takes in a heartbeat. O(log n)
+    /// @brief Processes a heartbeat. O(log n)
     guard_change hear(time_point now, const guard_report& report);
-    /// @brief Takes in a load report that came with an answer.
+    /// @brief Processes a load report received with an attempt's answer.
     void hear_load(const guard_name& guard, const load_report& load);
-    /// @brief A connection to the guard was refused.
+    /// @brief Called when a connection to the guard was refused.
     void refused(const guard_name& guard);
-    /// @brief The platform's list of leaving VMs, by address.
+    /// @brief Sets the platform's list of leaving VMs, by address.
     void list_leaving(const std::set<std::string>& addresses);
-    /// @brief Guards that fell silent since the last call; forgets those
-    /// silent for long.
+    /// @brief Returns the guards that became suspect since the last call;
+    /// removes those silent for longer than @a forget_after.
     std::vector<guard_name> expire(time_point now);
 
-    /// @brief All known guards by name.
+    /// @brief All known guards, by name.
     [[nodiscard]] const std::map<guard_name, guard_view>& all() const noexcept
     {
         return guards_;
     }
 
-    /// @brief One guard, or null.
+    /// @brief One guard, or nullptr.
     [[nodiscard]] const guard_view* find(const guard_name& guard) const;
 
-    /// @brief When silence counts.
+    /// @brief The timeouts of this directory.
     [[nodiscard]] const directory_options& options() const noexcept
     {
         return options_;
@@ -80,23 +82,25 @@
     std::set<guard_name> silent_;
 };
 
-/// @brief The other entries that one entry knows.
+/// @brief The other entries known to an entry.
 class entry_directory
 {
 public:
-    /// @param options when silence counts
+    /// @param options timeouts
     explicit entry_directory(directory_options options = {});
 
-    /// @brief Takes in an exchange. @return whether the entry is new
+    /// @brief Processes an exchange message. @return whether the entry is new
     bool hear(time_point now, const entry_summary& summary);
-    /// @brief A guard says that it hears these entries.
+    /// @brief Processes the names of entries from which a guard receives
+    /// messages.
     void relay(time_point now, const std::vector<std::string>& names);
-    /// @brief Forgets entries silent for long.
+    /// @brief Removes entries silent for longer than @a forget_after.
     void expire(time_point now);
 
-    /// @brief Other entries heard of lately, directly or through a guard.
+    /// @brief Other entries that are not suspect, known directly or through a
+    /// guard.
     [[nodiscard]] std::set<std::string> alive(time_point now) const;
-    /// @brief The last word of each entry heard directly.
+    /// @brief The last message of each entry received directly.
     [[nodiscard]] const std::map<std::string, entry_summary>&
     summaries() const noexcept
     {
--- a/packages/membership/include/springstair/detail/membership/messages.hpp
+++ b/packages/membership/include/springstair/detail/membership/messages.hpp
@@ -14,7 +14,7 @@
 // Resources
 // ---------------------------------------------------------------------------
 
-/// @brief An amount of what a worker has.
+/// @brief An amount of a worker's resources.
 struct resources
 {
     std::int64_t cpu_millis = 0;
@@ -23,7 +23,7 @@
 
     bool operator==(const resources&) const = default;
 
-    /// @brief Whether this amount fits into @p room in every dimension.
+    /// @brief Whether this amount is at most @p room in every dimension.
     [[nodiscard]] bool fits(const resources& room) const noexcept;
     resources& operator+=(const resources& other) noexcept;
     resources& operator-=(const resources& other) noexcept;
@@ -33,7 +33,7 @@
 // Guard to entry: the heartbeat
 // ---------------------------------------------------------------------------
 
-/// @brief What runs and waits at a guard.
+/// @brief Numbers of running and queued requests at a guard.
 struct load_report
 {
     std::int64_t slots = 0;
@@ -41,15 +41,15 @@
     std::int64_t running_other = 0;
     std::int64_t queued_critical = 0;
     std::int64_t queued_other = 0;
-    /// Of these, what the entry that is told sent itself: it knows better
-    /// how much of that is still out.
+    /// Of these, the requests sent by the receiver of this report. The
+    /// receiver replaces them with its own, more recent count.
     std::int64_t own_critical = 0;
     std::int64_t own_other = 0;
 
     bool operator==(const load_report&) const = default;
 };
 
-/// @brief A task attempt that a guard answers for.
+/// @brief State of a task attempt at a guard.
 struct attempt_report
 {
     std::string task;
@@ -60,13 +60,13 @@
     bool operator==(const attempt_report&) const = default;
 };
 
-/// @brief An entry's word that the end of an attempt is on record.
+/// @brief An entry's acknowledgement that the end of an attempt is committed.
 struct attempt_ack
 {
     std::string task;
     std::int64_t attempt = 0;
     std::int64_t shard = 0;
-    std::int64_t epoch = 0; ///< of the shard's holder that says so
+    std::int64_t epoch = 0; ///< of the shard owner that sends this
 
     bool operator==(const attempt_ack&) const = default;
 };
@@ -75,16 +75,17 @@
 struct guard_report
 {
     guard_name guard;
-    std::string incarnation; ///< differs each time the process starts
+    std::string incarnation; ///< different for each process start
     std::string data_centre;
     std::string rack;
-    std::string address; ///< IP number and port
+    std::string address; ///< IP address and port
     bool leaving = false;
-    bool ready = false;       ///< knows what its executor works on
-    bool tasks_ready = false; ///< knows all its worker runs or may start
+    bool ready = false;       ///< has learned what its executor runs
+    bool tasks_ready = false; ///< has learned all that its worker
+                              ///< runs or may start
     load_report load;
     std::int64_t table_revision = 0;
-    std::vector<std::string> entries_heard; ///< entries alive in its view
+    std::vector<std::string> entries_heard; ///< entries it considers alive
     resources capacity;                     ///< of the worker, for tasks
     resources free;
     std::vector<attempt_report> attempts;
@@ -92,13 +93,13 @@
     bool operator==(const guard_report&) const = default;
 };
 
-/// @brief What an entry answers to a heartbeat.
+/// @brief An entry's answer to a heartbeat.
 struct heartbeat_answer
 {
     entry_name entry;
-    json table;                       ///< null unless newer than reported
+    json table;                       ///< null unless newer than the guard's
     std::vector<std::string> entries; ///< addresses of all known entries
-    std::vector<attempt_ack> acked;   ///< ended attempts now on record
+    std::vector<attempt_ack> acked;   ///< ended attempts now committed
 
     bool operator==(const heartbeat_answer&) const = default;
 };
@@ -110,7 +111,7 @@
 /// @brief Units of a workspace's fleet-wide limit.
 using unit_map = std::map<std::string, std::int64_t>;
 
-/// @brief What entries tell each other, in the call and in its answer.
+/// @brief State that entries exchange, in the call and in its answer.
 struct entry_summary
 {
     entry_name entry;
@@ -119,19 +120,20 @@
     std::string data_centre;
     bool leaving = false;
     std::int64_t table_revision = 0;
-    json table;                       ///< null unless the other's is older
+    json table;                       ///< null unless the receiver's is older
     std::vector<std::string> entries; ///< addresses of known entries
-    unit_map wants;                   ///< more in flight would be used
-    unit_map lends;                   ///< lent to the one addressed
-    unit_map holds;                   ///< borrowed from it and in use
-    std::vector<std::int64_t> shards; ///< shards of tasks it holds
-    std::map<std::string, resources> task_usage; ///< by workspace, placed
+    unit_map wants;                   ///< additional units it could use
+    unit_map lends;                   ///< units lent to the receiver
+    unit_map holds;                   ///< borrowed units in use
+    std::vector<std::int64_t> shards; ///< shards of tasks it owns
+    /// Resources of placed tasks, by workspace.
+    std::map<std::string, resources> task_usage;
 
     bool operator==(const entry_summary&) const = default;
 };
 
 // ---------------------------------------------------------------------------
-// Wire form; reading throws nlohmann's exceptions on a bad message
+// JSON format; parsing an invalid message throws nlohmann's exceptions
 // ---------------------------------------------------------------------------
 
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(resources, cpu_millis, memory_mb,
@@ -152,13 +154,13 @@
                                    entries, wants, lends, holds, shards,
                                    task_usage)
 
-/// @brief A load report as the value of one header field.
+/// @brief Encodes a load report as the value of an HTTP header.
 std::string to_header(const load_report& load);
-/// @brief Reads to_header()'s text; nothing if it is not one.
+/// @brief Parses the result of to_header(); empty if it is invalid.
 std::optional<load_report> load_of_header(const std::string& text);
 
 // ---------------------------------------------------------------------------
-// Names on the wire
+// Header, path and method names on the wire
 // ---------------------------------------------------------------------------
 
 namespace wire
--- a/packages/membership/include/springstair/membership.hpp
+++ b/packages/membership/include/springstair/membership.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// The messages between our processes, and who is known to be alive.
+/// Messages between entries and guards, and the directories of live ones.
 
 #include <springstair/detail/membership/directory.hpp>
 #include <springstair/detail/membership/messages.hpp>
--- a/packages/policy/include/springstair/detail/policy/admission.hpp
+++ b/packages/policy/include/springstair/detail/policy/admission.hpp
@@ -11,17 +11,17 @@
 namespace springstair
 {
 
-/// @brief An attempt that asks for one of an executor's slots.
+/// @brief An attempt that requests one of an executor's slots.
 struct slot_request
 {
     attempt_name attempt;
     class_name of;
     time_point arrived;
     time_point deadline;
-    bool may_wait = true; ///< else it starts at once or is refused
+    bool may_wait = true; ///< false: it starts at once or is refused
 };
 
-/// @brief A request for a slot that is given up, and why.
+/// @brief A slot request that is refused, and why.
 struct slot_refusal
 {
     slot_request request;
@@ -29,61 +29,64 @@
     duration retry_after{0};
 };
 
-/// @brief Bounds of an executor.
+/// @brief Limits and options of an executor.
 struct admission_options
 {
     std::int64_t slots = 8;
-    /// Whether slots are kept for latency-critical classes, and these go
-    /// first; off only as a baseline to measure against.
+    /// Whether slots are reserved for latency-critical classes, which also
+    /// have precedence. Disabled only as a baseline for benchmarks.
     bool reserve = true;
-    /// Slot time by which a workspace's latency-critical work may run
-    /// ahead of its fair share before it loses its precedence.
+    /// Slot time by which a workspace may exceed its fair share before its
+    /// latency-critical work loses its precedence.
     duration critical_lead = std::chrono::seconds(1);
 };
 
-/// @brief Decides who gets the slots of one executor.
+/// @brief Assigns the slots of one executor.
 ///
-/// Slots the table reserves are open to latency-critical classes only. What
-/// waits is served by weighted fairness of slot time, over workspaces and
-/// then over a workspace's classes. What cannot end by its deadline is
-/// refused as soon as that is known.
+/// Slots reserved by the table are open to latency-critical classes only.
+/// Waiting requests are served by weighted fair sharing of slot time, first
+/// among workspaces, then among a workspace's classes. A request that cannot
+/// finish by its deadline is refused as soon as that is known.
 class admission
 {
 public:
-    /// @param options bounds of the executor
+    /// @param options limits and options of the executor
     explicit admission(admission_options options);
 
-    /// @brief Weights, reservations and queue bounds from now on.
+    /// @brief Sets the weights, reservations and queue limits.
     void use_table(const table& rows);
 
-    /// @brief Queues a request, or says why not.
-    /// @return the refusal, or nothing if it waits now. O(waiting lanes)
+    /// @brief Queues or refuses a request. O(number of classes)
+    /// @return the refusal, or nothing if the request is queued
     std::optional<slot_refusal> offer(time_point now,
                                       const slot_request& request);
 
-    /// @brief Takes out what may start now; each holds a slot until
-    /// finish() or abandon().
+    /// @brief Dequeues the requests that may start now; each holds a slot
+    /// until finish() or abandon().
     std::vector<slot_request> start_ready();
 
-    /// @brief Takes out what can no longer meet its deadline.
+    /// @brief Dequeues the requests that can no longer meet their deadline.
     std::vector<slot_refusal> expire(time_point now);
 
-    /// @brief Frees the slot of an attempt that ran for @p service.
+    /// @brief Frees the slot of an attempt whose service time was @p service.
     void finish(const attempt_name& attempt, duration service);
     /// @brief Frees the slot of an attempt that never ran.
     void abandon(const attempt_name& attempt);
 
-    /// @brief Slots known to be taken by attempts that are not ours.
+    /// @brief Sets the number of slots taken by attempts that were not
+    /// admitted here: orphans and attempts in doubt.
     void occupy(std::int64_t slots) noexcept
     {
         orphans_ = slots;
     }
 
-    /// @brief What runs and waits.
+    /// @brief Numbers of running and queued requests.
     [[nodiscard]] load_report load() const;
-    /// @brief Slots taken, ours and foreign.
+    /// @brief Slots taken, including those set by occupy().
     [[nodiscard]] std::int64_t taken() const noexcept;
-    /// @brief How long what waits will take, roughly.
+    /// @brief Estimated time until the waiting requests have been served.
+    /// @param critical whether to estimate for latency-critical requests, for
+    /// which other requests do not count
     [[nodiscard]] duration backlog(bool critical) const;
 
 private:
@@ -91,7 +94,7 @@
     {
         double virtual_time = 0;
         std::int64_t running = 0;
-        double service = 0.01; ///< seconds a request takes, learnt
+        double service = 0.01; ///< mean service time in s, learned
         std::deque<slot_request> waiting;
     };
     struct workspace_lane
--- a/packages/policy/include/springstair/detail/policy/fleet_limits.hpp
+++ b/packages/policy/include/springstair/detail/policy/fleet_limits.hpp
@@ -10,68 +10,71 @@
 namespace springstair
 {
 
-/// @brief Times of the agreement between entries.
+/// @brief Timeouts and windows of the lending protocol between entries.
 struct fleet_limit_options
 {
-    /// A borrower gives units back by itself after this silence.
+    /// A borrower stops using lent units when no new offer has arrived for
+    /// this time.
     duration lease = std::chrono::milliseconds(1500);
-    /// A lender that got no answer counts units as lent for this long.
+    /// A lender that receives no answer counts units as lent for this time.
     duration lender_wait = std::chrono::seconds(4);
-    /// A departed entry's part is kept free for this long.
+    /// The quota of a departed entry stays unused for this time.
     duration departure_wait = std::chrono::seconds(5);
-    /// Over which use is remembered when units are offered.
+    /// Window of the peak use that is considered when units are offered.
     duration peak_window = std::chrono::seconds(1);
-    /// Of a second's requests, how many may come at once.
+    /// Maximum burst, as seconds of requests at the rate limit.
     double burst_seconds = 0.25;
 };
 
-/// @brief One entry's part of the fleet-wide limits of workspaces.
+/// @brief One entry's share of the fleet-wide limits of workspaces.
 ///
-/// Each limit is split evenly over the live entries; an entry with units to
-/// spare lends them to one that wants more, and counts them as its own
-/// again only when the borrower has said it no longer uses them. So the sum
-/// of all parts stays at the limit while the members agree on who they are.
+/// Each limit is split evenly among the live entries. An entry with spare
+/// units lends them to an entry that wants more. It counts them as its own
+/// again only after the borrower has reported that it no longer uses them, or
+/// after @a lender_wait without an answer. So the sum of all parts does not
+/// exceed the limit while the entries agree on the set of members.
 class fleet_limits
 {
 public:
-    /// @param self name of this entry @param options times
+    /// @param self name of this entry @param options timeouts and windows
     explicit fleet_limits(std::string self, fleet_limit_options options = {});
 
-    /// @brief Limits from now on.
+    /// @brief Sets the limits of all workspaces.
     void use_table(const table& rows);
-    /// @brief The other entries alive now.
+    /// @brief Sets the other entries that are alive now.
     void use_members(time_point now, const std::set<std::string>& others);
 
-    /// @brief Admits one request of a workspace.
-    /// @return nothing if admitted, else when to come back
+    /// @brief Admits or refuses one request of a workspace.
+    /// @return nothing if admitted, else the delay before a retry
     std::optional<duration> admit(time_point now, const std::string& workspace);
-    /// @brief A request that was admitted has ended.
+    /// @brief Called when an admitted request has ended.
     void release(const std::string& workspace);
 
-    /// @brief Units more of each workspace that this entry could use.
+    /// @brief Additional units per workspace that this entry could use.
     [[nodiscard]] unit_map wants(time_point now) const;
-    /// @brief What to offer a peer in the next message to it.
+    /// @brief The units to lend to a peer, for the next message to it.
+    /// @param wanted the peer's wants()
     unit_map offer(time_point now, const std::string& peer,
                    const unit_map& wanted);
-    /// @brief The peer answered the last offer.
-    /// @param holds units it still uses of what was lent before
+    /// @brief Called when the peer has answered the last offer.
+    /// @param holds borrowed units that it still uses
     void settled(const std::string& peer, const unit_map& holds);
-    /// @brief A peer's offer came in; it replaces its last one.
+    /// @brief Called when a peer's offer arrives; replaces its previous one.
     void borrow(time_point now, const std::string& peer, const unit_map& lends);
-    /// @brief Borrowed units that are in use here. Every lender is told the
-    /// whole: too much is on the safe side.
+    /// @brief Borrowed units in use at this entry. The total is reported to
+    /// every lender: reporting too many units is safe.
     [[nodiscard]] unit_map holds() const;
 
-    /// @brief Requests of a workspace that this entry may have in flight.
+    /// @brief Maximum in-flight requests of a workspace at this entry.
     [[nodiscard]] std::int64_t part(time_point now,
                                     const std::string& workspace) const;
-    /// @brief Requests of a workspace in flight through this entry.
+    /// @brief Current in-flight requests of a workspace at this entry.
     [[nodiscard]] std::int64_t in_flight(const std::string& workspace) const;
 
 private:
     struct loan
     {
-        std::int64_t counted = 0; ///< taken from the lender's own part
+        std::int64_t counted = 0; ///< deducted from the lender's own part
         std::int64_t offered = 0; ///< in the last message
         time_point sent;
     };
@@ -86,7 +89,7 @@
         std::int64_t peak = 0;
         std::int64_t refused = 0;
         time_point peak_since;
-        double rate_tokens = -1; ///< below zero: not yet used
+        double rate_tokens = -1; ///< negative: not yet initialized
         time_point rate_filled;
         std::map<std::string, loan> lent;
         std::map<std::string, borrowed_units> borrowed;
--- a/packages/policy/include/springstair/detail/policy/outlier_detector.hpp
+++ b/packages/policy/include/springstair/detail/policy/outlier_detector.hpp
@@ -8,17 +8,18 @@
 namespace springstair
 {
 
-/// @brief When an executor is left alone.
+/// @brief When and for how long a guard's executor is ejected.
 struct outlier_options
 {
     int failures_in_a_row = 5;
     duration first_ejection = std::chrono::seconds(1);
     duration max_ejection = std::chrono::seconds(30);
-    double max_ejected = 0.34;       ///< share of the known guards
-    double bad_class_failures = 0.5; ///< above it, the class is to blame
+    double max_ejected = 0.34;       ///< share of known guards
+    double bad_class_failures = 0.5; ///< failure rate above which a
+                                     ///< failure is blamed on the class
 };
 
-/// @brief What a result changed.
+/// @brief State change of a guard caused by a result.
 enum class outlier_change : std::uint8_t
 {
     none,
@@ -26,32 +27,35 @@
     restored
 };
 
-/// @brief Notices executors that fail what they are given.
+/// @brief Detects and ejects executors that fail their requests.
 ///
-/// An ejected guard gets nothing for a while that doubles each time, then
-/// one request at a time as a probe, until one succeeds. A class that
-/// fails on most guards is not held against any of them.
+/// An ejected guard receives nothing for a time that doubles with each
+/// ejection, then one request at a time as a probe, until a probe succeeds.
+/// Failures of a class with a high failure rate over all guards are not
+/// counted against a guard.
 class outlier_detector
 {
 public:
     /// @param options when a guard is ejected
     explicit outlier_detector(outlier_options options = {});
 
-    /// @brief Takes in a result. @param known how many guards there are
+    /// @brief Records the result of a request.
+    /// @param known number of known guards
     outlier_change record(time_point now, const guard_name& guard,
                           const class_name& of, bool success,
                           std::size_t known);
-    /// @brief Whether a request may go to the guard now. A probe asks for a
-    /// request that can be repeated.
+    /// @brief Whether a request may be sent to the guard now. Only a
+    /// repeatable request may be a probe.
     [[nodiscard]] bool may_send(time_point now, const guard_name& guard,
                                 bool repeatable) const;
-    /// @brief A request was sent; it is the probe if the guard is ejected.
+    /// @brief Called when a request was sent; if the guard is ejected, it is
+    /// the probe.
     void sent(time_point now, const guard_name& guard);
-    /// @brief A request that was sent never reached the executor.
+    /// @brief Called when a sent request did not reach the executor.
     void returned(const guard_name& guard);
-    /// @brief The guard's process is a new one: past failures are forgotten.
+    /// @brief Clears the state of a guard, after its process restarted.
     void forget(const guard_name& guard);
-    /// @brief Guards ejected or on probation.
+    /// @brief Guards that are ejected, including those being probed.
     [[nodiscard]] std::set<guard_name> ejected() const;
 
 private:
@@ -61,9 +65,9 @@
         int ejections = 0;
         bool ejected = false;
         bool probing = false;
-        time_point probed; ///< a probe that is never heard of counts no more
-                           ///< after the longest ejection
-        time_point until;
+        time_point probed; ///< a probe without a result is ignored after
+                           ///< max_ejection
+        time_point until;  ///< no probe before
     };
 
     [[nodiscard]] bool class_is_bad(const class_name& of) const;
--- a/packages/policy/include/springstair/detail/policy/retry_budget.hpp
+++ b/packages/policy/include/springstair/detail/policy/retry_budget.hpp
@@ -8,31 +8,31 @@
 namespace springstair
 {
 
-/// @brief How many retries an entry may add to its load.
+/// @brief Limits of the retries that an entry may add to its load.
 struct retry_budget_options
 {
-    double share = 0.1; ///< retries allowed for each success
-    double most = 50;   ///< saved up at most
+    double share = 0.1; ///< retries earned per success
+    double most = 50;   ///< maximum number of saved retries
 };
 
-/// @brief Bounds retries to a share of recent successes, so that a failing
-/// fleet sees at most 1 + share times the load it is offered.
+/// @brief Limits retries to a share of recent successes, so that a failing
+/// fleet receives at most 1 + share times the load offered by callers.
 class retry_budget
 {
 public:
-    /// @param options share and bound
+    /// @param options share and maximum
     explicit retry_budget(retry_budget_options options = {})
         : options_(options), saved_(options.most)
     {
     }
 
-    /// @brief A request succeeded.
+    /// @brief Called when a request succeeded.
     void succeeded() noexcept
     {
         saved_ = std::min(options_.most, saved_ + options_.share);
     }
 
-    /// @brief Takes one retry. @return whether there was one to take
+    /// @brief Takes one retry from the budget. @return false if none is left
     bool take() noexcept
     {
         if (saved_ < 1)
@@ -48,8 +48,8 @@
     double saved_;
 };
 
-/// @brief A wait that is told to a caller, longer by up to half, so that
-/// those refused together do not come back together.
+/// @brief Adds up to 50% random jitter to a retry delay, so that callers
+/// refused at the same time do not retry at the same time.
 template <class Random>
 duration jittered(duration wait, Random& random)
 {
--- a/packages/policy/include/springstair/detail/policy/router.hpp
+++ b/packages/policy/include/springstair/detail/policy/router.hpp
@@ -15,26 +15,26 @@
 namespace springstair
 {
 
-/// @brief Source of the router's randomness; seeded once a process.
+/// @brief The routers' random number generator; seeded once per process.
 using random_source = std::mt19937_64;
 
-/// @brief Attempts of this entry that a guard has not answered yet.
+/// @brief Attempts of this entry that a guard has not yet answered.
 struct outstanding_attempts
 {
     int critical = 0;
     int other = 0;
 };
 
-/// @brief A guard that a request may go to.
+/// @brief A guard to which a request may be sent.
 struct route_candidate
 {
     guard_name guard;
-    double load = 0;    ///< work per slot open to the request's kind
-    bool room = false;  ///< a slot should be free for this kind
+    double load = 0;    ///< requests per slot open to the request's kind
+    bool room = false;  ///< a slot for this kind is probably free
     bool local = false; ///< in the entry's own data centre
 };
 
-/// @brief Anything that picks one of several guards.
+/// @brief A type that picks one of several guards.
 template <class Router>
 concept routing_policy = requires(Router router,
                                   std::span<const route_candidate> candidates,
@@ -45,22 +45,23 @@
         } -> std::same_as<std::optional<std::size_t>>;
 };
 
-/// @brief Own data centre first, the least loaded of a few drawn at random.
+/// @brief Picks the least loaded of a few random candidates.
 ///
-/// A few, not all: several entries that see the same stale view would
-/// otherwise all send to the same guard.
+/// Prefers candidates with a free slot, and among them those in the entry's
+/// own data centre. It compares only a few candidates, because several entries
+/// with the same stale view would otherwise all send to the same guard.
 class sampled_router
 {
 public:
-    /// @brief How many are drawn.
+    /// @brief Number of random candidates compared.
     static constexpr std::size_t sample_size = 3;
 
-    /// @brief Picks a candidate, or nothing if there are none. O(n)
+    /// @brief Index of the picked candidate; empty if there are none. O(n)
     std::optional<std::size_t> pick(std::span<const route_candidate> from,
                                     random_source& random) const;
 };
 
-/// @brief Any guard, as a baseline to measure against.
+/// @brief Picks a random guard; a baseline for benchmarks.
 class random_router
 {
 public:
@@ -69,7 +70,7 @@
                                     random_source& random) const;
 };
 
-/// @brief The least loaded of all, as a baseline to measure against.
+/// @brief Picks the least loaded guard of all; a baseline for benchmarks.
 class least_loaded_router
 {
 public:
@@ -78,21 +79,22 @@
                                     random_source& random) const;
 };
 
-/// @brief One of the routers, as the settings name it.
+/// @brief Any of the routers that the settings can select.
 using any_router =
     std::variant<sampled_router, random_router, least_loaded_router>;
 
-/// @brief The router of a settings' name, or nothing.
+/// @brief The router with this name in the settings; empty if unknown.
 /// @param name `sampled`, `random` or `least_loaded`
 std::optional<any_router> router_named(const std::string& name);
 
-/// @brief Fills load and room from a guard's report.
+/// @brief Computes load and room of a candidate from a guard's report.
 ///
-/// What others sent is taken from the report, what this entry sent from its
-/// own count, which knows of attempts that are still on their way.
-/// @param load what the guard reported @param own this entry's attempts
-/// @param kind of the request
-/// @param reserved slots kept for latency-critical classes
+/// Attempts of other entries are taken from the report. Those of this entry
+/// are taken from its own count, which includes attempts still in transit.
+/// @param load the guard's last load report
+/// @param own this entry's outstanding attempts at the guard
+/// @param kind kind of the request
+/// @param reserved slots reserved for latency-critical classes
 route_candidate make_candidate(const load_report& load,
                                const outstanding_attempts& own, class_kind kind,
                                std::int64_t reserved);
--- a/packages/policy/include/springstair/policy.hpp
+++ b/packages/policy/include/springstair/policy.hpp
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// Every decision of the request path: who is admitted, what waits, where
-/// a request goes, when it is tried again. No I/O, no clock, no thread.
+/// Decisions of the request path: admission, queueing, routing and retries.
+/// This package does no I/O, reads no clock and starts no threads.
 
 #include <springstair/detail/policy/admission.hpp>
 #include <springstair/detail/policy/fleet_limits.hpp>
--- a/packages/policy/src/router.cpp
+++ b/packages/policy/src/router.cpp
@@ -15,7 +15,8 @@
     return std::uniform_int_distribution<std::size_t>(0, below - 1)(random);
 }
 
-// The least loaded of a few members of a group, drawn without repetition.
+// The least loaded of sample_size members of a group, drawn without
+// replacement.
 std::size_t best_of_few(std::vector<std::size_t> group,
                         std::span<const route_candidate> from,
                         random_source& random)
@@ -126,7 +127,7 @@
     route_candidate candidate;
     if (kind == class_kind::latency_critical)
     {
-        // Only what fits into the shared slots can be in the way.
+        // Other requests can occupy at most the slots that are not reserved.
         const std::int64_t used = critical + std::min(other, slots - kept);
         candidate.load = static_cast<double>(used) / static_cast<double>(slots);
         candidate.room = used < slots;
--- a/packages/store/include/springstair/detail/store/etcd_client.hpp
+++ b/packages/store/include/springstair/detail/store/etcd_client.hpp
@@ -12,10 +12,10 @@
 namespace springstair
 {
 
-/// @brief Called once for each call, on a client's thread.
+/// @brief Callback, invoked exactly once per call on an HTTP client thread.
 using kv_completion = std::function<void(kv_answer)>;
 
-/// @brief Anything that carries out store operations.
+/// @brief A type that executes store operations asynchronously.
 template <class Store>
 concept key_value_store = requires(Store& store, kv_operation operation,
                                    kv_completion done)
@@ -23,21 +23,23 @@
     store.send(std::move(operation), std::move(done));
 };
 
-/// @brief Where the store is and how long to wait for it.
+/// @brief Endpoints and timeout of the store.
 struct etcd_options
 {
-    std::vector<std::string> endpoints; ///< `ip:port`, tried in turn
+    /// `ip:port`; after an unanswered call, the next call uses the next one.
+    std::vector<std::string> endpoints;
     duration timeout = std::chrono::seconds(2);
 };
 
-/// @brief The store behind etcd v3's JSON gateway.
+/// @brief Client of the store through the etcd v3 JSON gateway.
 class etcd_client
 {
 public:
-    /// @param client carries the calls; must outlive this
+    /// @param client HTTP client for the calls; must outlive this object
+    /// @param options endpoints and timeout
     etcd_client(http_client& client, etcd_options options);
 
-    /// @brief Makes one call, once; it is never repeated by itself.
+    /// @brief Sends one operation; it is never retried automatically.
     void send(const kv_operation& operation, kv_completion done);
 
 private:
--- a/packages/store/include/springstair/detail/store/operations.hpp
+++ b/packages/store/include/springstair/detail/store/operations.hpp
@@ -10,10 +10,10 @@
 namespace springstair
 {
 
-/// @brief A condition of a transaction.
+/// @brief A condition of a transaction: a number of a key equals a value.
 struct kv_compare
 {
-    /// @brief Which number of a key is compared.
+    /// @brief The compared number of the key.
     enum class number : std::uint8_t
     {
         version, ///< 0: the key does not exist
@@ -33,22 +33,22 @@
 {
     std::string key;
     std::string value;
-    std::int64_t lease = 0; ///< 0: none
+    std::int64_t lease = 0; ///< attached lease; 0: none
 
     bool operator==(const kv_put&) const = default;
 };
 
-/// @brief One key, or all that begin with it.
+/// @brief One key, or all keys with this prefix.
 struct kv_range
 {
     std::string key;
     bool prefix = false;
-    std::int64_t min_mod_revision = 0; ///< older items are left out
+    std::int64_t min_mod_revision = 0; ///< older items are omitted
 
     bool operator==(const kv_range&) const = default;
 };
 
-/// @brief Puts and deletes that happen together, or not at all.
+/// @brief Puts and deletes, applied atomically if all conditions hold.
 struct kv_transaction
 {
     std::vector<kv_compare> compares;
@@ -58,7 +58,7 @@
     bool operator==(const kv_transaction&) const = default;
 };
 
-/// @brief Asks for a lease.
+/// @brief Requests a new lease.
 struct kv_grant
 {
     std::int64_t ttl_seconds = 0;
@@ -72,11 +72,11 @@
     bool operator==(const kv_keep_alive&) const = default;
 };
 
-/// @brief One call to the store.
+/// @brief An operation on the store.
 using kv_operation =
     std::variant<kv_range, kv_transaction, kv_grant, kv_keep_alive>;
 
-/// @brief A key with its value.
+/// @brief A key, its value and its revisions.
 struct kv_item
 {
     std::string key;
@@ -87,31 +87,31 @@
     bool operator==(const kv_item&) const = default;
 };
 
-/// @brief What came of a call.
+/// @brief Result of a call.
 struct kv_answer
 {
-    /// @brief Whether the call was carried out.
+    /// @brief Whether the operation was executed.
     enum class state : std::uint8_t
     {
         done,
-        not_done, ///< certainly without effect
-        unknown   ///< its answer was lost; it may take effect, even later
+        not_done, ///< has certainly no effect
+        unknown   ///< no usable answer; it may take effect, even later
     };
 
     state how = state::unknown;
-    bool succeeded = false;    ///< a transaction's conditions held
-    std::int64_t revision = 0; ///< of the store, when it answered
+    bool succeeded = false;    ///< the transaction's conditions held
+    std::int64_t revision = 0; ///< of the store at the time of the answer
     std::int64_t lease = 0;
-    std::int64_t ttl_seconds = 0; ///< 0 for a lease that has lapsed
+    std::int64_t ttl_seconds = 0; ///< 0: the lease has expired
     std::vector<kv_item> items;
 
     bool operator==(const kv_answer&) const = default;
 };
 
-/// @brief Names a call among those of its sender.
+/// @brief Id of a call, unique for its sender.
 using store_token = std::uint64_t;
 
-/// @brief Ask the store; an action of the state machines.
+/// @brief A call to the store, as an action of a state machine.
 struct store_call
 {
     store_token token = 0;
@@ -120,23 +120,23 @@
     bool operator==(const store_call&) const = default;
 };
 
-/// @brief A JSON gateway's path and body for an operation.
+/// @brief An operation in the form of the JSON gateway.
 struct gateway_call
 {
     std::string path;
     json body;
 };
 
-/// @brief Writes an operation for the gateway.
+/// @brief Converts an operation to the gateway's form.
 gateway_call to_gateway(const kv_operation& operation);
 
-/// @brief Reads the gateway's answer to an operation.
-/// @throw nlohmann's exceptions if it has not the published shape
+/// @brief Parses the gateway's answer to an operation.
+/// @throw nlohmann's exceptions if it does not have the published format
 kv_answer from_gateway(const kv_operation& operation, const json& body);
 
-/// @brief Base64 with padding.
+/// @brief Encodes in base64 with padding.
 std::string to_base64(std::string_view text);
-/// @brief The inverse of to_base64(); empty for a text that is not base64.
+/// @brief Decodes base64; returns an empty string if @p text is not base64.
 std::string from_base64(std::string_view text);
 
 } // namespace springstair
--- a/packages/store/src/etcd_client.cpp
+++ b/packages/store/src/etcd_client.cpp
@@ -65,7 +65,7 @@
         {
             if (result.how != delivery::answered)
             {
-                ++current_; // the next call tries the next one
+                ++current_; // the next call uses the next endpoint
             }
             done(read_answer(operation, result));
         });
--- a/packages/store/src/operations.cpp
+++ b/packages/store/src/operations.cpp
@@ -11,7 +11,8 @@
 constexpr std::size_t base64_group = 4;
 constexpr std::size_t base64_bytes = 3;
 
-// The first key after all that begin with this prefix.
+// The first key after all keys with this prefix, or a zero byte (no upper
+// bound) if there is none.
 std::string end_of_prefix(std::string prefix)
 {
     while (!prefix.empty() && static_cast<unsigned char>(prefix.back()) == 0xff)
@@ -91,7 +92,7 @@
     return body;
 }
 
-// The gateway writes 64-bit numbers as texts and leaves zeros out.
+// The gateway writes 64-bit numbers as strings and omits zeros.
 std::int64_t number_in(const json& object, const char* key)
 {
     const auto found = object.find(key);
