--- a/packages/core/include/springstair/detail/core/metrics.hpp
+++ b/packages/core/include/springstair/detail/core/metrics.hpp
@@ -27,10 +27,11 @@
 
     /// @brief Adds @p value, in seconds, to the histogram @p name of a class.
     /// Thread-safe.
-    void observe(std::string_view name, const class_name& of, duration value);
+    void observe(std::string_view name, const class_name& work_class,
+                 duration value);
     /// @brief Increments the counter @p name of a class and reason, such as
     /// refusals by reason.
-    void count(std::string_view name, const class_name& of,
+    void count(std::string_view name, const class_name& work_class,
                std::string_view reason);
     /// @brief Sets the process-wide gauge @p name.
     void set(std::string_view name, double value);
--- a/packages/core/include/springstair/detail/core/names.hpp
+++ b/packages/core/include/springstair/detail/core/names.hpp
@@ -20,16 +20,16 @@
 
 /// @brief Serializes a name as a plain JSON string.
 template <class Json, class Tag>
-void to_json(Json& to, const named<Tag>& from)
+void to_json(Json& out, const named<Tag>& name)
 {
-    to = from.value;
+    out = name.value;
 }
 
 /// @copydoc to_json
 template <class Json, class Tag>
-void from_json(const Json& from, named<Tag>& to)
+void from_json(const Json& in, named<Tag>& name)
 {
-    from.get_to(to.value);
+    in.get_to(name.value);
 }
 
 /// @brief Name of an entry process, from its settings.
--- a/packages/core/src/events.cpp
+++ b/packages/core/src/events.cpp
@@ -210,7 +210,7 @@
 }
 
 // A pipe that poll() reports writable accepts PIPE_BUF bytes without blocking.
-bool output_takes_a_line() noexcept
+bool is_stdout_writable() noexcept
 {
     pollfd output{.fd = STDOUT_FILENO, .events = POLLOUT, .revents = 0};
     return poll(&output, 1, 0) == 1 && (output.revents & POLLOUT) != 0;
@@ -219,9 +219,9 @@
 struct log_state
 {
     std::mutex mutex;
-    log_rate_limiter budget;
+    log_rate_limiter rate_limiter;
     std::atomic<bool> started = false;
-    std::int64_t told = 0; ///< dropped lines already reported in the log
+    std::int64_t reported_dropped = 0; ///< dropped lines already logged
 };
 
 log_state& shared_log()
@@ -231,7 +231,7 @@
 }
 
 // Whether a line may be written, and how many were dropped since the last one.
-std::pair<bool, std::int64_t> admit_line()
+std::pair<bool, std::int64_t> admit_log_line()
 {
     log_state& log = shared_log();
     const std::lock_guard<std::mutex> lock(log.mutex);
@@ -239,13 +239,14 @@
     {
         return {true, 0}; // tests and tools: no rate limit
     }
-    if (!log.budget.admit(boot_clock::now(), output_takes_a_line()))
+    if (!log.rate_limiter.admit(boot_clock::now(), is_stdout_writable()))
     {
         return {false, 0};
     }
-    const std::int64_t missing = log.budget.dropped() - log.told;
-    log.told = log.budget.dropped();
-    return {true, missing};
+    const std::int64_t dropped =
+        log.rate_limiter.dropped() - log.reported_dropped;
+    log.reported_dropped = log.rate_limiter.dropped();
+    return {true, dropped};
 }
 
 std::string& process_name()
@@ -268,7 +269,7 @@
 
 void log_event(event_id id, std::span<const event_field> fields)
 {
-    const auto [admitted, missing] = admit_line();
+    const auto [admitted, dropped] = admit_log_line();
     if (!admitted)
     {
         return;
@@ -282,9 +283,9 @@
     {
         line[std::string(field.name)] = field.value;
     }
-    if (missing > 0)
+    if (dropped > 0)
     {
-        line["lines_left_out_before"] = missing;
+        line["lines_left_out_before"] = dropped;
     }
     const std::string text = line.dump(
         -1, ' ', false, nlohmann::ordered_json::error_handler_t::replace);
@@ -300,7 +301,7 @@
 std::int64_t dropped_log_lines() noexcept
 {
     const std::lock_guard<std::mutex> lock(shared_log().mutex);
-    return shared_log().budget.dropped();
+    return shared_log().rate_limiter.dropped();
 }
 
 void start_log(const std::string& process)
--- a/packages/core/src/metrics.cpp
+++ b/packages/core/src/metrics.cpp
@@ -40,18 +40,18 @@
     std::map<counter_key, prometheus::Counter*> counters;
     std::map<std::string, prometheus::Gauge*> gauges;
 
-    class_name bounded(const class_name& of)
+    class_name bounded_label(const class_name& work_class)
     {
-        if (classes.contains(of))
+        if (classes.contains(work_class))
         {
-            return of;
+            return work_class;
         }
         if (classes.size() >= max_classes)
         {
             return {.workspace = "other", .work_class = "other"};
         }
-        classes.insert(of);
-        return of;
+        classes.insert(work_class);
+        return work_class;
     }
 };
 
@@ -59,11 +59,11 @@
 
 metrics::~metrics() = default;
 
-void metrics::observe(std::string_view name, const class_name& of,
+void metrics::observe(std::string_view name, const class_name& work_class,
                       duration value)
 {
     const absl::MutexLock lock(&state_->mutex);
-    const class_name label = state_->bounded(of);
+    const class_name label = state_->bounded_label(work_class);
     auto& histogram = state_->histograms[{std::string(name), label}];
     if (histogram == nullptr)
     {
@@ -77,11 +77,11 @@
     histogram->Observe(to_seconds(value));
 }
 
-void metrics::count(std::string_view name, const class_name& of,
+void metrics::count(std::string_view name, const class_name& work_class,
                     std::string_view reason)
 {
     const absl::MutexLock lock(&state_->mutex);
-    const class_name label = state_->bounded(of);
+    const class_name label = state_->bounded_label(work_class);
     auto& counter =
         state_->counters[{std::string(name), label, std::string(reason)}];
     if (counter == nullptr)
--- a/packages/core/src/object_reader.cpp
+++ b/packages/core/src/object_reader.cpp
@@ -87,22 +87,22 @@
                                     number_range range)
 {
     const json* value = member(key);
-    const std::int64_t otherwise = fallback.value_or(range.least);
+    const std::int64_t default_value = fallback.value_or(range.least);
     if (value == nullptr)
     {
         if (!fallback)
         {
             report(key, "is required");
         }
-        return otherwise;
+        return default_value;
     }
-    const bool whole = value->is_number_integer();
-    if (!whole || value->get<std::int64_t>() < range.least ||
+    const bool is_integer = value->is_number_integer();
+    if (!is_integer || value->get<std::int64_t>() < range.least ||
         value->get<std::int64_t>() > range.most)
     {
         report(key, "must be an integer from " + std::to_string(range.least) +
                         " to " + std::to_string(range.most));
-        return otherwise;
+        return default_value;
     }
     return value->get<std::int64_t>();
 }
@@ -139,29 +139,29 @@
 
 std::vector<std::string> object_reader::texts(std::string_view key)
 {
-    std::vector<std::string> all;
+    std::vector<std::string> elements;
     const json* value = member(key);
     if (value == nullptr)
     {
-        return all;
+        return elements;
     }
     if (!value->is_array())
     {
         report(key, "must be an array of strings");
-        return all;
+        return elements;
     }
     for (std::size_t index = 0; index < value->size(); ++index)
     {
         const json& element = (*value)[index];
         if (element.is_string())
         {
-            all.push_back(element.get<std::string>());
+            elements.push_back(element.get<std::string>());
             continue;
         }
         out_.push_back({.place = place_of(key) + "/" + std::to_string(index),
                         .message = "must be a string"});
     }
-    return all;
+    return elements;
 }
 
 void object_reader::reject_unknown()
--- a/packages/membership/include/springstair/detail/membership/messages.hpp
+++ b/packages/membership/include/springstair/detail/membership/messages.hpp
@@ -23,8 +23,8 @@
 
     bool operator==(const resources&) const = default;
 
-    /// @brief Whether this amount is at most @p room in every dimension.
-    [[nodiscard]] bool fits(const resources& room) const noexcept;
+    /// @brief Whether this amount is at most @p available in every dimension.
+    [[nodiscard]] bool fits(const resources& available) const noexcept;
     resources& operator+=(const resources& other) noexcept;
     resources& operator-=(const resources& other) noexcept;
 };
--- a/packages/membership/src/messages.cpp
+++ b/packages/membership/src/messages.cpp
@@ -5,10 +5,11 @@
 namespace springstair
 {
 
-bool resources::fits(const resources& room) const noexcept
+bool resources::fits(const resources& available) const noexcept
 {
-    return cpu_millis <= room.cpu_millis && memory_mb <= room.memory_mb &&
-           accelerators <= room.accelerators;
+    return cpu_millis <= available.cpu_millis &&
+           memory_mb <= available.memory_mb &&
+           accelerators <= available.accelerators;
 }
 
 resources& resources::operator+=(const resources& other) noexcept
--- a/packages/policy/include/springstair/detail/policy/admission.hpp
+++ b/packages/policy/include/springstair/detail/policy/admission.hpp
@@ -38,7 +38,7 @@
     bool reserve = true;
     /// Slot time by which a workspace may exceed its fair share before its
     /// latency-critical work loses its precedence.
-    duration critical_lead = std::chrono::seconds(1);
+    duration max_critical_lead = std::chrono::seconds(1);
 };
 
 /// @brief Assigns the slots of one executor.
@@ -104,23 +104,23 @@
     };
     struct held_slot
     {
-        class_name of;
+        class_name work_class;
         bool critical = false;
     };
     struct choice
     {
         workspace_lane* workspace = nullptr;
         class_lane* lane = nullptr;
-        class_name of;
+        class_name work_class;
         bool precedence = false;
     };
 
     [[nodiscard]] bool is_critical(const class_name& name) const;
     [[nodiscard]] std::int64_t reserved() const noexcept;
-    [[nodiscard]] std::int64_t open_to(bool critical) const noexcept;
+    [[nodiscard]] std::int64_t slots_open_to(bool critical) const noexcept;
     [[nodiscard]] bool may_start(bool critical) const noexcept;
-    [[nodiscard]] bool lane_open(const class_name& name,
-                                 const class_lane& lane) const;
+    [[nodiscard]] bool is_below_class_limit(const class_name& name,
+                                            const class_lane& lane) const;
     class_lane& lane_of(const class_name& name);
     void release(const attempt_name& attempt);
     [[nodiscard]] double min_virtual_time() const;
--- a/packages/policy/include/springstair/detail/policy/fleet_limits.hpp
+++ b/packages/policy/include/springstair/detail/policy/fleet_limits.hpp
@@ -17,9 +17,9 @@
     /// this time.
     duration lease = std::chrono::milliseconds(1500);
     /// A lender that receives no answer counts units as lent for this time.
-    duration lender_wait = std::chrono::seconds(4);
+    duration lender_timeout = std::chrono::seconds(4);
     /// The quota of a departed entry stays unused for this time.
-    duration departure_wait = std::chrono::seconds(5);
+    duration departure_delay = std::chrono::seconds(5);
     /// Window of the peak use that is considered when units are offered.
     duration peak_window = std::chrono::seconds(1);
     /// Maximum burst, as seconds of requests at the rate limit.
@@ -31,7 +31,7 @@
 /// Each limit is split evenly among the live entries. An entry with spare
 /// units lends them to an entry that wants more. It counts them as its own
 /// again only after the borrower has reported that it no longer uses them, or
-/// after @a lender_wait without an answer. So the sum of all parts does not
+/// after @a lender_timeout without an answer. So the sum of all parts does not
 /// exceed the limit while the entries agree on the set of members.
 class fleet_limits
 {
@@ -97,13 +97,13 @@
 
     [[nodiscard]] std::int64_t even_quota(std::int64_t limit) const;
     [[nodiscard]] std::int64_t limit_of(const std::string& workspace) const;
-    [[nodiscard]] std::int64_t own_part(const usage& of,
-                                        std::int64_t limit) const;
-    static std::int64_t borrowed_now(time_point now, const usage& of);
-    void note_use(time_point now, usage& of) const;
-    std::optional<duration> take_rate(time_point now, usage& of,
-                                      std::int64_t rate) const;
-    void expire_loans(time_point now, usage& of) const;
+    [[nodiscard]] std::int64_t own_quota(const usage& use,
+                                         std::int64_t limit) const;
+    static std::int64_t borrowed_units_at(time_point now, const usage& use);
+    void update_peak(time_point now, usage& use) const;
+    std::optional<duration> take_rate_token(time_point now, usage& use,
+                                            std::int64_t rate) const;
+    void expire_loans(time_point now, usage& use) const;
 
     std::string self_;
     fleet_limit_options options_;
--- a/packages/policy/include/springstair/detail/policy/outlier_detector.hpp
+++ b/packages/policy/include/springstair/detail/policy/outlier_detector.hpp
@@ -42,7 +42,7 @@
     /// @brief Records the result of a request.
     /// @param known number of known guards
     outlier_change record(time_point now, const guard_name& guard,
-                          const class_name& of, bool success,
+                          const class_name& work_class, bool success,
                           std::size_t known);
     /// @brief Whether a request may be sent to the guard now. Only a
     /// repeatable request may be a probe.
@@ -55,28 +55,28 @@
     void returned(const guard_name& guard);
     /// @brief Clears the state of a guard, after its process restarted.
     void forget(const guard_name& guard);
-    /// @brief Guards that are ejected, including those being probed.
+    /// @brief Guards that are ejected, including those being probe_sent_at.
     [[nodiscard]] std::set<guard_name> ejected() const;
 
 private:
-    struct record_of_guard
+    struct guard_record
     {
         int failures = 0;
         int ejections = 0;
         bool ejected = false;
         bool probing = false;
-        time_point probed; ///< a probe without a result is ignored after
-                           ///< max_ejection
-        time_point until;  ///< no probe before
+        time_point probe_sent_at; ///< a probe without a result is ignored after
+                                  ///< max_ejection
+        time_point ejected_until; ///< no probe before
     };
 
-    [[nodiscard]] bool class_is_bad(const class_name& of) const;
-    void learn_class(const class_name& of, bool success);
+    [[nodiscard]] bool is_failing_class(const class_name& work_class) const;
+    void update_class_failures(const class_name& work_class, bool success);
     [[nodiscard]] bool may_eject(std::size_t known) const;
-    void eject(time_point now, record_of_guard& record) const;
+    void eject(time_point now, guard_record& record) const;
 
     outlier_options options_;
-    std::map<guard_name, record_of_guard> guards_;
+    std::map<guard_name, guard_record> guards_;
     std::map<class_name, double> class_failures_;
 };
 
--- a/packages/policy/include/springstair/detail/policy/router.hpp
+++ b/packages/policy/include/springstair/detail/policy/router.hpp
@@ -57,7 +57,7 @@
     static constexpr std::size_t sample_size = 3;
 
     /// @brief Index of the picked candidate; empty if there are none. O(n)
-    std::optional<std::size_t> pick(std::span<const route_candidate> from,
+    std::optional<std::size_t> pick(std::span<const route_candidate> candidates,
                                     random_source& random) const;
 };
 
@@ -66,7 +66,7 @@
 {
 public:
     /// @copydoc sampled_router::pick
-    std::optional<std::size_t> pick(std::span<const route_candidate> from,
+    std::optional<std::size_t> pick(std::span<const route_candidate> candidates,
                                     random_source& random) const;
 };
 
@@ -75,7 +75,7 @@
 {
 public:
     /// @copydoc sampled_router::pick
-    std::optional<std::size_t> pick(std::span<const route_candidate> from,
+    std::optional<std::size_t> pick(std::span<const route_candidate> candidates,
                                     random_source& random) const;
 };
 
--- a/packages/policy/src/admission.cpp
+++ b/packages/policy/src/admission.cpp
@@ -9,9 +9,10 @@
 namespace
 {
 
-constexpr double learning_rate = 0.1;
-constexpr double min_service = 0.001;
-constexpr double deadline_share = 0.5;
+constexpr double service_learning_rate = 0.1;
+constexpr double min_service_seconds = 0.001;
+// Share of the mean service time that must fit before a request's deadline.
+constexpr double min_service_share = 0.5;
 constexpr duration min_retry_delay = std::chrono::milliseconds(100);
 constexpr duration max_retry_delay = std::chrono::seconds(5);
 
@@ -60,7 +61,7 @@
     return std::min(table_.reserved_slots(), options_.slots - 1);
 }
 
-std::int64_t admission::open_to(bool critical) const noexcept
+std::int64_t admission::slots_open_to(bool critical) const noexcept
 {
     return critical ? options_.slots : options_.slots - reserved();
 }
@@ -76,7 +77,7 @@
     {
         return false;
     }
-    return critical || running_other_ + orphans_ < open_to(false);
+    return critical || running_other_ + orphans_ < slots_open_to(false);
 }
 
 void admission::release(const attempt_name& attempt)
@@ -88,7 +89,7 @@
     }
     const held_slot& slot = found->second;
     --(slot.critical ? running_critical_ : running_other_);
-    --lane_of(slot.of).running;
+    --lane_of(slot.work_class).running;
     held_.erase(found);
 }
 
@@ -104,9 +105,9 @@
     {
         return;
     }
-    class_lane& lane = lane_of(found->second.of);
-    const double sample = std::max(min_service, to_seconds(service));
-    lane.service += learning_rate * (sample - lane.service);
+    class_lane& lane = lane_of(found->second.work_class);
+    const double sample = std::max(min_service_seconds, to_seconds(service));
+    lane.service += service_learning_rate * (sample - lane.service);
     release(attempt);
 }
 
@@ -117,9 +118,10 @@
                        .running_other = running_other_ + orphans_};
     for (const auto& [name, workspace] : lanes_)
     {
-        for (const auto& [of, lane] : workspace.classes)
+        for (const auto& [work_class, lane] : workspace.classes)
         {
-            (is_critical(of) ? report.queued_critical : report.queued_other) +=
+            (is_critical(work_class) ? report.queued_critical
+                                     : report.queued_other) +=
                 static_cast<std::int64_t>(lane.waiting.size());
         }
     }
@@ -140,14 +142,14 @@
     double ahead = 0;
     for (const auto& [name, workspace] : lanes_)
     {
-        for (const auto& [of, lane] : workspace.classes)
+        for (const auto& [work_class, lane] : workspace.classes)
         {
-            const bool goes_before = !critical || is_critical(of);
+            const bool goes_before = !critical || is_critical(work_class);
             const auto waiting = static_cast<double>(lane.waiting.size());
             ahead += goes_before ? waiting * lane.service : 0;
         }
     }
-    const auto slots = static_cast<double>(open_to(critical));
+    const auto slots = static_cast<double>(slots_open_to(critical));
     return from_seconds(ahead / std::max(1.0, slots));
 }
 
@@ -163,7 +165,8 @@
     }
     const bool critical = is_critical(request.of);
     class_lane& lane = lane_of(request.of);
-    const bool at_once = may_start(critical) && lane_open(request.of, lane) &&
+    const bool at_once = may_start(critical) &&
+                         is_below_class_limit(request.of, lane) &&
                          lane.waiting.empty();
     const duration wait = at_once ? duration{0} : backlog(critical);
     if (!at_once && !request.may_wait)
@@ -179,7 +182,8 @@
                             .reason = refusal::queue_full,
                             .retry_after = bounded_retry(wait)};
     }
-    const duration needed = wait + from_seconds(lane.service * deadline_share);
+    const duration needed =
+        wait + from_seconds(lane.service * min_service_share);
     if (now + needed > request.deadline)
     {
         return slot_refusal{.request = request,
@@ -192,7 +196,8 @@
     return std::nullopt;
 }
 
-bool admission::lane_open(const class_name& name, const class_lane& lane) const
+bool admission::is_below_class_limit(const class_name& name,
+                                     const class_lane& lane) const
 {
     const class_row* const row = table_.find(name);
     return row == nullptr || row->max_in_flight == 0 ||
@@ -225,7 +230,7 @@
     {
         const bool critical = is_critical(name);
         if (lane.waiting.empty() || !may_start(critical) ||
-            !lane_open(name, lane))
+            !is_below_class_limit(name, lane))
         {
             continue;
         }
@@ -237,7 +242,7 @@
         {
             best = choice{.workspace = &workspace,
                           .lane = &lane,
-                          .of = name,
+                          .work_class = name,
                           .precedence = first};
         }
     }
@@ -246,7 +251,8 @@
 
 std::optional<admission::choice> admission::choose()
 {
-    const double lead = min_virtual_time() + to_seconds(options_.critical_lead);
+    const double lead =
+        min_virtual_time() + to_seconds(options_.max_critical_lead);
     std::optional<choice> best;
     for (auto& [name, workspace] : lanes_)
     {
@@ -273,9 +279,9 @@
     class_lane& lane = *chosen.lane;
     slot_request request = std::move(lane.waiting.front());
     lane.waiting.pop_front();
-    const bool critical = is_critical(chosen.of);
-    const workspace_row* const row = table_.find(chosen.of.workspace);
-    const class_row* const class_cells = table_.find(chosen.of);
+    const bool critical = is_critical(chosen.work_class);
+    const workspace_row* const row = table_.find(chosen.work_class.workspace);
+    const class_row* const class_cells = table_.find(chosen.work_class);
     const double weight = row == nullptr ? 1 : row->weight;
     const double class_weight =
         class_cells == nullptr ? 1 : class_cells->weight;
@@ -284,7 +290,8 @@
     lane.virtual_time += lane.service / class_weight;
     ++(critical ? running_critical_ : running_other_);
     ++lane.running;
-    held_[request.attempt] = {.of = chosen.of, .critical = critical};
+    held_[request.attempt] = {.work_class = chosen.work_class,
+                              .critical = critical};
     return request;
 }
 
@@ -303,25 +310,26 @@
     std::vector<slot_refusal> refused;
     for (auto& [name, workspace] : lanes_)
     {
-        for (auto& [of, lane] : workspace.classes)
+        for (auto& [work_class, lane] : workspace.classes)
         {
-            const bool critical = is_critical(of);
-            const duration needed = from_seconds(lane.service * deadline_share);
+            const bool critical = is_critical(work_class);
+            const duration needed =
+                from_seconds(lane.service * min_service_share);
             const duration wait = bounded_retry(backlog(critical));
-            auto late = [&](const slot_request& request)
+            auto is_late = [&](const slot_request& request)
             {
                 return now + needed > request.deadline;
             };
             for (const slot_request& request : lane.waiting)
             {
-                if (late(request))
+                if (is_late(request))
                 {
                     refused.push_back({.request = request,
                                        .reason = refusal::deadline,
                                        .retry_after = wait});
                 }
             }
-            std::erase_if(lane.waiting, late);
+            std::erase_if(lane.waiting, is_late);
         }
     }
     return refused;
--- a/packages/policy/src/fleet_limits.cpp
+++ b/packages/policy/src/fleet_limits.cpp
@@ -9,8 +9,8 @@
 namespace
 {
 
-constexpr duration retry_when_full = std::chrono::milliseconds(200);
-constexpr std::int64_t headroom = 1;
+constexpr duration retry_delay_at_limit = std::chrono::milliseconds(200);
+constexpr std::int64_t spare_margin = 1; // units that are never lent
 
 } // namespace
 
@@ -42,7 +42,7 @@
     std::erase_if(departed_,
                   [&](const auto& item)
                   {
-                      if (now - item.second < options_.departure_wait)
+                      if (now - item.second < options_.departure_delay)
                       {
                           return false;
                       }
@@ -69,20 +69,20 @@
     return row == nullptr ? 0 : row->max_in_flight;
 }
 
-std::int64_t fleet_limits::own_part(const usage& of, std::int64_t limit) const
+std::int64_t fleet_limits::own_quota(const usage& use, std::int64_t limit) const
 {
     std::int64_t units = even_quota(limit);
-    for (const auto& [peer, loan] : of.lent)
+    for (const auto& [peer, loan] : use.lent)
     {
         units -= loan.counted;
     }
     return units;
 }
 
-std::int64_t fleet_limits::borrowed_now(time_point now, const usage& of)
+std::int64_t fleet_limits::borrowed_units_at(time_point now, const usage& use)
 {
     std::int64_t units = 0;
-    for (const auto& [peer, borrowed] : of.borrowed)
+    for (const auto& [peer, borrowed] : use.borrowed)
     {
         units += now < borrowed.until ? borrowed.units : 0;
     }
@@ -98,7 +98,8 @@
     {
         return even_quota(limit);
     }
-    return own_part(found->second, limit) + borrowed_now(now, found->second);
+    return own_quota(found->second, limit) +
+           borrowed_units_at(now, found->second);
 }
 
 std::int64_t fleet_limits::in_flight(const std::string& workspace) const
@@ -111,60 +112,61 @@
 // Requests
 // ---------------------------------------------------------------------------
 
-void fleet_limits::note_use(time_point now, usage& of) const
+void fleet_limits::update_peak(time_point now, usage& use) const
 {
-    if (now - of.peak_since > options_.peak_window)
+    if (now - use.peak_since > options_.peak_window)
     {
-        of.peak = of.in_flight;
-        of.refused = 0;
-        of.peak_since = now;
+        use.peak = use.in_flight;
+        use.refused = 0;
+        use.peak_since = now;
     }
-    of.peak = std::max(of.peak, of.in_flight);
+    use.peak = std::max(use.peak, use.in_flight);
 }
 
-std::optional<duration> fleet_limits::take_rate(time_point now, usage& of,
-                                                std::int64_t rate) const
+std::optional<duration> fleet_limits::take_rate_token(time_point now,
+                                                      usage& use,
+                                                      std::int64_t rate) const
 {
     const double part =
         static_cast<double>(rate) / static_cast<double>(members_.size());
-    const double most = std::max(1.0, part * options_.burst_seconds);
-    if (of.rate_tokens < 0)
+    const double burst = std::max(1.0, part * options_.burst_seconds);
+    if (use.rate_tokens < 0)
     {
-        of.rate_tokens = most;
-        of.rate_filled = now;
+        use.rate_tokens = burst;
+        use.rate_filled = now;
     }
-    const double refill = to_seconds(now - of.rate_filled) * part;
-    of.rate_tokens = std::min(most, of.rate_tokens + refill);
-    of.rate_filled = now;
-    if (of.rate_tokens < 1)
+    const double refill = to_seconds(now - use.rate_filled) * part;
+    use.rate_tokens = std::min(burst, use.rate_tokens + refill);
+    use.rate_filled = now;
+    if (use.rate_tokens < 1)
     {
-        return from_seconds((1 - of.rate_tokens) / part);
+        return from_seconds((1 - use.rate_tokens) / part);
     }
-    of.rate_tokens -= 1;
+    use.rate_tokens -= 1;
     return std::nullopt;
 }
 
 std::optional<duration> fleet_limits::admit(time_point now,
                                             const std::string& workspace)
 {
-    usage& of = usage_[workspace];
-    note_use(now, of);
+    usage& use = usage_[workspace];
+    update_peak(now, use);
     const workspace_row* const row = table_.find(workspace);
     const bool limited = row != nullptr && row->max_in_flight > 0;
-    if (limited && of.in_flight >= part(now, workspace))
+    if (limited && use.in_flight >= part(now, workspace))
     {
-        ++of.refused;
-        return retry_when_full;
+        ++use.refused;
+        return retry_delay_at_limit;
     }
     if (row != nullptr && row->max_rate > 0)
     {
-        if (const auto wait = take_rate(now, of, row->max_rate))
+        if (const auto wait = take_rate_token(now, use, row->max_rate))
         {
             return wait;
         }
     }
-    ++of.in_flight;
-    note_use(now, of);
+    ++use.in_flight;
+    update_peak(now, use);
     return std::nullopt;
 }
 
@@ -180,14 +182,15 @@
 unit_map fleet_limits::wants(time_point now) const
 {
     unit_map wanted;
-    for (const auto& [workspace, of] : usage_)
+    for (const auto& [workspace, use] : usage_)
     {
         const std::int64_t limit = limit_of(workspace);
-        if (limit == 0 || now - of.peak_since > 2 * options_.peak_window)
+        if (limit == 0 || now - use.peak_since > 2 * options_.peak_window)
         {
             continue;
         }
-        const std::int64_t more = of.peak + of.refused - own_part(of, limit);
+        const std::int64_t more =
+            use.peak + use.refused - own_quota(use, limit);
         if (more > 0)
         {
             wanted[workspace] = std::min(more, limit);
@@ -196,38 +199,38 @@
     return wanted;
 }
 
-void fleet_limits::expire_loans(time_point now, usage& of) const
+void fleet_limits::expire_loans(time_point now, usage& use) const
 {
-    std::erase_if(of.lent, [&](const auto& item)
-                  { return now - item.second.sent > options_.lender_wait; });
+    std::erase_if(use.lent, [&](const auto& item)
+                  { return now - item.second.sent > options_.lender_timeout; });
 }
 
 unit_map fleet_limits::offer(time_point now, const std::string& peer,
                              const unit_map& wanted)
 {
     unit_map offered;
-    for (auto& [workspace, of] : usage_)
+    for (auto& [workspace, use] : usage_)
     {
-        expire_loans(now, of);
+        expire_loans(now, use);
     }
     for (const auto& [workspace, row_units] : wanted)
     {
         usage_.try_emplace(workspace);
     }
-    for (auto& [workspace, of] : usage_)
+    for (auto& [workspace, use] : usage_)
     {
         const std::int64_t limit = limit_of(workspace);
         const auto asked = wanted.find(workspace);
         const std::int64_t want = asked == wanted.end() ? 0 : asked->second;
-        const auto known = of.lent.find(peer);
-        if (limit == 0 || (want == 0 && known == of.lent.end()))
+        const auto known = use.lent.find(peer);
+        if (limit == 0 || (want == 0 && known == use.lent.end()))
         {
             continue;
         }
-        note_use(now, of);
-        loan& to_peer = of.lent[peer];
-        const std::int64_t spare = own_part(of, limit) + to_peer.counted -
-                                   of.peak - of.refused - headroom;
+        update_peak(now, use);
+        loan& to_peer = use.lent[peer];
+        const std::int64_t spare = own_quota(use, limit) + to_peer.counted -
+                                   use.peak - use.refused - spare_margin;
         to_peer.offered =
             std::clamp<std::int64_t>(want, 0, std::max<std::int64_t>(spare, 0));
         to_peer.counted = std::max(to_peer.counted, to_peer.offered);
@@ -239,10 +242,10 @@
 
 void fleet_limits::settled(const std::string& peer, const unit_map& holds)
 {
-    for (auto& [workspace, of] : usage_)
+    for (auto& [workspace, use] : usage_)
     {
-        const auto found = of.lent.find(peer);
-        if (found == of.lent.end())
+        const auto found = use.lent.find(peer);
+        if (found == use.lent.end())
         {
             continue;
         }
@@ -253,7 +256,7 @@
             std::max(to_peer.offered, std::min(in_use, to_peer.counted));
         if (to_peer.counted == 0)
         {
-            of.lent.erase(found);
+            use.lent.erase(found);
         }
     }
 }
@@ -261,9 +264,9 @@
 void fleet_limits::borrow(time_point now, const std::string& peer,
                           const unit_map& lends)
 {
-    for (auto& [workspace, of] : usage_)
+    for (auto& [workspace, use] : usage_)
     {
-        of.borrowed.erase(peer);
+        use.borrowed.erase(peer);
     }
     for (const auto& [workspace, units] : lends)
     {
@@ -275,13 +278,13 @@
 unit_map fleet_limits::holds() const
 {
     unit_map held;
-    for (const auto& [workspace, of] : usage_)
+    for (const auto& [workspace, use] : usage_)
     {
-        const std::int64_t beyond =
-            of.in_flight - own_part(of, limit_of(workspace));
-        if (beyond > 0 && limit_of(workspace) > 0)
+        const std::int64_t excess =
+            use.in_flight - own_quota(use, limit_of(workspace));
+        if (excess > 0 && limit_of(workspace) > 0)
         {
-            held[workspace] = beyond;
+            held[workspace] = excess;
         }
     }
     return held;
--- a/packages/policy/src/outlier_detector.cpp
+++ b/packages/policy/src/outlier_detector.cpp
@@ -9,7 +9,7 @@
 {
 
 constexpr double class_learning_rate = 0.02;
-constexpr int max_doublings = 10;
+constexpr int max_doublings = 10; // of the ejection time
 
 } // namespace
 
@@ -17,43 +17,44 @@
 {
 }
 
-bool outlier_detector::class_is_bad(const class_name& of) const
+bool outlier_detector::is_failing_class(const class_name& work_class) const
 {
-    const auto found = class_failures_.find(of);
+    const auto found = class_failures_.find(work_class);
     return found != class_failures_.end() &&
            found->second > options_.bad_class_failures;
 }
 
-void outlier_detector::learn_class(const class_name& of, bool success)
+void outlier_detector::update_class_failures(const class_name& work_class,
+                                             bool success)
 {
-    double& rate = class_failures_[of];
+    double& rate = class_failures_[work_class];
     rate += class_learning_rate * ((success ? 0.0 : 1.0) - rate);
 }
 
 bool outlier_detector::may_eject(std::size_t known) const
 {
     const auto count = static_cast<double>(ejected().size());
-    const double most =
+    const double limit =
         std::max(1.0, options_.max_ejected * static_cast<double>(known));
-    return known > 1 && count + 1 <= most;
+    return known > 1 && count + 1 <= limit;
 }
 
-void outlier_detector::eject(time_point now, record_of_guard& record) const
+void outlier_detector::eject(time_point now, guard_record& record) const
 {
     const int doublings = std::min(record.ejections, max_doublings);
     const duration length = options_.first_ejection * (1 << doublings);
     record.ejected = true;
     record.probing = false;
-    record.until = now + std::min(length, options_.max_ejection);
+    record.ejected_until = now + std::min(length, options_.max_ejection);
     ++record.ejections;
 }
 
 outlier_change outlier_detector::record(time_point now, const guard_name& guard,
-                                        const class_name& of, bool success,
-                                        std::size_t known)
+                                        const class_name& work_class,
+                                        bool success, std::size_t known)
 {
-    learn_class(of, success);
-    record_of_guard& record = guards_[guard];
+    update_class_failures(work_class, success);
+    guard_record& record = guards_[guard];
     if (success)
     {
         const bool was_ejected = record.ejected && record.probing;
@@ -66,7 +67,7 @@
         }
         return outlier_change::none;
     }
-    if (class_is_bad(of))
+    if (is_failing_class(work_class))
     {
         record.probing = false;
         return outlier_change::none;
@@ -96,10 +97,10 @@
     {
         return true;
     }
-    const record_of_guard& record = found->second;
+    const guard_record& record = found->second;
     const bool probe_out =
-        record.probing && now - record.probed <= options_.max_ejection;
-    return repeatable && !probe_out && now >= record.until;
+        record.probing && now - record.probe_sent_at <= options_.max_ejection;
+    return repeatable && !probe_out && now >= record.ejected_until;
 }
 
 void outlier_detector::sent(time_point now, const guard_name& guard)
@@ -108,7 +109,7 @@
     if (found != guards_.end() && found->second.ejected)
     {
         found->second.probing = true;
-        found->second.probed = now;
+        found->second.probe_sent_at = now;
     }
 }
 
--- a/packages/policy/src/router.cpp
+++ b/packages/policy/src/router.cpp
@@ -17,9 +17,9 @@
 
 // The least loaded of sample_size members of a group, drawn without
 // replacement.
-std::size_t best_of_few(std::vector<std::size_t> group,
-                        std::span<const route_candidate> from,
-                        random_source& random)
+std::size_t least_loaded_of_sample(std::vector<std::size_t> group,
+                                   std::span<const route_candidate> candidates,
+                                   random_source& random)
 {
     const std::size_t few = std::min(group.size(), sampled_router::sample_size);
     for (std::size_t index = 0; index < few; ++index)
@@ -27,20 +27,20 @@
         std::swap(group[index],
                   group[index + draw(group.size() - index, random)]);
     }
-    return *std::min_element(group.begin(),
-                             group.begin() + static_cast<std::ptrdiff_t>(few),
-                             [&](std::size_t left, std::size_t right)
-                             { return from[left].load < from[right].load; });
+    return *std::min_element(
+        group.begin(), group.begin() + static_cast<std::ptrdiff_t>(few),
+        [&](std::size_t left, std::size_t right)
+        { return candidates[left].load < candidates[right].load; });
 }
 
 template <class Predicate>
-std::vector<std::size_t> members(std::span<const route_candidate> from,
-                                 Predicate wanted)
+std::vector<std::size_t> matching(std::span<const route_candidate> candidates,
+                                  Predicate wanted)
 {
     std::vector<std::size_t> found;
-    for (std::size_t index = 0; index < from.size(); ++index)
+    for (std::size_t index = 0; index < candidates.size(); ++index)
     {
-        if (wanted(from[index]))
+        if (wanted(candidates[index]))
         {
             found.push_back(index);
         }
@@ -51,50 +51,50 @@
 } // namespace
 
 std::optional<std::size_t>
-sampled_router::pick(std::span<const route_candidate> from,
+sampled_router::pick(std::span<const route_candidate> candidates,
                      random_source& random) const
 {
-    auto group = members(from, [](const auto& candidate)
-                         { return candidate.local && candidate.room; });
+    auto group = matching(candidates, [](const auto& candidate)
+                          { return candidate.local && candidate.room; });
     if (group.empty())
     {
-        group =
-            members(from, [](const auto& candidate) { return candidate.room; });
+        group = matching(candidates,
+                         [](const auto& candidate) { return candidate.room; });
     }
     if (group.empty())
     {
-        group = members(from, [](const auto&) { return true; });
+        group = matching(candidates, [](const auto&) { return true; });
     }
     if (group.empty())
     {
         return std::nullopt;
     }
-    return best_of_few(std::move(group), from, random);
+    return least_loaded_of_sample(std::move(group), candidates, random);
 }
 
 std::optional<std::size_t>
-random_router::pick(std::span<const route_candidate> from,
+random_router::pick(std::span<const route_candidate> candidates,
                     random_source& random) const
 {
-    if (from.empty())
+    if (candidates.empty())
     {
         return std::nullopt;
     }
-    return draw(from.size(), random);
+    return draw(candidates.size(), random);
 }
 
 std::optional<std::size_t>
-least_loaded_router::pick(std::span<const route_candidate> from,
+least_loaded_router::pick(std::span<const route_candidate> candidates,
                           random_source& /*random*/) const
 {
-    if (from.empty())
+    if (candidates.empty())
     {
         return std::nullopt;
     }
-    const auto least = std::min_element(from.begin(), from.end(),
+    const auto least = std::min_element(candidates.begin(), candidates.end(),
                                         [](const auto& left, const auto& right)
                                         { return left.load < right.load; });
-    return static_cast<std::size_t>(least - from.begin());
+    return static_cast<std::size_t>(least - candidates.begin());
 }
 
 std::optional<any_router> router_named(const std::string& name)
@@ -119,7 +119,7 @@
                                std::int64_t reserved)
 {
     const auto slots = std::max<std::int64_t>(1, load.slots);
-    const std::int64_t kept = std::min(reserved, slots - 1);
+    const std::int64_t reserved_slots = std::min(reserved, slots - 1);
     const std::int64_t critical = load.running_critical + load.queued_critical -
                                   load.own_critical + own.critical;
     const std::int64_t other =
@@ -128,16 +128,18 @@
     if (kind == class_kind::latency_critical)
     {
         // Other requests can occupy at most the slots that are not reserved.
-        const std::int64_t used = critical + std::min(other, slots - kept);
+        const std::int64_t used =
+            critical + std::min(other, slots - reserved_slots);
         candidate.load = static_cast<double>(used) / static_cast<double>(slots);
         candidate.room = used < slots;
         return candidate;
     }
-    const std::int64_t spill = std::max<std::int64_t>(0, critical - kept);
-    const std::int64_t used = other + spill;
+    const std::int64_t overflow =
+        std::max<std::int64_t>(0, critical - reserved_slots);
+    const std::int64_t used = other + overflow;
     candidate.load =
-        static_cast<double>(used) / static_cast<double>(slots - kept);
-    candidate.room = used < slots - kept;
+        static_cast<double>(used) / static_cast<double>(slots - reserved_slots);
+    candidate.room = used < slots - reserved_slots;
     return candidate;
 }
 
--- a/packages/store/src/etcd_client.cpp
+++ b/packages/store/src/etcd_client.cpp
@@ -10,9 +10,9 @@
 namespace
 {
 
-constexpr int good = 200;
-constexpr int client_errors = 400;
-constexpr int server_errors = 500;
+constexpr int http_ok = 200;
+constexpr int first_client_error = 400;
+constexpr int first_server_error = 500;
 
 kv_answer read_answer(const kv_operation& operation, const http_result& result)
 {
@@ -25,11 +25,11 @@
         return {.how = kv_answer::state::unknown};
     }
     const int status = result.response.status;
-    if (status >= client_errors && status < server_errors)
+    if (status >= first_client_error && status < first_server_error)
     {
         return {.how = kv_answer::state::not_done};
     }
-    if (status != good)
+    if (status != http_ok)
     {
         return {.how = kv_answer::state::unknown};
     }
--- a/packages/table/src/edit.cpp
+++ b/packages/table/src/edit.cpp
@@ -6,7 +6,7 @@
 namespace
 {
 
-constexpr std::size_t kept_writers = 64;
+constexpr std::size_t max_writers = 64;
 
 json member_or_null(const json& object, const std::string& key)
 {
@@ -14,7 +14,7 @@
     return found == object.end() ? json() : *found;
 }
 
-json present_value(const json& rows, const cell_edit& edit)
+json current_value(const json& rows, const cell_edit& edit)
 {
     json row = member_or_null(rows, edit.row);
     if (edit.column.empty() || row.is_null())
@@ -24,7 +24,7 @@
     return member_or_null(row, edit.column);
 }
 
-void store_value(json& object, const std::string& key, const json& value)
+void set_or_erase(json& object, const std::string& key, const json& value)
 {
     if (value.is_null())
     {
@@ -34,11 +34,11 @@
     object[key] = value;
 }
 
-void apply_one(json& rows, const cell_edit& edit)
+void apply_edit(json& rows, const cell_edit& edit)
 {
     if (edit.column.empty())
     {
-        store_value(rows, edit.row, edit.value);
+        set_or_erase(rows, edit.row, edit.value);
         return;
     }
     json& row = rows[edit.row];
@@ -46,7 +46,7 @@
     {
         row = json::object();
     }
-    store_value(row, edit.column, edit.value);
+    set_or_erase(row, edit.column, edit.value);
 }
 
 } // namespace
@@ -62,7 +62,7 @@
     }
     for (const cell_edit& edit : edits)
     {
-        const json present = present_value(rows, edit);
+        const json present = current_value(rows, edit);
         if (edit.expects && *edit.expects != present)
         {
             result.conflicts.push_back({.row = edit.row,
@@ -71,7 +71,7 @@
                                         .present = present});
             continue;
         }
-        apply_one(rows, edit);
+        apply_edit(rows, edit);
     }
     result.document["revision"] =
         document.value("revision", std::int64_t{0}) + 1;
@@ -80,7 +80,7 @@
 
 std::vector<cell_edit> parse_edits(const json& list)
 {
-    findings wrong;
+    findings problems;
     std::vector<cell_edit> edits;
     if (!list.is_array())
     {
@@ -89,7 +89,8 @@
     }
     for (std::size_t index = 0; index < list.size(); ++index)
     {
-        object_reader reader(list[index], "/" + std::to_string(index), wrong);
+        object_reader reader(list[index], "/" + std::to_string(index),
+                             problems);
         cell_edit edit{.row = reader.text("row"),
                        .column = reader.text("column", std::string()),
                        .expects = {},
@@ -105,9 +106,9 @@
         reader.reject_unknown();
         edits.push_back(std::move(edit));
     }
-    if (!wrong.empty())
+    if (!problems.empty())
     {
-        throw document_error(std::move(wrong));
+        throw document_error(std::move(problems));
     }
     return edits;
 }
@@ -135,7 +136,7 @@
 {
     std::vector<std::string> writers = writers_of(document);
     writers.push_back(nonce);
-    if (writers.size() > kept_writers)
+    if (writers.size() > max_writers)
     {
         writers.erase(writers.begin());
     }
--- a/packages/table/src/table.cpp
+++ b/packages/table/src/table.cpp
@@ -10,9 +10,9 @@
 {
 
 constexpr std::size_t max_rows = 10'000;
-constexpr std::size_t max_bytes = 900'000;
+constexpr std::size_t max_bytes = 900'000; // of a document in the store
 constexpr std::size_t max_name = 63;
-constexpr std::size_t hash_length = 64;
+constexpr std::size_t hash_length = 64; // SHA-256 in hexadecimal
 constexpr std::int64_t max_slots = 1'000;
 
 bool is_name(std::string_view text)
@@ -105,10 +105,11 @@
     std::int64_t reserved_slots = 0;
     json document = {{"revision", 0}, {"rows", json::object()}};
 
-    void read_row(const std::string& name, const json& cells, findings& wrong)
+    void read_row(const std::string& name, const json& cells,
+                  findings& problems)
     {
-        object_reader rows(json::object(), "/rows", wrong);
-        object_reader reader(cells, rows.place_of(name), wrong);
+        object_reader rows(json::object(), "/rows", problems);
+        object_reader reader(cells, rows.place_of(name), problems);
         const auto of_class = class_of_row(name);
         if (!of_class)
         {
@@ -131,9 +132,9 @@
         classes.emplace(*of_class, read_class(reader));
     }
 
-    void check_rows_together(findings& wrong)
+    void check_row_references(findings& problems)
     {
-        object_reader rows(json::object(), "/rows", wrong);
+        object_reader rows(json::object(), "/rows", problems);
         for (const auto& [name, row] : classes)
         {
             if (!workspaces.contains(name.workspace))
@@ -165,9 +166,9 @@
 
 table table::parse(const json& document)
 {
-    findings wrong;
+    findings problems;
     auto parsed = std::make_shared<content>();
-    object_reader reader(document, "", wrong);
+    object_reader reader(document, "", problems);
     parsed->revision = reader.integer(
         "revision", std::nullopt,
         {.least = 0, .most = std::numeric_limits<std::int64_t>::max()});
@@ -186,13 +187,13 @@
     {
         for (const auto& [name, cells] : rows->items())
         {
-            parsed->read_row(name, cells, wrong);
+            parsed->read_row(name, cells, problems);
         }
-        parsed->check_rows_together(wrong);
+        parsed->check_row_references(problems);
     }
-    if (!wrong.empty())
+    if (!problems.empty())
     {
-        throw document_error(std::move(wrong));
+        throw document_error(std::move(problems));
     }
     parsed->document = document;
     return table(std::move(parsed));
