--- a/tests/unit/fleet_limits_tests.cpp
+++ b/tests/unit/fleet_limits_tests.cpp
@@ -1,4 +1,4 @@
-// The parts of a limit over several entries, under lost and late messages.
+// Sharing of a limit by several entries, with lost and late messages.
 
 #include <doctest/doctest.h>
 #include <rapidcheck.h>
@@ -24,11 +24,13 @@
         {{"revision", 1}, {"rows", {{"a", {{"max_in_flight", limit}}}}}});
 }
 
-// Entries that exchange four times a second; callers press on one of them.
-class limit_world
+// Three entries that exchange messages four times per second; 90% of the
+// requests arrive at one of them, the busiest.
+class lending_simulation
 {
 public:
-    limit_world(std::uint32_t seed, int lost) : random_(seed), lost_(lost)
+    lending_simulation(std::uint32_t seed, int lost_percent)
+        : random_(seed), lost_percent_(lost_percent)
     {
         for (const char* const name : {"e0", "e1", "e2"})
         {
@@ -37,30 +39,30 @@
         }
         for (std::size_t index = 0; index < entries_.size(); ++index)
         {
-            meet(index);
+            update_members(index);
         }
     }
 
-    void run(int steps, std::size_t pressed)
+    void run(int steps, std::size_t busiest)
     {
         for (int step = 0; step < steps; ++step)
         {
             clock_.advance(milliseconds(10));
             while (!due_.empty() && due_.begin()->first <= clock_.now())
             {
-                const auto what = std::move(due_.begin()->second);
+                const auto callback = std::move(due_.begin()->second);
                 due_.erase(due_.begin());
-                what();
+                callback();
             }
             for (int count = 0; count < 8; ++count)
             {
-                ask(draw(100) < 90 ? pressed : draw(3));
+                send_request(draw(100) < 90 ? busiest : draw(3));
             }
             if (step % 25 == 0)
             {
                 for (std::size_t from = 0; from < 3; ++from)
                 {
-                    meet(from);
+                    update_members(from);
                     exchange(from, (from + 1) % 3);
                     exchange(from, (from + 2) % 3);
                 }
@@ -70,13 +72,13 @@
             {
                 in_flight += entry.in_flight("a");
             }
-            most_ = std::max(most_, in_flight);
+            max_in_flight_ = std::max(max_in_flight_, in_flight);
         }
     }
 
-    [[nodiscard]] std::int64_t most() const
+    [[nodiscard]] std::int64_t max_in_flight() const
     {
-        return most_;
+        return max_in_flight_;
     }
 
 private:
@@ -86,9 +88,9 @@
                                                           below - 1)(random_);
     }
 
-    void later(duration wait, std::function<void()> what)
+    void schedule(duration wait, std::function<void()> callback)
     {
-        due_.emplace(clock_.now() + wait, std::move(what));
+        due_.emplace(clock_.now() + wait, std::move(callback));
     }
 
     static std::string name(std::size_t index)
@@ -96,19 +98,19 @@
         return "e" + std::to_string(index);
     }
 
-    void meet(std::size_t index)
+    void update_members(std::size_t index)
     {
         std::set<std::string> others{"e0", "e1", "e2"};
         others.erase(name(index));
         entries_[index].use_members(clock_.now(), others);
     }
 
-    void ask(std::size_t at)
+    void send_request(std::size_t index)
     {
-        if (!entries_[at].admit(clock_.now(), "a"))
+        if (!entries_[index].admit(clock_.now(), "a"))
         {
-            later(milliseconds(100 + 10 * draw(40)),
-                  [this, at] { entries_[at].release("a"); });
+            schedule(milliseconds(100 + 10 * draw(40)),
+                     [this, index] { entries_[index].release("a"); });
         }
     }
 
@@ -116,62 +118,64 @@
     {
         const unit_map lends = entries_[from].offer(
             clock_.now(), name(to), entries_[to].wants(clock_.now()));
-        const bool call_lost = static_cast<int>(draw(100)) < lost_;
-        const bool answer_lost = static_cast<int>(draw(100)) < lost_;
+        const bool call_lost = static_cast<int>(draw(100)) < lost_percent_;
+        const bool answer_lost = static_cast<int>(draw(100)) < lost_percent_;
         if (call_lost)
         {
             return;
         }
-        later(milliseconds(draw(90)),
-              [this, from, to, lends, answer_lost]
-              {
-                  entries_[to].borrow(clock_.now(), name(from), lends);
-                  const unit_map holds = entries_[to].holds();
-                  if (!answer_lost)
-                  {
-                      later(milliseconds(draw(90)), [this, from, to, holds]
-                            { entries_[from].settled(name(to), holds); });
-                  }
-              });
+        schedule(milliseconds(draw(90)),
+                 [this, from, to, lends, answer_lost]
+                 {
+                     entries_[to].borrow(clock_.now(), name(from), lends);
+                     const unit_map holds = entries_[to].holds();
+                     if (!answer_lost)
+                     {
+                         schedule(milliseconds(draw(90)),
+                                  [this, from, to, holds]
+                                  { entries_[from].settled(name(to), holds); });
+                     }
+                 });
     }
 
     std::mt19937 random_;
-    int lost_;
+    int lost_percent_;
     manual_clock clock_;
     std::vector<fleet_limits> entries_;
     std::multimap<time_point, std::function<void()>> due_;
-    std::int64_t most_ = 0;
+    std::int64_t max_in_flight_ = 0;
 };
 
 } // namespace
 
 TEST_CASE("the sum of all parts never exceeds the limit")
 {
-    const bool good =
-        rc::check("with messages lost and late, pressed on any entry",
-                  [](std::uint32_t seed)
-                  {
-                      limit_world all(seed, *rc::gen::inRange(0, 40));
-                      all.run(300, 0);
-                      all.run(300, 1);
-                      all.run(300, 2);
-                      RC_ASSERT(all.most() <= limit);
-                  });
-    CHECK(good);
+    const bool holds = rc::check(
+        "lost and late messages, most load on any entry",
+        [](std::uint32_t seed)
+        {
+            lending_simulation simulation(seed, *rc::gen::inRange(0, 40));
+            simulation.run(300, 0);
+            simulation.run(300, 1);
+            simulation.run(300, 2);
+            RC_ASSERT(simulation.max_in_flight() <= limit);
+        });
+    CHECK(holds);
 }
 
-TEST_CASE("an entry that gets all the callers borrows most of the limit")
+TEST_CASE("an entry with almost all requests borrows most of the limit")
 {
-    limit_world all(1, 0);
-    all.run(600, 1);
-    CHECK(all.most() > limit * 2 / 3);
-    CHECK(all.most() <= limit);
+    lending_simulation simulation(1, 0);
+    simulation.run(600, 1);
+    CHECK(simulation.max_in_flight() > limit * 2 / 3);
+    CHECK(simulation.max_in_flight() <= limit);
 }
 
-TEST_CASE("the rate of a workspace is kept, with when to come back")
+TEST_CASE(
+    "the rate limit of a workspace holds, and refusals give a retry delay")
 {
-    fleet_limits only("e0");
-    only.use_table(table::parse(
+    fleet_limits entry("e0");
+    entry.use_table(table::parse(
         {{"revision", 1}, {"rows", {{"a", {{"max_rate", 100}}}}}}));
     manual_clock clock;
     int admitted = 0;
@@ -179,29 +183,29 @@
     for (int step = 0; step < 1000; ++step)
     {
         clock.advance(milliseconds(1));
-        const auto refused = only.admit(clock.now(), "a");
+        const auto refused = entry.admit(clock.now(), "a");
         admitted += refused ? 0 : 1;
         wait = refused ? refused : wait;
     }
-    CHECK(admitted <= 126); // a second's worth and a quarter at once
+    CHECK(admitted <= 126); // one second of requests plus a burst of 0.25 s
     CHECK(admitted >= 99);
     REQUIRE(wait);
     CHECK(*wait > duration{0});
     CHECK(*wait <= milliseconds(10));
 }
 
-TEST_CASE("a departed entry's part is kept free for a while")
+TEST_CASE("the quota of a departed entry stays unused for departure_delay")
 {
-    fleet_limits left("e0");
-    left.use_table(limited());
+    fleet_limits entry("e0");
+    entry.use_table(limited());
     manual_clock clock;
-    left.use_members(clock.now(), {"e1"});
-    CHECK(left.part(clock.now(), "a") == limit / 2);
-    left.use_members(clock.now(), {});
+    entry.use_members(clock.now(), {"e1"});
+    CHECK(entry.part(clock.now(), "a") == limit / 2);
+    entry.use_members(clock.now(), {});
     clock.advance(seconds(4));
-    left.use_members(clock.now(), {});
-    CHECK(left.part(clock.now(), "a") == limit / 2);
+    entry.use_members(clock.now(), {});
+    CHECK(entry.part(clock.now(), "a") == limit / 2);
     clock.advance(seconds(2));
-    left.use_members(clock.now(), {});
-    CHECK(left.part(clock.now(), "a") == limit);
+    entry.use_members(clock.now(), {});
+    CHECK(entry.part(clock.now(), "a") == limit);
 }
--- a/tests/unit/policy_tests.cpp
+++ b/tests/unit/policy_tests.cpp
@@ -1,4 +1,4 @@
-// Admission, fairness, ejection, retries and routing, each by itself.
+// Unit tests of admission, fairness, ejection, retry budget and routing.
 
 #include <doctest/doctest.h>
 #include <rapidcheck.h>
@@ -30,19 +30,19 @@
            {"b/heavy", {{"kind", "heavy"}, {"max_queue", 1000}}}}}});
 }
 
-struct gate
+struct admission_fixture
 {
-    explicit gate(const table& of) : slots({.slots = 8})
+    explicit admission_fixture(const table& rows) : slots({.slots = 8})
     {
-        slots.use_table(of);
+        slots.use_table(rows);
     }
 
-    std::optional<slot_refusal> offer(const class_name& of,
+    std::optional<slot_refusal> offer(const class_name& work_class,
                                       duration deadline = seconds(60),
                                       bool may_wait = true)
     {
         return slots.offer(clock.now(), {.attempt = {std::to_string(++next)},
-                                         .of = of,
+                                         .of = work_class,
                                          .arrived = clock.now(),
                                          .deadline = clock.now() + deadline,
                                          .may_wait = may_wait});
@@ -57,65 +57,66 @@
 
 TEST_CASE("reserved slots are open to latency-critical classes only")
 {
-    gate of(rows());
+    admission_fixture fixture(rows());
     for (int count = 0; count < 20; ++count)
     {
-        REQUIRE(!of.offer(heavy_a));
+        REQUIRE(!fixture.offer(heavy_a));
     }
-    CHECK(of.slots.start_ready().size() == 6);
-    CHECK(!of.offer(fast));
-    CHECK(!of.offer(fast));
-    CHECK(of.slots.start_ready().size() == 2);
-    CHECK(of.slots.taken() == 8);
-    const auto refused = of.offer(fast, seconds(60), false);
+    CHECK(fixture.slots.start_ready().size() == 6);
+    CHECK(!fixture.offer(fast));
+    CHECK(!fixture.offer(fast));
+    CHECK(fixture.slots.start_ready().size() == 2);
+    CHECK(fixture.slots.taken() == 8);
+    const auto refused = fixture.offer(fast, seconds(60), false);
     REQUIRE(refused);
     CHECK(refused->reason == refusal::busy);
 }
 
-TEST_CASE("what cannot end by its deadline is refused, before and while it "
-          "waits")
+TEST_CASE("a request that cannot meet its deadline is refused, on arrival and "
+          "while queued")
 {
-    gate of(rows());
+    admission_fixture fixture(rows());
     for (int count = 0; count < 6; ++count)
     {
-        of.offer(heavy_a);
+        fixture.offer(heavy_a);
     }
-    for (const slot_request& request : of.slots.start_ready())
+    for (const slot_request& request : fixture.slots.start_ready())
     {
-        of.slots.finish(request.attempt, seconds(10)); // it learns: slow
+        // Raises the learned service time.
+        fixture.slots.finish(request.attempt, seconds(10));
     }
     for (int count = 0; count < 100; ++count)
     {
-        of.offer(heavy_a);
+        fixture.offer(heavy_a);
     }
-    of.slots.start_ready();
-    const auto refused = of.offer(heavy_a, milliseconds(50));
+    fixture.slots.start_ready();
+    const auto refused = fixture.offer(heavy_a, milliseconds(50));
     REQUIRE(refused);
     CHECK(refused->reason == refusal::deadline);
     CHECK(refused->retry_after > duration{0});
-    const std::int64_t waiting = of.slots.load().queued_other;
+    const std::int64_t waiting = fixture.slots.load().queued_other;
     REQUIRE(waiting > 0);
-    of.clock.advance(seconds(60));
-    CHECK(of.slots.expire(of.clock.now()).size() ==
+    fixture.clock.advance(seconds(60));
+    CHECK(fixture.slots.expire(fixture.clock.now()).size() ==
           static_cast<std::size_t>(waiting));
-    CHECK(of.slots.load().queued_other == 0);
+    CHECK(fixture.slots.load().queued_other == 0);
 }
 
-TEST_CASE("slots are shared by the workspaces' weights")
+TEST_CASE("slots are shared in proportion to the workspaces' weights")
 {
-    gate of(rows(0, 3));
+    admission_fixture fixture(rows(0, 3));
     for (int count = 0; count < 400; ++count)
     {
-        of.offer(heavy_a);
-        of.offer(heavy_b);
+        fixture.offer(heavy_a);
+        fixture.offer(heavy_b);
     }
     std::map<std::string, int> served;
     for (int round = 0; round < 40; ++round)
     {
-        for (const slot_request& request : of.slots.start_ready())
+        for (const slot_request& request : fixture.slots.start_ready())
         {
             ++served[request.of.workspace];
-            of.slots.finish(request.attempt, milliseconds(10));
+            fixture.slots.finish(request.attempt, milliseconds(10));
         }
     }
     const double ratio = static_cast<double>(served["b"]) / served["a"];
@@ -123,23 +124,23 @@
     CHECK(ratio < 3.5);
 }
 
-TEST_CASE("slots in doubt count as taken")
+TEST_CASE("slots of attempts in doubt count as taken")
 {
-    gate of(rows());
-    of.slots.occupy(8);
-    CHECK(!of.offer(fast));
-    CHECK(of.slots.start_ready().empty());
-    of.slots.occupy(7);
-    CHECK(of.slots.start_ready().size() == 1);
+    admission_fixture fixture(rows());
+    fixture.slots.occupy(8);
+    CHECK(!fixture.offer(fast));
+    CHECK(fixture.slots.start_ready().empty());
+    fixture.slots.occupy(7);
+    CHECK(fixture.slots.start_ready().size() == 1);
 }
 
-TEST_CASE("admission never overshoots, whatever comes")
+TEST_CASE("admission never exceeds slots or reservations")
 {
-    const bool good = rc::check(
-        "slots and reservations hold",
+    const bool holds = rc::check(
+        "random offers and completions",
         [](const std::vector<std::uint8_t>& steps)
         {
-            gate of(rows());
+            admission_fixture fixture(rows());
             std::vector<attempt_name> running;
             std::int64_t others = 0;
             for (const std::uint8_t step : steps)
@@ -149,25 +150,25 @@
                 {
                     const attempt_name name = running.front();
                     running.erase(running.begin());
-                    of.slots.finish(name, milliseconds(step));
+                    fixture.slots.finish(name, milliseconds(step));
                 }
                 else
                 {
-                    of.offer(step % 4 == 0 ? fast : heavy_a);
+                    fixture.offer(step % 4 == 0 ? fast : heavy_a);
                 }
-                for (const slot_request& request : of.slots.start_ready())
+                for (const slot_request& request : fixture.slots.start_ready())
                 {
                     running.push_back(request.attempt);
                 }
-                const load_report load = of.slots.load();
+                const load_report load = fixture.slots.load();
                 others = std::max(others, load.running_other);
-                RC_ASSERT(of.slots.taken() <= 8);
-                RC_ASSERT(of.slots.taken() ==
+                RC_ASSERT(fixture.slots.taken() <= 8);
+                RC_ASSERT(fixture.slots.taken() ==
                           static_cast<std::int64_t>(running.size()));
             }
             RC_ASSERT(others <= 6);
         });
-    CHECK(good);
+    CHECK(holds);
 }
 
 TEST_CASE("an executor that fails everything is ejected, probed, restored")
@@ -185,12 +186,14 @@
     CHECK(!detector.may_send(clock.now(), bad, true));
     clock.advance(seconds(2));
     CHECK(detector.may_send(clock.now(), bad, true));
-    CHECK(!detector.may_send(clock.now(), bad, false)); // not as a probe
+    // Only a repeatable request may be the probe.
+    CHECK(!detector.may_send(clock.now(), bad, false));
     detector.sent(clock.now(), bad);
-    CHECK(!detector.may_send(clock.now(), bad, true)); // one at a time
+    CHECK(!detector.may_send(clock.now(), bad, true)); // one probe at a time
     detector.record(clock.now(), bad, fast, false, 11);
     clock.advance(milliseconds(1500));
-    CHECK(!detector.may_send(clock.now(), bad, true)); // twice as long
+    // The second ejection is twice as long.
+    CHECK(!detector.may_send(clock.now(), bad, true));
     clock.advance(seconds(1));
     detector.sent(clock.now(), bad);
     CHECK(detector.record(clock.now(), bad, fast, true, 11) ==
@@ -198,7 +201,7 @@
     CHECK(detector.may_send(clock.now(), bad, false));
 }
 
-TEST_CASE("a bad class cannot eject every executor")
+TEST_CASE("a failing class cannot eject every executor")
 {
     outlier_detector detector;
     const manual_clock clock;
@@ -213,7 +216,7 @@
     CHECK(detector.ejected().size() <= 3);
 }
 
-TEST_CASE("retries are bounded by successes")
+TEST_CASE("retries are limited by successes")
 {
     retry_budget budget({.share = 0.1, .most = 5});
     int taken = 0;
@@ -231,33 +234,33 @@
     CHECK(!budget.take());
 }
 
-TEST_CASE("routing keeps to its own data centre while there is room")
+TEST_CASE("routing prefers its own data centre while it has free slots")
 {
     random_source random(1);
-    std::vector<route_candidate> from;
-    from.reserve(6);
+    std::vector<route_candidate> candidates;
+    candidates.reserve(6);
     for (int index = 0; index < 6; ++index)
     {
-        from.push_back({.guard = {std::to_string(index)},
-                        .load = 0.1 * index,
-                        .room = true,
-                        .local = index >= 4});
+        candidates.push_back({.guard = {std::to_string(index)},
+                              .load = 0.1 * index,
+                              .room = true,
+                              .local = index >= 4});
     }
     const sampled_router router;
     for (int count = 0; count < 50; ++count)
     {
-        CHECK(*router.pick(from, random) >= 4);
+        CHECK(*router.pick(candidates, random) >= 4);
     }
-    from[4].room = false;
-    from[5].room = false;
+    candidates[4].room = false;
+    candidates[5].room = false;
     for (int count = 0; count < 50; ++count)
     {
-        CHECK(*router.pick(from, random) < 4);
+        CHECK(*router.pick(candidates, random) < 4);
     }
     CHECK(!router.pick({}, random));
 }
 
-TEST_CASE("an entry's own attempts count once")
+TEST_CASE("an entry's own attempts are counted once")
 {
     const load_report load{.slots = 8,
                            .running_critical = 3,
--- a/tests/unit/table_tests.cpp
+++ b/tests/unit/table_tests.cpp
@@ -21,7 +21,7 @@
 
 } // namespace
 
-TEST_CASE("a table with findings is refused with each one's place")
+TEST_CASE("an invalid table is rejected with the place of the finding")
 {
     const std::vector<bad_table> cases{
         {"no kind",
@@ -34,7 +34,7 @@
         {"zero weight", {{"a", {{"weight", 0}}}}, "/rows/a/weight"},
         {"unknown column", {{"a", {{"wieght", 1}}}}, "/rows/a/wieght"},
         {"bad name", {{"A b", json::object()}}, "/rows/A b"},
-        {"limit that is a text",
+        {"limit that is a string",
          {{"a", {{"max_rate", "9"}}}},
          "/rows/a/max_rate"},
         {"reserved slots of heavy work",
@@ -44,7 +44,7 @@
         {"bad hash",
          {{"a", {{"credential_hashes", {"abc"}}}}},
          "/rows/a/credential_hashes"},
-        {"row that is no object", {{"a", 3}}, "/rows/a"},
+        {"row that is not an object", {{"a", 3}}, "/rows/a"},
     };
     for (const bad_table& one : cases)
     {
@@ -52,7 +52,7 @@
         try
         {
             table::parse(document_with(one.rows));
-            FAIL("it was accepted");
+            FAIL("the invalid table was accepted");
         }
         catch (const document_error& error)
         {
@@ -68,7 +68,7 @@
     {
         table::parse(document_with(
             {{"a", {{"weight", 0}, {"max_rate", -1}}}, {"b", {{"c", 1}}}}));
-        FAIL("it was accepted");
+        FAIL("the invalid table was accepted");
     }
     catch (const document_error& error)
     {
@@ -76,7 +76,7 @@
     }
 }
 
-TEST_CASE("edits of different cells merge, of the same cell conflict")
+TEST_CASE("edits of different cells merge; edits of one cell conflict")
 {
     const json before = document_with({{"a", {{"weight", 1}}}});
     const cell_edit first{
