--- a/packages/core/src/object_reader.cpp
+++ b/packages/core/src/object_reader.cpp
@@ -76,7 +76,7 @@
     }
     if (!value->is_string() || value->get_ref<const std::string&>().empty())
     {
-        report(key, "must be a text that is not empty");
+        report(key, "must be a non-empty string");
         return fallback.value_or("");
     }
     return value->get<std::string>();
@@ -87,23 +87,22 @@
                                     number_range range)
 {
     const json* value = member(key);
-    const std::int64_t otherwise = fallback.value_or(range.least);
+    const std::int64_t default_value = fallback.value_or(range.least);
     if (value == nullptr)
     {
         if (!fallback)
         {
             report(key, "is required");
         }
-        return otherwise;
+        return default_value;
     }
-    const bool whole = value->is_number_integer();
-    if (!whole || value->get<std::int64_t>() < range.least ||
+    const bool is_integer = value->is_number_integer();
+    if (!is_integer || value->get<std::int64_t>() < range.least ||
         value->get<std::int64_t>() > range.most)
     {
-        report(key, "must be a whole number from " +
-                        std::to_string(range.least) + " to " +
-                        std::to_string(range.most));
-        return otherwise;
+        report(key, "must be an integer from " + std::to_string(range.least) +
+                        " to " + std::to_string(range.most));
+        return default_value;
     }
     return value->get<std::int64_t>();
 }
@@ -117,7 +116,7 @@
     }
     if (!value->is_number() || !(value->get<double>() > 0))
     {
-        report(key, "must be a number above zero");
+        report(key, "must be a number greater than 0");
         return fallback;
     }
     return value->get<double>();
@@ -140,29 +139,29 @@
 
 std::vector<std::string> object_reader::texts(std::string_view key)
 {
-    std::vector<std::string> all;
+    std::vector<std::string> elements;
     const json* value = member(key);
     if (value == nullptr)
     {
-        return all;
+        return elements;
     }
     if (!value->is_array())
     {
-        report(key, "must be a list of texts");
-        return all;
+        report(key, "must be an array of strings");
+        return elements;
     }
     for (std::size_t index = 0; index < value->size(); ++index)
     {
         const json& element = (*value)[index];
         if (element.is_string())
         {
-            all.push_back(element.get<std::string>());
+            elements.push_back(element.get<std::string>());
             continue;
         }
         out_.push_back({.place = place_of(key) + "/" + std::to_string(index),
-                        .message = "must be a text"});
+                        .message = "must be a string"});
     }
-    return all;
+    return elements;
 }
 
 void object_reader::reject_unknown()
@@ -175,7 +174,7 @@
     {
         if (!seen_.contains(key))
         {
-            report(key, "is not known here");
+            report(key, "is not a known member");
         }
     }
 }
--- a/packages/table/src/table.cpp
+++ b/packages/table/src/table.cpp
@@ -10,9 +10,9 @@
 {
 
 constexpr std::size_t max_rows = 10'000;
-constexpr std::size_t max_bytes = 900'000;
+constexpr std::size_t max_bytes = 900'000; // of a document in the store
 constexpr std::size_t max_name = 63;
-constexpr std::size_t hash_length = 64;
+constexpr std::size_t hash_length = 64; // SHA-256 in hexadecimal
 constexpr std::int64_t max_slots = 1'000;
 
 bool is_name(std::string_view text)
@@ -105,35 +105,41 @@
     std::int64_t reserved_slots = 0;
     json document = {{"revision", 0}, {"rows", json::object()}};
 
-    void read_row(const std::string& name, const json& cells, findings& wrong)
+    void read_row(const std::string& name, const json& cells,
+                  findings& problems)
     {
-        object_reader rows(json::object(), "/rows", wrong);
-        object_reader reader(cells, rows.place_of(name), wrong);
+        object_reader rows(json::object(), "/rows", problems);
+        object_reader reader(cells, rows.place_of(name), problems);
         const auto of_class = class_of_row(name);
         if (!of_class)
         {
             if (!is_name(name))
             {
-                rows.report(name, "must be named by a-z, 0-9 and -");
+                rows.report(
+                    name,
+                    "must have a name of 1 to 63 characters a-z, 0-9 and -");
             }
             workspaces.emplace(name, read_workspace(reader));
             return;
         }
         if (!is_name(of_class->workspace) || !is_name(of_class->work_class))
         {
-            rows.report(name, "must be workspace/class of a-z, 0-9 and -");
+            rows.report(
+                name,
+                "must be workspace/class, each 1 to 63 characters a-z, 0-9 "
+                "and -");
         }
         classes.emplace(*of_class, read_class(reader));
     }
 
-    void check_rows_together(findings& wrong)
+    void check_row_references(findings& problems)
     {
-        object_reader rows(json::object(), "/rows", wrong);
+        object_reader rows(json::object(), "/rows", problems);
         for (const auto& [name, row] : classes)
         {
             if (!workspaces.contains(name.workspace))
             {
-                rows.report(name.row(), "its workspace has no row");
+                rows.report(name.row(), "has no row for its workspace");
             }
             reserved_slots = std::max(reserved_slots, row.reserved_slots);
         }
@@ -143,7 +149,8 @@
             {
                 if (!workspace_of_hash.emplace(hash, name).second)
                 {
-                    rows.report(name, "shares a credential with another row");
+                    rows.report(name,
+                                "has a credential that another row has, too");
                 }
             }
         }
@@ -159,9 +166,9 @@
 
 table table::parse(const json& document)
 {
-    findings wrong;
+    findings problems;
     auto parsed = std::make_shared<content>();
-    object_reader reader(document, "", wrong);
+    object_reader reader(document, "", problems);
     parsed->revision = reader.integer(
         "revision", std::nullopt,
         {.least = 0, .most = std::numeric_limits<std::int64_t>::max()});
@@ -180,13 +187,13 @@
     {
         for (const auto& [name, cells] : rows->items())
         {
-            parsed->read_row(name, cells, wrong);
+            parsed->read_row(name, cells, problems);
         }
-        parsed->check_rows_together(wrong);
+        parsed->check_row_references(problems);
     }
-    if (!wrong.empty())
+    if (!problems.empty())
     {
-        throw document_error(std::move(wrong));
+        throw document_error(std::move(problems));
     }
     parsed->document = document;
     return table(std::move(parsed));
