--- a/packages/daemon/include/springstair/detail/daemon/roles.hpp
+++ b/packages/daemon/include/springstair/detail/daemon/roles.hpp
@@ -10,21 +10,23 @@
 {
 
 /// @brief Runs an entry until a planned stop has ended.
-/// @param from the settings @param drain set when a planned stop begins
+/// @param own_settings the settings @param drain set when a planned stop begins
 /// @throw transport_error if its address cannot be had
 /// @throw std::runtime_error if a part failed too often
-void run_entry(const settings& from, const std::atomic<bool>& drain);
+void run_entry(const settings& own_settings, const std::atomic<bool>& drain);
 
 /// @copydoc run_entry
 /// The same for a guard.
-void run_guard(const settings& from, const std::atomic<bool>& drain);
+void run_guard(const settings& own_settings, const std::atomic<bool>& drain);
 
 /// @copydoc run_entry
 /// The same for an entry of the job system.
-void run_job_entry(const job_settings& from, const std::atomic<bool>& drain);
+void run_job_entry(const job_settings& own_settings,
+                   const std::atomic<bool>& drain);
 
 /// @copydoc run_entry
 /// The same for a guard of the job system.
-void run_job_guard(const job_settings& from, const std::atomic<bool>& drain);
+void run_job_guard(const job_settings& own_settings,
+                   const std::atomic<bool>& drain);
 
 } // namespace springstair
--- a/packages/daemon/include/springstair/detail/daemon/settings.hpp
+++ b/packages/daemon/include/springstair/detail/daemon/settings.hpp
@@ -78,6 +78,6 @@
 settings read_settings(const std::string& path);
 
 /// @brief The settings with every default filled in; the key is left out.
-json to_document(const settings& from);
+json to_document(const settings& values);
 
 } // namespace springstair
--- a/packages/daemon/main.cpp
+++ b/packages/daemon/main.cpp
@@ -28,16 +28,16 @@
 };
 
 // Reads the options; on a bad one says which and gives nothing.
-bool read_options(int count, const char** arguments, command_line& to)
+bool read_options(int count, const char** arguments, command_line& parsed)
 {
     const poptOption options[] = {
-        {"settings", 's', POPT_ARG_STRING, &to.settings_path, 0,
+        {"settings", 's', POPT_ARG_STRING, &parsed.settings_path, 0,
          "the settings file (JSON)", "FILE"},
-        {"check-settings", 'c', POPT_ARG_NONE, &to.check, 0,
+        {"check-settings", 'c', POPT_ARG_NONE, &parsed.check, 0,
          "check the settings and exit", nullptr},
-        {"print-settings", 'p', POPT_ARG_NONE, &to.print, 0,
+        {"print-settings", 'p', POPT_ARG_NONE, &parsed.print, 0,
          "print the settings with all defaults and exit", nullptr},
-        {"version", 'v', POPT_ARG_NONE, &to.version, 0,
+        {"version", 'v', POPT_ARG_NONE, &parsed.version, 0,
          "print the version and exit", nullptr},
         POPT_AUTOHELP POPT_TABLEEND};
     const poptContext context =
@@ -52,7 +52,7 @@
     return result >= -1;
 }
 
-int refuse_settings(const springstair::document_error& error)
+int print_findings(const springstair::document_error& error)
 {
     if (error.all().empty())
     {
@@ -65,17 +65,17 @@
     return exit_settings;
 }
 
-// Signals are taken by one thread; all others block them.
+// Signals are received by one thread; all others block them.
 void await_stop_signal(sigset_t signals, std::atomic<bool>& drain)
 {
-    int taken = 0;
-    sigwait(&signals, &taken);
+    int received = 0;
+    sigwait(&signals, &received);
     drain = true;
 }
 
 // Runs a role until it has stopped, by itself or by a signal.
 template <class Role>
-int run(const std::string& name, Role role)
+int run_until_stopped(const std::string& name, Role role)
 {
     sigset_t signals;
     sigemptyset(&signals);
@@ -99,37 +99,41 @@
     return EXIT_SUCCESS;
 }
 
-int run_request_role(const springstair::settings& all)
+int run_request_role(const springstair::settings& settings)
 {
-    const bool entry = all.common.role == springstair::process_role::entry;
-    return run(all.common.name,
-               [&](const std::atomic<bool>& drain)
-               {
-                   entry ? springstair::run_entry(all, drain)
-                         : springstair::run_guard(all, drain);
-               });
+    const bool entry = settings.common.role == springstair::process_role::entry;
+    return run_until_stopped(settings.common.name,
+                             [&](const std::atomic<bool>& drain)
+                             {
+                                 entry
+                                     ? springstair::run_entry(settings, drain)
+                                     : springstair::run_guard(settings, drain);
+                             });
 }
 
-int run_job_role(const springstair::job_settings& all)
+int run_job_role(const springstair::job_settings& settings)
 {
-    const bool entry = all.role == springstair::job_role::job_entry;
-    return run(all.name,
-               [&](const std::atomic<bool>& drain)
-               {
-                   entry ? springstair::run_job_entry(all, drain)
-                         : springstair::run_job_guard(all, drain);
-               });
+    const bool entry = settings.role == springstair::job_role::job_entry;
+    return run_until_stopped(
+        settings.name,
+        [&](const std::atomic<bool>& drain)
+        {
+            entry ? springstair::run_job_entry(settings, drain)
+                  : springstair::run_job_guard(settings, drain);
+        });
 }
 
 // Checks the settings, and prints or runs them as the command line says.
 template <class Settings, class Run>
-int use(const command_line& line, const Settings& all, Run run_all)
+int print_or_run(const command_line& line, const Settings& settings,
+                 Run run_role)
 {
     if (line.print != 0)
     {
-        std::cout << to_document(all).dump(4) << "\n";
+        std::cout << to_document(settings).dump(4) << "\n";
     }
-    return line.check != 0 || line.print != 0 ? EXIT_SUCCESS : run_all(all);
+    return line.check != 0 || line.print != 0 ? EXIT_SUCCESS
+                                              : run_role(settings);
 }
 
 } // namespace
@@ -159,14 +163,14 @@
         const auto document = springstair::read_document(path);
         if (springstair::is_job_settings(document))
         {
-            return use(line, springstair::parse_job_settings(document),
-                       run_job_role);
+            return print_or_run(line, springstair::parse_job_settings(document),
+                                run_job_role);
         }
-        return use(line, springstair::parse_settings(document),
-                   run_request_role);
+        return print_or_run(line, springstair::parse_settings(document),
+                            run_request_role);
     }
     catch (const springstair::document_error& error)
     {
-        return refuse_settings(error);
+        return print_findings(error);
     }
 }
--- a/packages/daemon/src/entry_control.cpp
+++ b/packages/daemon/src/entry_control.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-constexpr int good = 200;
+constexpr int ok = 200;
 constexpr int unavailable = 503;
 constexpr std::string_view bearer = "Bearer ";
 constexpr std::string_view request_path = "/v1/request";
@@ -18,13 +18,14 @@
 constexpr duration vms_interval = std::chrono::seconds(2);
 constexpr duration exchange_interval = std::chrono::milliseconds(250);
 constexpr duration min_drain_time = std::chrono::milliseconds(500);
-constexpr int lists_until_gone = 3;
-constexpr duration warm_up = std::chrono::seconds(1);
+constexpr int missed_lists_until_gone = 3;
+constexpr duration min_warm_up = std::chrono::seconds(1);
 constexpr duration max_warm_up = std::chrono::seconds(5);
 
-std::string nonce_prefix(const settings& from, const std::string& incarnation)
+std::string nonce_prefix(const settings& own_settings,
+                         const std::string& incarnation)
 {
-    return from.common.name + "." + incarnation;
+    return own_settings.common.name + "." + incarnation;
 }
 
 } // namespace
@@ -32,19 +33,19 @@
 entry_control::entry_control(entry_process& process)
     : process_(process), started_(clock_.now()),
       incarnation_(random_hex(incarnation_bytes)),
-      requests_({.name = {process.from.common.name},
+      requests_({.name = {process.own_settings.common.name},
                  .incarnation = incarnation_,
-                 .data_centre = process.from.common.data_centre,
-                 .router = *router_named(process.from.entry.routing),
+                 .data_centre = process.own_settings.common.data_centre,
+                 .router = *router_named(process.own_settings.entry.routing),
                  .seed = std::hash<std::string>{}(incarnation_)}),
-      table_({.writer = nonce_prefix(process.from, incarnation_)}),
-      tasks_({.name = {process.from.common.name},
+      table_({.writer = nonce_prefix(process.own_settings, incarnation_)}),
+      tasks_({.name = {process.own_settings.common.name},
               .incarnation = incarnation_,
-              .shards = process.from.entry.shards,
-              .commit_interval = process.from.entry.commit_interval,
+              .shards = process.own_settings.entry.shards,
+              .commit_interval = process.own_settings.entry.commit_interval,
               .seed = std::hash<std::string>{}(incarnation_)})
 {
-    for (const std::string& address : process.from.common.entries)
+    for (const std::string& address : process.own_settings.common.entries)
     {
         if (address != own_address())
         {
@@ -71,7 +72,7 @@
 
 std::string entry_control::own_address() const
 {
-    const common_settings& common = process_.from.common;
+    const common_settings& common = process_.own_settings.common;
     return common.address + ":" + std::to_string(common.port);
 }
 
@@ -79,10 +80,11 @@
 // to refuse, and once the guards have had time to tell it of themselves.
 bool entry_control::serving() const
 {
-    const duration up = clock_.now() - started_;
-    const bool heard = !requests_.guards().all().empty() && up >= warm_up;
+    const duration uptime = clock_.now() - started_;
+    const bool guards_known =
+        !requests_.guards().all().empty() && uptime >= min_warm_up;
     return requests_.rows().revision() > 0 && !drain_since_ &&
-           (heard || up >= max_warm_up);
+           (guards_known || uptime >= max_warm_up);
 }
 
 // ---------------------------------------------------------------------------
@@ -100,7 +102,7 @@
     const std::string hash = sha256_hex(credential);
     bool known = false;
     for (const std::string& one :
-         process_.from.entry.operator_credential_hashes)
+         process_.own_settings.entry.operator_credential_hashes)
     {
         known = equal_in_constant_time(one, hash) || known;
     }
@@ -111,7 +113,7 @@
 entry_control::workspace_of(const http_request& request) const
 {
     if (request.headers.contains(wire::fleet_key) &&
-        has_fleet_key(request, process_.from.common.fleet_key))
+        has_fleet_key(request, process_.own_settings.common.fleet_key))
     {
         return request.header(wire::workspace); // handed on by an entry
     }
@@ -123,7 +125,8 @@
     const std::string& path = arrival.request.path;
     if (path == wire::rpc_path)
     {
-        if (!has_fleet_key(arrival.request, process_.from.common.fleet_key))
+        if (!has_fleet_key(arrival.request,
+                           process_.own_settings.common.fleet_key))
         {
             log_event(event_id::stranger_refused, {{"path", path}});
             answer_not_found(*arrival.responder);
@@ -133,7 +136,7 @@
     }
     else if (path == "/healthz")
     {
-        arrival.responder->respond(json_response(serving() ? good : unavailable,
+        arrival.responder->respond(json_response(serving() ? ok : unavailable,
                                                  {{"serving", serving()}}));
     }
     else if (path.starts_with(request_path) || path.starts_with(tasks_path))
@@ -180,7 +183,7 @@
     if (request.path == "/v1/table" && request.method == "GET")
     {
         arrival.responder->respond(
-            json_response(good, requests_.rows().document()));
+            json_response(ok, requests_.rows().document()));
     }
     else if (request.path == "/v1/table" && request.method == "PATCH")
     {
@@ -191,12 +194,12 @@
         const store_call call{
             .token = next_number_++,
             .operation = kv_range{.key = store_keys::history, .prefix = true}};
-        histories_[call.token] = arrival.responder;
+        history_calls_[call.token] = arrival.responder;
         act(call, store_user::history);
     }
     else if (request.path == "/v1/status")
     {
-        arrival.responder->respond(json_response(good, status(clock_.now())));
+        arrival.responder->respond(json_response(ok, status(clock_.now())));
     }
     else if (request.path == "/v1/drain" && request.method == "POST")
     {
@@ -247,24 +250,24 @@
              {"tasks", report.attempts.size()}});
     }
     json entries = json::array();
-    entries.push_back({{"entry", process_.from.common.name},
+    entries.push_back({{"entry", process_.own_settings.common.name},
                        {"address", own_address()},
                        {"state", drain_since_ ? "leaving" : "live"},
                        {"table_revision", requests_.rows().revision()},
                        {"shards", tasks_.held()}});
     const std::set<std::string> alive = requests_.entries().alive(now);
-    for (const auto& [name, said] : requests_.entries().summaries())
+    for (const auto& [name, peer_summary] : requests_.entries().summaries())
     {
-        const char* const state = said.leaving           ? "leaving"
+        const char* const state = peer_summary.leaving   ? "leaving"
                                   : alive.contains(name) ? "live"
                                                          : "silent";
         entries.push_back({{"entry", name},
-                           {"address", said.address},
+                           {"address", peer_summary.address},
                            {"state", state},
-                           {"table_revision", said.table_revision},
-                           {"shards", said.shards}});
+                           {"table_revision", peer_summary.table_revision},
+                           {"shards", peer_summary.shards}});
     }
-    return {{"entry", process_.from.common.name},
+    return {{"entry", process_.own_settings.common.name},
             {"store_available", table_.store_available()},
             {"table_revision", requests_.rows().revision()},
             {"open_requests", requests_.open()},
@@ -288,13 +291,14 @@
         return;
     }
     process_.client.send(
-        make_rpc_call(view->report.address, process_.from.common.fleet_key,
+        make_rpc_call(view->report.address,
+                      process_.own_settings.common.fleet_key,
                       wire::drain_method, json::object()),
         [responder = arrival.responder](const http_result& result)
         {
-            const bool told = rpc_result_of(result).has_value();
-            responder->respond(
-                json_response(told ? good : unavailable, {{"draining", told}}));
+            const bool draining = rpc_result_of(result).has_value();
+            responder->respond(json_response(draining ? ok : unavailable,
+                                             {{"draining", draining}}));
         });
 }
 
@@ -304,20 +308,21 @@
 
 void entry_control::poll_platform(time_point now)
 {
-    if (process_.from.common.platform.empty() || vms_asked_ || now < next_vms_)
+    if (process_.own_settings.common.platform.empty() || vms_in_flight_ ||
+        now < next_vms_poll_)
     {
         return;
     }
-    vms_asked_ = true;
-    next_vms_ = now + vms_interval;
-    fetch_vms(process_.client, process_.from.common.platform,
+    vms_in_flight_ = true;
+    next_vms_poll_ = now + vms_interval;
+    fetch_vms(process_.client, process_.own_settings.common.platform,
               [&process = process_](auto vms)
               { process.events.post(vms_listed{std::move(vms)}); });
 }
 
 void entry_control::on(vms_listed& listed)
 {
-    vms_asked_ = false;
+    vms_in_flight_ = false;
     if (!listed.vms)
     {
         return;
@@ -342,9 +347,9 @@
     std::set<std::string> gone;
     for (const std::string& name : listed_vms_)
     {
-        int& lists = missing_[name];
-        lists = present.contains(name) ? 0 : lists + 1;
-        if (lists >= lists_until_gone)
+        int& missed = missed_lists_[name];
+        missed = present.contains(name) ? 0 : missed + 1;
+        if (missed >= missed_lists_until_gone)
         {
             gone.insert(name);
         }
@@ -353,7 +358,7 @@
     tasks_.on_gone(clock_.now(), gone, requests_.guards().all());
 }
 
-void entry_control::drain_if_told(time_point now)
+void entry_control::drain_if_requested(time_point now)
 {
     if (process_.drain && !drain_since_)
     {
@@ -370,14 +375,14 @@
         return;
     }
     const duration grace =
-        std::max(process_.from.entry.drain_grace, min_drain_time);
-    const bool quiet = open_.empty() && edits_.empty() && committed_.empty() &&
-                       task_calls_.empty() && lists_.empty() &&
-                       histories_.empty();
-    const bool shards_gone = tasks_.held().empty() ||
-                             !table_.store_available() ||
-                             now - *drain_since_ > 2 * grace;
-    if (quiet && shards_gone && now - *drain_since_ >= grace)
+        std::max(process_.own_settings.entry.drain_grace, min_drain_time);
+    const bool no_open_calls = open_.empty() && edits_.empty() &&
+                               committed_.empty() && task_calls_.empty() &&
+                               task_lists_.empty() && history_calls_.empty();
+    const bool may_drop_shards = tasks_.held().empty() ||
+                                 !table_.store_available() ||
+                                 now - *drain_since_ > 2 * grace;
+    if (no_open_calls && may_drop_shards && now - *drain_since_ >= grace)
     {
         process_.parts.stop();
     }
@@ -389,14 +394,14 @@
     carry_out(requests_.on_tick(now));
     carry_out(table_.on_tick(now));
     std::set<std::string> entries = requests_.entries().alive(now);
-    for (const auto& [name, said] : requests_.entries().summaries())
+    for (const auto& [name, peer_summary] : requests_.entries().summaries())
     {
-        if (said.leaving)
+        if (peer_summary.leaving)
         {
             entries.erase(name);
         }
     }
-    entries.insert(process_.from.common.name);
+    entries.insert(process_.own_settings.common.name);
     task_actions actions;
     tasks_.on_tick(now, requests_.guards().all(), entries, actions);
     carry_out(actions);
@@ -407,7 +412,7 @@
     }
     poll_platform(now);
     finish_edits(now);
-    drain_if_told(now);
+    drain_if_requested(now);
 }
 
 } // namespace springstair
--- a/packages/daemon/src/entry_control.hpp
+++ b/packages/daemon/src/entry_control.hpp
@@ -23,17 +23,17 @@
     {
         http_request request;
         std::shared_ptr<http_responder> responder;
-        class_name of;
+        class_name request_class;
         time_point arrived;
-        int sent = 0; ///< attempts so far
+        int attempts = 0; ///< attempts so far
     };
 
     struct peer
     {
-        bool asked = false; ///< an exchange is on its way
+        bool exchange_in_flight = false; ///< an exchange is on its way
         std::string name;
         bool in_settings = false;
-        time_point answered{};
+        time_point answered_at{};
     };
 
     /// An edit that is committed, and who has yet to hear of it.
@@ -49,7 +49,7 @@
     {
         std::shared_ptr<http_responder> responder;
         json tasks = json::array();
-        std::size_t missing = 0;
+        std::size_t outstanding = 0;
         bool complete = true;
     };
 
@@ -75,11 +75,11 @@
     void carry_out(const table_actions& actions);
     void act(const store_call& call, store_user user);
     void act(const edit_outcome& ended);
-    void act(const table_loaded& found);
-    void act(const table_rejected& unfit);
-    void act(const store_availability& seen);
-    bool take_table(const table& rows);
-    void take_peer_table(const json& document);
+    void act(const table_loaded& loaded);
+    void act(const table_rejected& rejected);
+    void act(const store_availability& change);
+    bool apply_table(const table& rows);
+    void apply_peer_table(const json& document);
     void finish_edits(time_point now);
     void on(store_answered& answered);
 
@@ -109,7 +109,8 @@
     // Other processes.
     json on_heartbeat(const json& message);
     json on_exchange(const json& message);
-    entry_summary summary(time_point now, const std::string& to, bool offer);
+    entry_summary summary(time_point now, const std::string& peer_name,
+                          bool offer);
     void exchange_with(const std::string& address);
     void exchange_with_all();
     void on(exchange_ended& ended);
@@ -145,7 +146,7 @@
     // Time.
     void tick();
     void poll_platform(time_point now);
-    void drain_if_told(time_point now);
+    void drain_if_requested(time_point now);
     [[nodiscard]] bool serving() const;
 
     entry_process& process_;
@@ -158,18 +159,18 @@
     rpc_dispatcher rpc_;
     std::map<request_number, open_request> open_;
     request_number next_number_ = 1;
-    const http_result* answer_ = nullptr;
+    const http_result* current_result_ = nullptr;
     std::map<std::string, peer> peers_; ///< by address
     std::map<edit_number, std::shared_ptr<http_responder>> edits_;
     std::vector<committed_edit> committed_;
-    std::map<store_token, std::shared_ptr<http_responder>> histories_;
+    std::map<store_token, std::shared_ptr<http_responder>> history_calls_;
     std::map<task_call, std::shared_ptr<http_responder>> task_calls_;
-    std::map<std::uint64_t, task_list> lists_;
-    std::set<std::string> listed_vms_;   ///< names ever seen on the list
-    std::map<std::string, int> missing_; ///< lists in a row without the VM
+    std::map<std::uint64_t, task_list> task_lists_;
+    std::set<std::string> listed_vms_;        ///< names ever seen on the list
+    std::map<std::string, int> missed_lists_; ///< lists in a row without the VM
     time_point next_exchange_{};
-    time_point next_vms_{};
-    bool vms_asked_ = false;
+    time_point next_vms_poll_{};
+    bool vms_in_flight_ = false;
     std::optional<time_point> drain_since_;
 };
 
--- a/packages/daemon/src/entry_process.hpp
+++ b/packages/daemon/src/entry_process.hpp
@@ -49,14 +49,14 @@
 /// A guard replied to a start, or not.
 struct start_ended
 {
-    start_task what;
+    start_task start;
     http_result result;
 };
 
 /// A guard replied to a stop, or not.
 struct stop_ended
 {
-    stop_task what;
+    stop_task stop;
     http_result result;
 };
 
@@ -86,7 +86,7 @@
 
 struct entry_process
 {
-    const settings& from;
+    const settings& own_settings;
     const std::atomic<bool>& drain;
     supervisor parts;
     mailbox<entry_event> events;
@@ -96,7 +96,7 @@
     std::atomic<bool> closing = false; ///< answers close their connections
 
     entry_process(const settings& all, const std::atomic<bool>& drain_flag)
-        : from(all), drain(drain_flag),
+        : own_settings(all), drain(drain_flag),
           store(client, {.endpoints = all.entry.store})
     {
     }
--- a/packages/daemon/src/entry_requests.cpp
+++ b/packages/daemon/src/entry_requests.cpp
@@ -58,9 +58,9 @@
         return found == headers.end() ? std::string() : found->second;
     };
     // An answer that does not name the attempt is not an answer to it.
-    const bool own = ended.result.how == delivery::answered &&
-                     value(wire::attempt) == ended.attempt.value;
-    if (!own)
+    const bool is_own_answer = ended.result.how == delivery::answered &&
+                               value(wire::attempt) == ended.attempt.value;
+    if (!is_own_answer)
     {
         result.how = ending::unknown;
         return result;
@@ -101,8 +101,10 @@
         return;
     }
     const time_point now = clock_.now();
-    const class_name of{.workspace = workspace, .work_class = work_class};
-    if (drain_since_ && now - *drain_since_ > process_.from.entry.drain_grace)
+    const class_name request_class{.workspace = workspace,
+                                   .work_class = work_class};
+    if (drain_since_ &&
+        now - *drain_since_ > process_.own_settings.entry.drain_grace)
     {
         arrival.responder->respond(
             to_response({.reason = refusal::draining,
@@ -112,21 +114,21 @@
     const request_number number = next_number_++;
     const caller_request request{
         .number = number,
-        .of = of,
+        .of = request_class,
         .deadline = now + std::chrono::milliseconds(*deadline_ms),
         .repeatable = repeatable_of(arrival.request)};
     open_[number] = {.request = std::move(arrival.request),
                      .responder = arrival.responder,
-                     .of = of,
+                     .request_class = request_class,
                      .arrived = now};
     carry_out(requests_.on_request(now, request));
 }
 
 void entry_control::on(attempt_ended& ended)
 {
-    answer_ = &ended.result;
+    current_result_ = &ended.result;
     carry_out(requests_.on_attempt(clock_.now(), classify(ended)));
-    answer_ = nullptr;
+    current_result_ = nullptr;
 }
 
 void entry_control::carry_out(const request_actions& actions)
@@ -140,18 +142,18 @@
 void entry_control::act(const send_attempt& send)
 {
     open_request& open = open_.at(send.number);
-    if (++open.sent > 1)
+    if (++open.attempts > 1)
     {
-        process_.numbers.count("retries", open.of,
+        process_.numbers.count("retries", open.request_class,
                                send.may_wait ? "retry" : "busy");
     }
     header_map headers = end_to_end_headers(open.request.headers);
-    headers[wire::fleet_key] = process_.from.common.fleet_key;
+    headers[wire::fleet_key] = process_.own_settings.common.fleet_key;
     headers[wire::attempt] = send.attempt.value;
-    headers[wire::entry] = process_.from.common.name;
+    headers[wire::entry] = process_.own_settings.common.name;
     headers[wire::incarnation] = send.incarnation;
-    headers[wire::workspace] = open.of.workspace;
-    headers[wire::work_class] = open.of.work_class;
+    headers[wire::workspace] = open.request_class.workspace;
+    headers[wire::work_class] = open.request_class.work_class;
     headers[wire::repeatable] = send.repeatable ? "true" : "false";
     headers[wire::may_wait] = send.may_wait ? "true" : "false";
     headers[wire::deadline_ms] =
@@ -177,9 +179,9 @@
 void entry_control::act(const forward_answer& forward)
 {
     const auto found = open_.find(forward.number);
-    http_response response = answer_->response;
+    http_response response = current_result_->response;
     response.headers = end_to_end_headers(response.headers);
-    process_.numbers.observe("request", found->second.of,
+    process_.numbers.observe("request", found->second.request_class,
                              clock_.now() - found->second.arrived);
     found->second.responder->respond(std::move(response));
     open_.erase(found);
--- a/packages/daemon/src/entry_role.cpp
+++ b/packages/daemon/src/entry_role.cpp
@@ -18,7 +18,7 @@
 
 void serve(entry_process& process)
 {
-    const common_settings& common = process.from.common;
+    const common_settings& common = process.own_settings.common;
     http_server server(
         {.address = common.address,
          .port = common.port,
@@ -46,9 +46,9 @@
 
 } // namespace
 
-void run_entry(const settings& from, const std::atomic<bool>& drain)
+void run_entry(const settings& own_settings, const std::atomic<bool>& drain)
 {
-    entry_process process(from, drain);
+    entry_process process(own_settings, drain);
     process.parts.add("traffic", [&] { serve(process); });
     process.parts.add("control",
                       [&]
--- a/packages/daemon/src/entry_table.cpp
+++ b/packages/daemon/src/entry_table.cpp
@@ -10,12 +10,12 @@
 namespace
 {
 
-constexpr int good = 200;
+constexpr int ok = 200;
 constexpr int bad_request = 400;
 constexpr int conflict = 409;
-constexpr int unfit = 422;
+constexpr int unprocessable = 422;
 constexpr int unavailable = 503;
-constexpr int in_doubt = 504;
+constexpr int gateway_timeout = 504;
 constexpr duration max_forward_time = std::chrono::seconds(2);
 
 json to_document(const findings& wrong)
@@ -92,8 +92,8 @@
         break;
     }
     case store_user::history:
-        if (const auto found = histories_.find(answered.token);
-            found != histories_.end())
+        if (const auto found = history_calls_.find(answered.token);
+            found != history_calls_.end())
         {
             json list = json::array();
             for (const kv_item& item : answered.answer.items)
@@ -102,30 +102,30 @@
             }
             const bool done = answered.answer.how == kv_answer::state::done;
             found->second->respond(
-                json_response(done ? good : unavailable, {{"history", list}}));
-            histories_.erase(found);
+                json_response(done ? ok : unavailable, {{"history", list}}));
+            history_calls_.erase(found);
         }
         break;
     }
 }
 
-void entry_control::act(const table_loaded& found)
+void entry_control::act(const table_loaded& loaded)
 {
-    take_table(found.rows);
+    apply_table(loaded.rows);
 }
 
-void entry_control::act(const table_rejected& refused)
+void entry_control::act(const table_rejected& rejected)
 {
     log_event(event_id::table_refused,
-              {{"findings", to_document(refused.wrong).dump()}});
+              {{"findings", to_document(rejected.wrong).dump()}});
 }
 
-void entry_control::act(const store_availability& seen)
+void entry_control::act(const store_availability& change)
 {
-    log_event(seen.available ? event_id::store_back : event_id::store_lost);
+    log_event(change.available ? event_id::store_back : event_id::store_lost);
 }
 
-bool entry_control::take_table(const table& rows)
+bool entry_control::apply_table(const table& rows)
 {
     if (!requests_.on_table(rows))
     {
@@ -159,9 +159,9 @@
                             .deadline = clock_.now() + max_forward_time};
         for (const auto& [address, peer] : peers_)
         {
-            const bool heard_lately =
-                clock_.now() - peer.answered < std::chrono::seconds(5);
-            if (heard_lately)
+            const bool answered_recently =
+                clock_.now() - peer.answered_at < std::chrono::seconds(5);
+            if (answered_recently)
             {
                 edit.waiting_for.insert(address);
             }
@@ -176,9 +176,9 @@
                        {"conflicts", to_document(ended.conflicts)}}));
         break;
     case edit_outcome::ending::refused:
-        responder->respond(
-            json_response(unfit, {{"outcome", "not_run"},
-                                  {"findings", to_document(ended.wrong)}}));
+        responder->respond(json_response(
+            unprocessable,
+            {{"outcome", "not_run"}, {"findings", to_document(ended.wrong)}}));
         break;
     case edit_outcome::ending::unavailable:
         responder->respond(json_response(
@@ -187,26 +187,27 @@
         break;
     case edit_outcome::ending::unknown:
         responder->respond(json_response(
-            in_doubt, {{"outcome", "unknown"},
-                       {"detail", "the store did not say whether it wrote"}}));
+            gateway_timeout,
+            {{"outcome", "unknown"},
+             {"detail", "the store did not say whether it wrote"}}));
         break;
     }
 }
 
 void entry_control::finish_edits(time_point now)
 {
-    std::vector<committed_edit> left;
+    std::vector<committed_edit> pending;
     for (committed_edit& edit : committed_)
     {
         if (!edit.waiting_for.empty() && now < edit.deadline)
         {
-            left.push_back(std::move(edit));
+            pending.push_back(std::move(edit));
             continue;
         }
         edit.responder->respond(
-            json_response(good, {{"revision", edit.revision}}));
+            json_response(ok, {{"revision", edit.revision}}));
     }
-    committed_ = std::move(left);
+    committed_ = std::move(pending);
 }
 
 } // namespace springstair
--- a/packages/daemon/src/entry_tasks.cpp
+++ b/packages/daemon/src/entry_tasks.cpp
@@ -11,9 +11,9 @@
 namespace
 {
 
-constexpr int good = 200;
+constexpr int ok = 200;
 constexpr int accepted = 202;
-constexpr int partial = 206;
+constexpr int partial_content = 206;
 constexpr std::string_view tasks_path = "/v1/tasks";
 constexpr duration call_deadline = std::chrono::seconds(5);
 constexpr duration forward_timeout = std::chrono::seconds(6);
@@ -132,7 +132,7 @@
     }
     if (!cancel)
     {
-        arrival.responder->respond(json_response(good, to_answer(*record)));
+        arrival.responder->respond(json_response(ok, to_answer(*record)));
         return;
     }
     const task_call call = next_number_++;
@@ -153,17 +153,18 @@
     {
         return false;
     }
-    for (const auto& [name, said] : requests_.entries().summaries())
+    for (const auto& [name, peer_summary] : requests_.entries().summaries())
     {
-        if (std::find(said.shards.begin(), said.shards.end(), *shard) ==
-            said.shards.end())
+        if (std::find(peer_summary.shards.begin(), peer_summary.shards.end(),
+                      *shard) == peer_summary.shards.end())
         {
             continue;
         }
         process_.client.send(
             {.method = arrival.request.method,
-             .url = "http://" + said.address + arrival.request.path,
-             .headers = {{wire::fleet_key, process_.from.common.fleet_key},
+             .url = "http://" + peer_summary.address + arrival.request.path,
+             .headers = {{wire::fleet_key,
+                          process_.own_settings.common.fleet_key},
                          {wire::workspace, workspace}},
              .body = {},
              .timeout = forward_timeout},
@@ -200,26 +201,28 @@
 void entry_control::on_list(http_arrival& arrival, const std::string& workspace)
 {
     const std::uint64_t number = next_number_++;
-    task_list& list = lists_[number];
+    task_list& list = task_lists_[number];
     list.responder = arrival.responder;
     for (const task_record& record : tasks_.records_of(workspace))
     {
         list.tasks.push_back(to_answer(record));
     }
-    const bool handed_on = arrival.request.headers.contains(wire::fleet_key);
-    if (!handed_on)
+    const bool forwarded = arrival.request.headers.contains(wire::fleet_key);
+    if (!forwarded)
     {
-        for (const auto& [name, said] : requests_.entries().summaries())
+        for (const auto& [name, peer_summary] : requests_.entries().summaries())
         {
-            if (said.shards.empty())
+            if (peer_summary.shards.empty())
             {
                 continue;
             }
-            ++list.missing;
+            ++list.outstanding;
             process_.client.send(
                 {.method = "GET",
-                 .url = "http://" + said.address + std::string(tasks_path),
-                 .headers = {{wire::fleet_key, process_.from.common.fleet_key},
+                 .url =
+                     "http://" + peer_summary.address + std::string(tasks_path),
+                 .headers = {{wire::fleet_key,
+                              process_.own_settings.common.fleet_key},
                              {wire::workspace, workspace}},
                  .body = {},
                  .timeout = list_timeout},
@@ -234,13 +237,13 @@
 
 void entry_control::on(list_part_ended& ended)
 {
-    const auto found = lists_.find(ended.list);
-    if (found == lists_.end())
+    const auto found = task_lists_.find(ended.list);
+    if (found == task_lists_.end())
     {
         return;
     }
     task_list& list = found->second;
-    --list.missing;
+    --list.outstanding;
     const json part =
         ended.result.how == delivery::answered
             ? json::parse(*ended.result.response.body, nullptr, false)
@@ -261,15 +264,15 @@
 
 void entry_control::finish_list(std::uint64_t number)
 {
-    const task_list& list = lists_.at(number);
-    if (list.missing > 0)
+    const task_list& list = task_lists_.at(number);
+    if (list.outstanding > 0)
     {
         return;
     }
     list.responder->respond(
-        json_response(list.complete ? good : partial,
+        json_response(list.complete ? ok : partial_content,
                       {{"tasks", list.tasks}, {"complete", list.complete}}));
-    lists_.erase(number);
+    task_lists_.erase(number);
 }
 
 // ---------------------------------------------------------------------------
@@ -290,9 +293,9 @@
     }
     if (answer.record)
     {
-        const bool waits = !is_final(answer.record->state);
-        found->second->respond(
-            json_response(waits ? accepted : good, to_answer(*answer.record)));
+        const bool in_progress = !is_final(answer.record->state);
+        found->second->respond(json_response(in_progress ? accepted : ok,
+                                             to_answer(*answer.record)));
     }
     else
     {
@@ -305,20 +308,20 @@
 void entry_control::act(const send_start& start)
 {
     process_.client.send(
-        make_rpc_call(start.address, process_.from.common.fleet_key,
+        make_rpc_call(start.address, process_.own_settings.common.fleet_key,
                       wire::start_task_method, start.what),
-        [&process = process_, what = start.what](http_result result) {
-            process.events.post(start_ended{what, std::move(result)});
+        [&process = process_, request = start.what](http_result result) {
+            process.events.post(start_ended{request, std::move(result)});
         });
 }
 
 void entry_control::act(const send_stop& stop)
 {
     process_.client.send(
-        make_rpc_call(stop.address, process_.from.common.fleet_key,
+        make_rpc_call(stop.address, process_.own_settings.common.fleet_key,
                       wire::stop_task_method, stop.what),
-        [&process = process_, what = stop.what](http_result result) {
-            process.events.post(stop_ended{what, std::move(result)});
+        [&process = process_, request = stop.what](http_result result) {
+            process.events.post(stop_ended{request, std::move(result)});
         });
 }
 
@@ -340,7 +343,7 @@
 {
     if (const auto reply = rpc_answer_of<task_reply>(ended.result))
     {
-        tasks_.on_start_reply(ended.what, *reply);
+        tasks_.on_start_reply(ended.start, *reply);
     }
 }
 
@@ -348,7 +351,7 @@
 {
     if (const auto reply = rpc_answer_of<task_reply>(ended.result))
     {
-        tasks_.on_stop_reply(ended.what, *reply);
+        tasks_.on_stop_reply(ended.stop, *reply);
     }
 }
 
--- a/packages/daemon/src/guard_control.cpp
+++ b/packages/daemon/src/guard_control.cpp
@@ -37,12 +37,12 @@
 guard_control::guard_control(guard_process& process)
     : process_(process), incarnation_(random_hex(incarnation_bytes)),
       core_(core_options(), clock_.now()),
-      keeper_({.incarnation = incarnation_,
-               .capacity = process.from.guard.capacity}),
-      worker_(process.client, process.from.guard.worker,
-              process.from.guard.task_lease)
+      tracker_({.incarnation = incarnation_,
+                .capacity = process.own_settings.guard.capacity}),
+      worker_(process.client, process.own_settings.guard.worker,
+              process.own_settings.guard.task_lease)
 {
-    for (const std::string& address : process.from.common.entries)
+    for (const std::string& address : process.own_settings.common.entries)
     {
         entries_[address];
     }
@@ -72,10 +72,10 @@
 
 guard_options guard_control::core_options() const
 {
-    return {.name = {process_.from.common.name},
+    return {.name = {process_.own_settings.common.name},
             .incarnation = incarnation_,
-            .admission = {.slots = process_.from.guard.slots,
-                          .reserve = process_.from.guard.reserve_slots},
+            .admission = {.slots = process_.own_settings.guard.slots,
+                          .reserve = process_.own_settings.guard.reserve_slots},
             .seed = std::hash<std::string>{}(incarnation_)};
 }
 
@@ -126,7 +126,7 @@
     }
     open_[attempt.attempt] = {.request = std::move(arrival.request),
                               .responder = arrival.responder,
-                              .of = attempt.of,
+                              .request_class = attempt.of,
                               .arrived = now};
     carry_out(core_.on_attempt(now, attempt));
 }
@@ -138,14 +138,14 @@
     {
         if (const auto started = core_.started(ended.attempt))
         {
-            process_.numbers.observe("service", found->second.of,
+            process_.numbers.observe("service", found->second.request_class,
                                      clock_.now() - *started);
         }
     }
-    answer_ = &ended.result;
+    current_result_ = &ended.result;
     carry_out(
         core_.on_executor(clock_.now(), ended.attempt, classify(ended.result)));
-    answer_ = nullptr;
+    current_result_ = nullptr;
 }
 
 void guard_control::carry_out(const guard_actions& actions)
@@ -164,20 +164,20 @@
         return;
     }
     const open_attempt& attempt = found->second;
-    process_.numbers.observe("queue", attempt.of,
+    process_.numbers.observe("queue", attempt.request_class,
                              clock_.now() - attempt.arrived);
     header_map headers = end_to_end_headers(attempt.request.headers);
     headers[wire::attempt] = run.attempt.value;
-    headers[wire::workspace] = attempt.of.workspace;
-    headers[wire::work_class] = attempt.of.work_class;
+    headers[wire::workspace] = attempt.request_class.workspace;
+    headers[wire::work_class] = attempt.request_class.work_class;
     std::string path = attempt.request.header(wire::path);
     process_.client.send(
         {.method = "POST",
-         .url = "http://" + process_.from.guard.executor +
+         .url = "http://" + process_.own_settings.guard.executor +
                 (path.empty() ? "/" : path),
          .headers = std::move(headers),
          .body = attempt.request.body,
-         .timeout = process_.from.guard.max_service_time,
+         .timeout = process_.own_settings.guard.max_service_time,
          .dedicated_connection =
              attempt.request.header(wire::repeatable) != "true",
          .max_open_calls = max_requests_open},
@@ -189,15 +189,15 @@
 void guard_control::act(const reply_answer& reply)
 {
     const auto found = open_.find(reply.attempt);
-    if (found == open_.end() || answer_ == nullptr)
+    if (found == open_.end() || current_result_ == nullptr)
     {
         return;
     }
-    http_response response = answer_->response;
+    http_response response = current_result_->response;
     const bool failed = response.status >= server_error;
     response.headers = end_to_end_headers(response.headers);
-    mark(response, found->second.request, reply.attempt,
-         failed ? wire::ending_failed : wire::ending_answered);
+    add_attempt_headers(response, found->second.request, reply.attempt,
+                        failed ? wire::ending_failed : wire::ending_answered);
     found->second.responder->respond(std::move(response));
     open_.erase(found);
 }
@@ -209,29 +209,32 @@
     {
         return;
     }
-    process_.numbers.count("refused", found->second.of,
+    process_.numbers.count("refused", found->second.request_class,
                            to_string(problem.what.reason));
     reply(*found->second.responder, found->second.request, problem.attempt,
           problem.what);
     open_.erase(found);
 }
 
-void guard_control::reply(http_responder& responder, const http_request& to,
+void guard_control::reply(http_responder& responder,
+                          const http_request& request,
                           const attempt_name& attempt,
-                          const problem_report& what)
+                          const problem_report& problem)
 {
-    http_response response = to_response(what);
-    mark(response, to, attempt, wire::ending_refused);
+    http_response response = to_response(problem);
+    add_attempt_headers(response, request, attempt, wire::ending_refused);
     responder.respond(std::move(response));
 }
 
-void guard_control::mark(http_response& response, const http_request& to,
-                         const attempt_name& attempt, const char* ending)
+void guard_control::add_attempt_headers(http_response& response,
+                                        const http_request& request,
+                                        const attempt_name& attempt,
+                                        const char* ending)
 {
     response.headers[wire::ending] = ending;
     response.headers[wire::attempt] = attempt.value;
     response.headers[wire::load] =
-        to_header(core_.load(to.header(wire::entry)));
+        to_header(core_.load(request.header(wire::entry)));
 }
 
 // ---------------------------------------------------------------------------
@@ -242,7 +245,7 @@
 {
     worker_actions actions;
     const task_reply reply =
-        keeper_.on_start(clock_.now(), message.get<start_task>(), actions);
+        tracker_.on_start(clock_.now(), message.get<start_task>(), actions);
     carry_out(actions);
     return reply;
 }
@@ -251,7 +254,7 @@
 {
     worker_actions actions;
     const task_reply reply =
-        keeper_.on_stop(clock_.now(), message.get<stop_task>(), actions);
+        tracker_.on_stop(clock_.now(), message.get<stop_task>(), actions);
     carry_out(actions);
     return reply;
 }
@@ -274,10 +277,11 @@
     }
     const time_point now = clock_.now();
     worker_actions actions;
-    keeper_.on_worker_list(now, listed.list->clock, listed.list->tasks,
-                           actions);
+    tracker_.on_worker_list(now, listed.list->clock, listed.list->tasks,
+                            actions);
     carry_out(actions);
-    carry_out(core_.on_executor_list(now, listed.asked, listed.list->requests));
+    carry_out(core_.on_executor_list(now, listed.requested_at,
+                                     listed.list->requests));
 }
 
 void guard_control::poll_worker(time_point now)
@@ -287,7 +291,7 @@
         return;
     }
     const bool busy =
-        !core_.ready() || core_.has_orphans() || !keeper_.reports().empty();
+        !core_.ready() || core_.has_orphans() || !tracker_.reports().empty();
     next_poll_ = now + (busy ? busy_poll : idle_poll);
     polling_ = true;
     worker_.list(
@@ -303,44 +307,45 @@
 guard_report guard_control::report(time_point now,
                                    const std::string& entry) const
 {
-    guard_report all{.guard = {process_.from.common.name},
+    guard_report own{.guard = {process_.own_settings.common.name},
                      .incarnation = incarnation_,
-                     .data_centre = process_.from.common.data_centre,
-                     .rack = process_.from.common.rack,
-                     .address = process_.from.common.address + ":" +
-                                std::to_string(process_.from.common.port),
+                     .data_centre = process_.own_settings.common.data_centre,
+                     .rack = process_.own_settings.common.rack,
+                     .address =
+                         process_.own_settings.common.address + ":" +
+                         std::to_string(process_.own_settings.common.port),
                      .leaving = core_.draining(),
                      .ready = core_.ready(),
-                     .tasks_ready = keeper_.ready(),
+                     .tasks_ready = tracker_.ready(),
                      .load = core_.load(entry),
                      .table_revision = core_.rows().revision(),
-                     .capacity = keeper_.capacity(),
-                     .free = keeper_.free(),
-                     .attempts = keeper_.reports()};
+                     .capacity = tracker_.capacity(),
+                     .free = tracker_.free(),
+                     .attempts = tracker_.reports()};
     for (const auto& [address, known] : entries_)
     {
-        if (now - known.answered <= entry_timeout)
+        if (now - known.answered_at <= entry_timeout)
         {
-            all.entries_heard.push_back(known.name);
+            own.entries_heard.push_back(known.name);
         }
     }
-    return all;
+    return own;
 }
 
 void guard_control::send_heartbeats(time_point now)
 {
-    next_heartbeat_ = now + process_.from.guard.heartbeat;
+    next_heartbeat_ = now + process_.own_settings.guard.heartbeat;
     for (auto& [address, entry] : entries_)
     {
-        if (std::exchange(entry.asked, true))
+        if (std::exchange(entry.heartbeat_in_flight, true))
         {
             continue;
         }
         process_.client.send(
-            make_rpc_call(address, process_.from.common.fleet_key,
+            make_rpc_call(address, process_.own_settings.common.fleet_key,
                           wire::heartbeat_method, report(now, entry.name)),
-            [&process = process_, to = address](http_result result) {
-                process.events.post(heartbeat_ended{to, std::move(result)});
+            [&process = process_, target = address](http_result result) {
+                process.events.post(heartbeat_ended{target, std::move(result)});
             });
     }
 }
@@ -348,31 +353,31 @@
 void guard_control::on(heartbeat_ended& ended)
 {
     known_entry& entry = entries_[ended.address];
-    entry.asked = false;
-    const auto said = rpc_answer_of<heartbeat_answer>(ended.result);
-    if (!said)
+    entry.heartbeat_in_flight = false;
+    const auto received = rpc_answer_of<heartbeat_answer>(ended.result);
+    if (!received)
     {
         return;
     }
-    const heartbeat_answer& answer = *said;
+    const heartbeat_answer& answer = *received;
     const time_point now = clock_.now();
     entry.name = answer.entry.value;
-    entry.answered = now;
-    told_ = told_ || core_.draining();
+    entry.answered_at = now;
+    leave_acknowledged_ = leave_acknowledged_ || core_.draining();
     for (const std::string& address : answer.entries)
     {
         entries_[address];
     }
     if (answer.table.is_object())
     {
-        take_table(answer.table);
+        apply_table(answer.table);
     }
     worker_actions actions;
-    keeper_.on_acked(now, answer.acked, actions);
+    tracker_.on_acked(now, answer.acked, actions);
     carry_out(actions);
 }
 
-void guard_control::take_table(const json& document)
+void guard_control::apply_table(const json& document)
 {
     const auto rows = table_of_peer(document);
     if (rows && core_.on_table(*rows))
@@ -392,7 +397,7 @@
     {
         log_event(event_id::process_draining);
         core_.on_drain();
-        keeper_.on_drain();
+        tracker_.on_drain();
         send_heartbeats(clock_.now());
     }
 }
@@ -402,7 +407,7 @@
     const time_point now = clock_.now();
     carry_out(core_.on_tick(now));
     worker_actions actions;
-    keeper_.on_tick(now, actions);
+    tracker_.on_tick(now, actions);
     carry_out(actions);
     poll_worker(now);
     if (process_.drain && !stop_since_)
@@ -414,10 +419,10 @@
     {
         send_heartbeats(now);
     }
-    const bool farewell_said = stop_since_ &&
-                               now - *stop_since_ >= min_drain_time &&
-                               (told_ || now - *stop_since_ >= entry_timeout);
-    if (farewell_said && core_.idle() && open_.empty())
+    const bool leave_announced =
+        stop_since_ && now - *stop_since_ >= min_drain_time &&
+        (leave_acknowledged_ || now - *stop_since_ >= entry_timeout);
+    if (leave_announced && core_.idle() && open_.empty())
     {
         process_.parts.stop();
     }
--- a/packages/daemon/src/guard_control.hpp
+++ b/packages/daemon/src/guard_control.hpp
@@ -23,7 +23,7 @@
 /// The worker's list came, or not.
 struct worker_listed
 {
-    time_point asked;
+    time_point requested_at;
     std::optional<worker_list> list;
 };
 
@@ -40,7 +40,7 @@
 /// What the parts of a guard share.
 struct guard_process
 {
-    const settings& from;
+    const settings& own_settings;
     const std::atomic<bool>& drain;
     supervisor parts;
     mailbox<guard_event> events;
@@ -48,7 +48,7 @@
     http_client client;
 
     guard_process(const settings& all, const std::atomic<bool>& drain_flag)
-        : from(all), drain(drain_flag)
+        : own_settings(all), drain(drain_flag)
     {
     }
 };
@@ -66,15 +66,15 @@
     {
         http_request request;
         std::shared_ptr<http_responder> responder;
-        class_name of;
+        class_name request_class;
         time_point arrived;
     };
 
     struct known_entry
     {
-        bool asked = false; ///< a heartbeat is on its way
+        bool heartbeat_in_flight = false; ///< a heartbeat is on its way
         std::string name;
-        time_point answered{};
+        time_point answered_at{};
     };
 
     guard_options core_options() const;
@@ -87,10 +87,11 @@
     void act(const run_attempt& run);
     void act(const reply_answer& reply);
     void act(const reply_problem& problem);
-    void reply(http_responder& responder, const http_request& to,
-               const attempt_name& attempt, const problem_report& what);
-    void mark(http_response& response, const http_request& to,
-              const attempt_name& attempt, const char* ending);
+    void reply(http_responder& responder, const http_request& request,
+               const attempt_name& attempt, const problem_report& problem);
+    void add_attempt_headers(http_response& response,
+                             const http_request& request,
+                             const attempt_name& attempt, const char* ending);
 
     // Tasks.
     json start_task_rpc(const json& message);
@@ -103,7 +104,7 @@
     guard_report report(time_point now, const std::string& entry) const;
     void send_heartbeats(time_point now);
     void on(heartbeat_ended& ended);
-    void take_table(const json& document);
+    void apply_table(const json& document);
 
     // Time.
     void begin_drain();
@@ -113,16 +114,17 @@
     daemon_clock clock_;
     std::string incarnation_;
     guard_core core_;
-    attempt_tracker keeper_;
+    attempt_tracker tracker_;
     worker_client worker_;
     rpc_dispatcher rpc_;
     std::map<attempt_name, open_attempt> open_;
-    const http_result* answer_ = nullptr;
+    const http_result* current_result_ = nullptr;
     std::map<std::string, known_entry> entries_;
     time_point next_heartbeat_{};
     time_point next_poll_{};
     bool polling_ = false;
-    bool told_ = false; ///< an entry has heard that this guard leaves
+    bool leave_acknowledged_ =
+        false; ///< an entry has heard that this guard leaves
     std::optional<time_point> stop_since_;
 };
 
--- a/packages/daemon/src/guard_role.cpp
+++ b/packages/daemon/src/guard_role.cpp
@@ -17,7 +17,7 @@
 
 void serve(guard_process& process)
 {
-    const common_settings& common = process.from.common;
+    const common_settings& common = process.own_settings.common;
     const http_server server(
         {.address = common.address,
          .port = common.port,
@@ -47,9 +47,9 @@
 
 } // namespace
 
-void run_guard(const settings& from, const std::atomic<bool>& drain)
+void run_guard(const settings& own_settings, const std::atomic<bool>& drain)
 {
-    guard_process process(from, drain);
+    guard_process process(own_settings, drain);
     process.parts.add("traffic", [&] { serve(process); });
     process.parts.add("control",
                       [&]
--- a/packages/daemon/src/role_support.cpp
+++ b/packages/daemon/src/role_support.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-constexpr int good = 200;
+constexpr int ok = 200;
 constexpr int not_found = 404;
 
 const std::set<std::string, std::less<>>& connection_headers()
@@ -49,7 +49,7 @@
 
 std::optional<json> rpc_result_of(const http_result& result)
 {
-    if (result.how != delivery::answered || result.response.status != good)
+    if (result.how != delivery::answered || result.response.status != ok)
     {
         return std::nullopt;
     }
@@ -78,29 +78,29 @@
 
 header_map end_to_end_headers(const header_map& all)
 {
-    header_map kept;
+    header_map result;
     for (const auto& [name, value] : all)
     {
         if (!connection_headers().contains(name) &&
             !name.starts_with(wire::own_prefix))
         {
-            kept.emplace(name, value);
+            result.emplace(name, value);
         }
     }
-    return kept;
+    return result;
 }
 
 void answer_rpc(http_arrival& arrival, rpc_dispatcher& methods)
 {
     arrival.responder->respond(
-        {.status = good,
+        {.status = ok,
          .headers = {{"content-type", "application/json"}},
          .body = make_body(methods.handle(*arrival.request.body))});
 }
 
 void answer_metrics(http_responder& responder, const metrics& numbers)
 {
-    responder.respond({.status = good,
+    responder.respond({.status = ok,
                        .headers = {{"content-type", "text/plain"}},
                        .body = make_body(numbers.text())});
 }
--- a/packages/daemon/src/settings.cpp
+++ b/packages/daemon/src/settings.cpp
@@ -15,12 +15,12 @@
 constexpr std::size_t min_key_length = 16;
 constexpr std::int64_t max_port = 65'535;
 constexpr std::int64_t max_body = std::int64_t{256} << 20;
-constexpr std::int64_t default_body = std::int64_t{16} << 20;
+constexpr std::int64_t default_max_body = std::int64_t{16} << 20;
 constexpr std::int64_t max_threads = 64;
 constexpr std::int64_t max_milliseconds = 3'600'000;
 constexpr std::int64_t max_shards = 1024;
 
-bool is_ip_number(const std::string& text)
+bool is_ipv4_address(const std::string& text)
 {
     in_addr parsed{};
     return inet_pton(AF_INET, text.c_str(), &parsed) == 1;
@@ -29,7 +29,7 @@
 bool is_endpoint(const std::string& text)
 {
     const std::size_t colon = text.find(':');
-    if (colon == std::string::npos || !is_ip_number(text.substr(0, colon)))
+    if (colon == std::string::npos || !is_ipv4_address(text.substr(0, colon)))
     {
         return false;
     }
@@ -77,7 +77,7 @@
     common.data_centre = reader.text("data_centre");
     common.rack = reader.text("rack", "none");
     common.address = reader.text("address");
-    if (!common.address.empty() && !is_ip_number(common.address))
+    if (!common.address.empty() && !is_ipv4_address(common.address))
     {
         reader.report("address", "must be an IP number");
     }
@@ -99,7 +99,7 @@
     common.threads = static_cast<unsigned int>(
         reader.integer("threads", 2, {.least = 1, .most = max_threads}));
     common.most_body_bytes = static_cast<std::size_t>(reader.integer(
-        "most_body_bytes", default_body, {.least = 1, .most = max_body}));
+        "most_body_bytes", default_max_body, {.least = 1, .most = max_body}));
     return common;
 }
 
@@ -155,29 +155,29 @@
 {
     findings wrong;
     object_reader reader(document, "", wrong);
-    settings all;
-    all.common = read_common(reader);
-    const bool is_entry = all.common.role == process_role::entry;
+    settings result;
+    result.common = read_common(reader);
+    const bool is_entry = result.common.role == process_role::entry;
     const std::string section = is_entry ? "entry" : "guard";
-    const json* const own = reader.member(section);
-    if (own == nullptr)
+    const json* const role_settings = reader.member(section);
+    if (role_settings == nullptr)
     {
         reader.report(section, "is required for this role");
     }
     else if (is_entry)
     {
-        all.entry = read_entry(*own, wrong);
+        result.entry = read_entry(*role_settings, wrong);
     }
     else
     {
-        all.guard = read_guard(*own, wrong);
+        result.guard = read_guard(*role_settings, wrong);
     }
     reader.reject_unknown();
     if (!wrong.empty())
     {
         throw document_error(std::move(wrong));
     }
-    return all;
+    return result;
 }
 
 json read_document(const std::string& path)
@@ -202,9 +202,9 @@
     return parse_settings(read_document(path));
 }
 
-json to_document(const settings& from)
+json to_document(const settings& values)
 {
-    const common_settings& common = from.common;
+    const common_settings& common = values.common;
     const bool is_entry = common.role == process_role::entry;
     json document{{"role", is_entry ? "entry" : "guard"},
                   {"name", common.name},
@@ -222,7 +222,7 @@
     }
     if (is_entry)
     {
-        const entry_settings& entry = from.entry;
+        const entry_settings& entry = values.entry;
         document["entry"] = {
             {"store", entry.store},
             {"operator_credential_hashes", entry.operator_credential_hashes},
@@ -232,7 +232,7 @@
             {"drain_grace_ms", to_milliseconds(entry.drain_grace)}};
         return document;
     }
-    const guard_settings& guard = from.guard;
+    const guard_settings& guard = values.guard;
     document["guard"] = {
         {"executor", guard.executor},
         {"worker", guard.worker},
--- a/packages/daemon/src/supervisor.cpp
+++ b/packages/daemon/src/supervisor.cpp
@@ -12,10 +12,10 @@
 
 void supervisor::add(std::string name, std::function<void()> body)
 {
-    auto fresh = std::make_unique<part>();
-    fresh->name = std::move(name);
-    fresh->body = std::move(body);
-    parts_.push_back(std::move(fresh));
+    auto added = std::make_unique<part>();
+    added->name = std::move(name);
+    added->body = std::move(body);
+    parts_.push_back(std::move(added));
 }
 
 bool supervisor::may_restart(part& one, const std::string& why)
@@ -26,10 +26,10 @@
     {
         one.failures.pop_front();
     }
-    const bool again = one.failures.size() <= options_.max_restarts;
-    log_event(again ? event_id::part_restarted : event_id::part_given_up,
+    const bool restart = one.failures.size() <= options_.max_restarts;
+    log_event(restart ? event_id::part_restarted : event_id::part_given_up,
               {{"part", one.name}, {"why", why}});
-    return again;
+    return restart;
 }
 
 void supervisor::run_part(part& one)
