--- a/tests/unit/edge_tests.cpp
+++ b/tests/unit/edge_tests.cpp
@@ -27,51 +27,53 @@
 TEST_CASE("a request and its answer pass whole, query and headers too")
 {
     http_server server({},
-                       [](const http_request& got, http_responder to)
+                       [](const http_request& request, http_responder responder)
                        {
-                           to.respond(
+                           responder.respond(
                                {.status = 201,
-                                .headers = {{"x-seen", got.header("x-own")},
-                                            {"x-arg", got.argument("q")}},
-                                .body = got.body});
+                                .headers = {{"x-seen", request.header("x-own")},
+                                            {"x-arg", request.argument("q")}},
+                                .body = request.body});
                        });
     http_client client;
     const std::string body(300'000, 'b');
-    const http_result got =
+    const http_result result =
         client.send_and_wait({.url = url_of(server, "/p?q=7"),
                               .headers = {{"x-own", "v"}},
                               .body = make_body(body)});
-    REQUIRE(got.how == delivery::answered);
-    CHECK(got.response.status == 201);
-    CHECK(*got.response.body == body);
-    CHECK(got.response.headers.at("x-seen") == "v");
-    CHECK(got.response.headers.at("x-arg") == "7");
+    REQUIRE(result.how == delivery::answered);
+    CHECK(result.response.status == 201);
+    CHECK(*result.response.body == body);
+    CHECK(result.response.headers.at("x-seen") == "v");
+    CHECK(result.response.headers.at("x-arg") == "7");
 }
 
 TEST_CASE("what is known of a call that failed")
 {
     http_client client;
-    std::string dead;
+    std::string closed_url;
     {
-        const http_server gone({}, [](const http_request&, http_responder) {});
-        dead = url_of(gone);
+        const http_server closed({},
+                                 [](const http_request&, http_responder) {});
+        closed_url = url_of(closed);
     }
-    CHECK(client.send_and_wait({.url = dead}).how == delivery::not_sent);
-    std::vector<std::shared_ptr<http_responder>> kept;
+    CHECK(client.send_and_wait({.url = closed_url}).how == delivery::not_sent);
+    std::vector<std::shared_ptr<http_responder>> responders;
     absl::Mutex mutex;
     const http_server silent(
         {},
-        [&](const http_request&, http_responder to)
+        [&](const http_request&, http_responder responder)
         {
             const absl::MutexLock lock(&mutex);
-            kept.push_back(std::make_shared<http_responder>(std::move(to)));
+            responders.push_back(
+                std::make_shared<http_responder>(std::move(responder)));
         });
     CHECK(client
               .send_and_wait({.url = url_of(silent),
                               .timeout = std::chrono::milliseconds(100)})
               .how == delivery::unknown);
     const absl::MutexLock lock(&mutex);
-    kept.clear();
+    responders.clear();
 }
 
 TEST_CASE("servers that end right after an answer end clean")
@@ -79,10 +81,12 @@
     http_client client;
     for (int count = 0; count < 400; ++count)
     {
-        const http_server brief({}, [](const http_request&, http_responder to)
-                                { to.respond({.status = 200}); });
-        const http_result got = client.send_and_wait({.url = url_of(brief)});
-        CHECK(got.how == delivery::answered);
+        const http_server server(
+            {}, [](const http_request&, http_responder responder)
+            { responder.respond({.status = 200}); });
+        const http_result result =
+            client.send_and_wait({.url = url_of(server)});
+        CHECK(result.how == delivery::answered);
     }
 }
 
@@ -90,9 +94,9 @@
 {
     const http_server server({}, [](const http_request&, http_responder) {});
     http_client client;
-    const http_result got = client.send_and_wait({.url = url_of(server)});
-    REQUIRE(got.how == delivery::answered);
-    const auto problem = problem_of(got.response);
+    const http_result result = client.send_and_wait({.url = url_of(server)});
+    REQUIRE(result.how == delivery::answered);
+    const auto problem = problem_of(result.response);
     REQUIRE(problem);
     CHECK(problem->result == outcome::unknown);
 }
@@ -100,25 +104,25 @@
 TEST_CASE("bodies beyond the bound are refused")
 {
     const http_server server({.most_body_bytes = 1000},
-                             [](const http_request&, http_responder to)
-                             { to.respond({.status = 200}); });
+                             [](const http_request&, http_responder responder)
+                             { responder.respond({.status = 200}); });
     http_client client;
-    const http_result got = client.send_and_wait(
+    const http_result result = client.send_and_wait(
         {.url = url_of(server), .body = make_body(std::string(5000, 'x'))});
     const bool refused =
-        got.how != delivery::answered || got.response.status == 413;
+        result.how != delivery::answered || result.response.status == 413;
     CHECK(refused);
 }
 
 TEST_CASE("problems pass the wire and say when to come back")
 {
-    const problem_report what{.result = outcome::not_run,
-                              .reason = refusal::queue_full,
-                              .retry_after = std::chrono::milliseconds(1200),
-                              .detail = "d"};
-    const http_response response = to_response(what);
+    const problem_report problem{.result = outcome::not_run,
+                                 .reason = refusal::queue_full,
+                                 .retry_after = std::chrono::milliseconds(1200),
+                                 .detail = "d"};
+    const http_response response = to_response(problem);
     CHECK(response.headers.at("retry-after") == "2");
-    CHECK(problem_of(response) == what);
+    CHECK(problem_of(response) == problem);
     CHECK(!problem_of({.status = 503, .body = make_body("{}")}));
     for (int index = 0;; ++index)
     {
@@ -133,13 +137,13 @@
 
 TEST_CASE("the store's gateway: what is written and what is read")
 {
-    struct written
+    struct encoding_case
     {
         kv_operation operation;
         const char* path;
         json body;
     };
-    const std::vector<written> cases{
+    const std::vector<encoding_case> cases{
         {kv_range{.key = "a", .min_mod_revision = 5},
          "/v3/kv/range",
          {{"key", "YQ=="}, {"min_mod_revision", "5"}}},
@@ -164,7 +168,7 @@
               {{"key", "YQ=="}, {"value", "dg=="}, {"lease", "4"}}}},
             {{"request_delete_range", {{"key", "Yg=="}}}}}}}},
     };
-    for (const written& one : cases)
+    for (const encoding_case& one : cases)
     {
         const gateway_call call = to_gateway(one.operation);
         CHECK(call.path == one.path);
@@ -179,9 +183,9 @@
     CHECK(answer.items.front().value == "v");
     CHECK(answer.items.front().mod_revision == 11);
     CHECK(answer.revision == 12);
-    const kv_answer lapsed =
+    const kv_answer expired =
         from_gateway(kv_keep_alive{.lease = 7}, {{"result", {{"ID", "7"}}}});
-    CHECK(lapsed.ttl_seconds == 0);
+    CHECK(expired.ttl_seconds == 0);
     CHECK_THROWS(from_gateway(kv_keep_alive{}, json::object()));
     for (const std::string text : {"", "a", "ab", "abc", "\xff\x00"})
     {
@@ -193,29 +197,32 @@
 {
     int status = 200;
     const http_server server(
-        {}, [&](const http_request&, http_responder to)
-        { to.respond({.status = status, .body = make_body("half of {")}); });
+        {},
+        [&](const http_request&, http_responder responder) {
+            responder.respond(
+                {.status = status, .body = make_body("half of {")});
+        });
     http_client client;
     etcd_client store(
         client, {.endpoints = {"127.0.0.1:" + std::to_string(server.port())}});
-    const auto ask = [&]
+    const auto read_state = [&]
     {
-        kv_answer got;
+        kv_answer received;
         absl::Notification done;
         store.send(kv_range{.key = "a"},
                    [&](kv_answer answer)
                    {
-                       got = std::move(answer);
+                       received = std::move(answer);
                        done.Notify();
                    });
         done.WaitForNotification();
-        return got.how;
+        return received.how;
     };
-    CHECK(ask() == kv_answer::state::unknown);
+    CHECK(read_state() == kv_answer::state::unknown);
     status = 503;
-    CHECK(ask() == kv_answer::state::unknown);
+    CHECK(read_state() == kv_answer::state::unknown);
     status = 400;
-    CHECK(ask() == kv_answer::state::not_done);
+    CHECK(read_state() == kv_answer::state::not_done);
 }
 
 TEST_CASE("messages pass the wire unchanged")
@@ -248,47 +255,47 @@
 
 TEST_CASE("each step follows from the state, or is passed over")
 {
-    using what = task_transition::step;
-    shard_tasks book;
-    const auto apply = [&](what step, std::int64_t attempt)
+    using step = task_transition::step;
+    shard_tasks tasks;
+    const auto apply = [&](step kind, std::int64_t attempt)
     {
         task_transition one;
-        one.what = step;
+        one.what = kind;
         one.task = "t1-a";
         one.attempt = attempt;
         one.guard = "g";
         one.spec = task_spec{.id = "t1-a"};
-        return book.apply(one);
+        return tasks.apply(one);
     };
-    CHECK(apply(what::accept, 0));
-    CHECK(!apply(what::accept, 0));
-    CHECK(!apply(what::finish, 1)); // never placed
-    CHECK(!apply(what::place, 2));  // out of turn
-    CHECK(apply(what::place, 1));
-    CHECK(!apply(what::place, 2)); // one at a time
-    CHECK(!apply(what::finish, 2));
-    CHECK(apply(what::evict, 1));
-    CHECK(!apply(what::evict, 1));  // resumed once
-    CHECK(!apply(what::finish, 1)); // the evicted attempt counts no more
-    CHECK(apply(what::place, 2));
-    CHECK(apply(what::finish, 2));
-    CHECK(!apply(what::cancel, 0)); // ended already
-    CHECK(shard_tasks::parse(book.to_document()) == book);
+    CHECK(apply(step::accept, 0));
+    CHECK(!apply(step::accept, 0));
+    CHECK(!apply(step::finish, 1)); // never placed
+    CHECK(!apply(step::place, 2));  // out of turn
+    CHECK(apply(step::place, 1));
+    CHECK(!apply(step::place, 2)); // one at a time
+    CHECK(!apply(step::finish, 2));
+    CHECK(apply(step::evict, 1));
+    CHECK(!apply(step::evict, 1));  // resumed once
+    CHECK(!apply(step::finish, 1)); // the evicted attempt counts no more
+    CHECK(apply(step::place, 2));
+    CHECK(apply(step::finish, 2));
+    CHECK(!apply(step::cancel, 0)); // ended already
+    CHECK(shard_tasks::parse(tasks.to_document()) == tasks);
 }
 
 TEST_CASE("settings: every finding, with its place")
 {
-    const json bad{{"role", "guard"},
-                   {"name", ""},
-                   {"port", 70000},
-                   {"address", "here"},
-                   {"fleet_key", "short"},
-                   {"entries", {"10.0.0.1:1", "nowhere"}},
-                   {"colour", 1},
-                   {"guard", {{"slots", 0}, {"executor", "10.0.0.1"}}}};
+    const json invalid{{"role", "guard"},
+                       {"name", ""},
+                       {"port", 70000},
+                       {"address", "here"},
+                       {"fleet_key", "short"},
+                       {"entries", {"10.0.0.1:1", "nowhere"}},
+                       {"colour", 1},
+                       {"guard", {{"slots", 0}, {"executor", "10.0.0.1"}}}};
     try
     {
-        parse_settings(bad);
+        parse_settings(invalid);
         FAIL("it was accepted");
     }
     catch (const document_error& error)
@@ -322,12 +329,12 @@
 {
     supervisor parts({.max_restarts = 3});
     int runs = 0;
-    std::atomic<bool> other_began = false;
+    std::atomic<bool> other_started = false;
     bool other_stopped = false;
     parts.add("failing",
               [&]
               {
-                  while (!other_began)
+                  while (!other_started)
                   {
                       std::this_thread::yield();
                   }
@@ -337,7 +344,7 @@
     parts.add("other",
               [&]
               {
-                  other_began = true;
+                  other_started = true;
                   while (!parts.stopping())
                   {
                       std::this_thread::yield();
--- a/tests/unit/role_tests.cpp
+++ b/tests/unit/role_tests.cpp
@@ -13,7 +13,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-table rows(std::int64_t revision)
+table make_table(std::int64_t revision)
 {
     return table::parse(
         {{"revision", revision},
@@ -37,7 +37,7 @@
 {
     explicit single_entry(int guards)
     {
-        core.on_table(rows(1));
+        core.on_table(make_table(1));
         for (int index = 0; index < guards; ++index)
         {
             core.on_heartbeat(clock.now(),
@@ -45,8 +45,8 @@
         }
     }
 
-    request_actions ask(const std::string& work_class,
-                        duration deadline = seconds(1))
+    request_actions send_request(const std::string& work_class,
+                                 duration deadline = seconds(1))
     {
         return core.on_request(clock.now(),
                                {.number = ++number,
@@ -54,14 +54,15 @@
                                 .deadline = clock.now() + deadline});
     }
 
-    request_actions end(const request_actions& sent, attempt_result::ending how,
-                        const problem_report& why = {})
+    request_actions end_attempt(const request_actions& sent,
+                                attempt_result::ending how,
+                                const problem_report& problem = {})
     {
         return core.on_attempt(
             clock.now(),
             {.attempt = std::get<send_attempt>(sent.back()).attempt,
              .how = how,
-             .refused_with = why});
+             .refused_with = problem});
     }
 
     request_core core{request_options{
@@ -75,7 +76,7 @@
     return std::get<answer_problem>(actions.back()).what;
 }
 
-bool sends_again(const request_actions& actions)
+bool sends_attempt(const request_actions& actions)
 {
     return !actions.empty() &&
            std::holds_alternative<send_attempt>(actions.back());
@@ -86,13 +87,13 @@
 TEST_CASE("an older table is passed over, at entry and guard")
 {
     request_core entry(request_options{.name = {"e"}});
-    CHECK(entry.on_table(rows(5)));
-    CHECK(!entry.on_table(rows(4)));
-    CHECK(!entry.on_table(rows(5)));
+    CHECK(entry.on_table(make_table(5)));
+    CHECK(!entry.on_table(make_table(4)));
+    CHECK(!entry.on_table(make_table(5)));
     CHECK(entry.rows().revision() == 5);
     guard_core guard({.name = {"g"}}, manual_clock().now());
-    CHECK(guard.on_table(rows(5)));
-    CHECK(!guard.on_table(rows(4)));
+    CHECK(guard.on_table(make_table(5)));
+    CHECK(!guard.on_table(make_table(4)));
     CHECK(guard.rows().revision() == 5);
 }
 
@@ -104,9 +105,9 @@
         const char* name;
         const char* work_class;
         ending how;
-        problem_report why;
-        bool again;
-        outcome told; ///< if not sent again
+        problem_report problem;
+        bool retried;
+        outcome reported; ///< if not sent again
     };
     const auto refused = [](outcome result, refusal reason)
     {
@@ -148,13 +149,13 @@
     {
         CAPTURE(one.name);
         single_entry entry(3);
-        const request_actions then =
-            entry.end(entry.ask(one.work_class), one.how, one.why);
-        REQUIRE(!then.empty());
-        CHECK(sends_again(then) == one.again);
-        if (!one.again)
+        const request_actions actions = entry.end_attempt(
+            entry.send_request(one.work_class), one.how, one.problem);
+        REQUIRE(!actions.empty());
+        CHECK(sends_attempt(actions) == one.retried);
+        if (!one.retried)
         {
-            CHECK(problem_in(then).result == one.told);
+            CHECK(problem_in(actions).result == one.reported);
         }
     }
 }
@@ -162,20 +163,21 @@
 TEST_CASE("once it may have run, no later refusal is called not_run")
 {
     single_entry entry(2);
-    const auto first = entry.ask("fast");
-    const auto second = entry.end(first, attempt_result::ending::unknown);
-    REQUIRE(sends_again(second));
-    const auto last = entry.end(second, attempt_result::ending::refused,
-                                {.result = outcome::not_run,
-                                 .reason = refusal::queue_full,
-                                 .retry_after = milliseconds(100)});
+    const auto first = entry.send_request("fast");
+    const auto second =
+        entry.end_attempt(first, attempt_result::ending::unknown);
+    REQUIRE(sends_attempt(second));
+    const auto last = entry.end_attempt(second, attempt_result::ending::refused,
+                                        {.result = outcome::not_run,
+                                         .reason = refusal::queue_full,
+                                         .retry_after = milliseconds(100)});
     CHECK(problem_in(last).result == outcome::unknown);
 }
 
 TEST_CASE("a request without an executor is refused at once")
 {
     single_entry entry(0);
-    const auto refused = entry.ask("fast");
+    const auto refused = entry.send_request("fast");
     CHECK(problem_in(refused).result == outcome::not_run);
     CHECK(problem_in(refused).reason == refusal::no_executor);
     CHECK(problem_in(refused).retry_after > duration{0});
@@ -185,22 +187,22 @@
 TEST_CASE("at its deadline a request is given up, as what is known of it")
 {
     single_entry entry(1);
-    const auto sent = entry.ask("once", milliseconds(100));
+    const auto sent = entry.send_request("once", milliseconds(100));
     entry.clock.advance(milliseconds(101));
-    const auto given_up = entry.core.on_tick(entry.clock.now());
-    CHECK(problem_in(given_up).result == outcome::unknown);
+    const auto expired = entry.core.on_tick(entry.clock.now());
+    CHECK(problem_in(expired).result == outcome::unknown);
     // The late answer belongs to nobody now.
-    CHECK(entry.end(sent, attempt_result::ending::answered).empty());
+    CHECK(entry.end_attempt(sent, attempt_result::ending::answered).empty());
 }
 
 TEST_CASE("guards that leave, fall silent or refuse connections get nothing")
 {
-    struct absence
+    struct exclusion
     {
         const char* name;
         std::function<void(single_entry&)> cause;
     };
-    const std::vector<absence> cases{
+    const std::vector<exclusion> cases{
         {"its own word",
          [](single_entry& entry)
          {
@@ -228,30 +230,31 @@
         {"no connection",
          [](single_entry& entry)
          {
-             entry.end(entry.ask("once"), attempt_result::ending::not_sent);
+             entry.end_attempt(entry.send_request("once"),
+                               attempt_result::ending::not_sent);
          }},
     };
-    for (const absence& one : cases)
+    for (const exclusion& one : cases)
     {
         CAPTURE(one.name);
         single_entry entry(1);
-        REQUIRE(sends_again(entry.ask("once")));
+        REQUIRE(sends_attempt(entry.send_request("once")));
         one.cause(entry);
-        CHECK(!sends_again(entry.ask("once")));
+        CHECK(!sends_attempt(entry.send_request("once")));
     }
 }
 
 TEST_CASE("a repeatable request is taken from a guard that falls silent")
 {
     single_entry entry(1);
-    const auto repeatable = entry.ask("fast", seconds(10));
-    const auto once = entry.ask("once", seconds(10));
+    const auto repeatable = entry.send_request("fast", seconds(10));
+    const auto once = entry.send_request("once", seconds(10));
     entry.clock.advance(seconds(1));
     entry.core.on_heartbeat(entry.clock.now(), ready_guard("g1"));
     entry.clock.advance(milliseconds(600));
-    const auto then = entry.core.on_tick(entry.clock.now());
-    REQUIRE(sends_again(then));
-    CHECK(std::get<send_attempt>(then.back()).number == 1);
+    const auto actions = entry.core.on_tick(entry.clock.now());
+    REQUIRE(sends_attempt(actions));
+    CHECK(std::get<send_attempt>(actions.back()).number == 1);
     CHECK(entry.core.open() == 2); // the other waits for its answer
 }
 
@@ -259,7 +262,7 @@
 {
     manual_clock clock;
     guard_core guard({.name = {"g"}, .incarnation = "2"}, clock.now());
-    guard.on_table(rows(1));
+    guard.on_table(make_table(1));
     clock.advance(seconds(1));
     guard.on_executor_list(clock.now(), clock.now(), {});
     REQUIRE(guard.ready());
@@ -275,7 +278,7 @@
 namespace
 {
 
-start_task start_of(std::int64_t attempt, std::int64_t epoch)
+start_task make_start(std::int64_t attempt, std::int64_t epoch)
 {
     return {.spec = {.id = "t1-a", .needs = {.cpu_millis = 100}},
             .attempt = attempt,
@@ -284,9 +287,9 @@
             .epoch = epoch};
 }
 
-struct single_keeper
+struct single_tracker
 {
-    single_keeper()
+    single_tracker()
     {
         list({});
         list({}, seconds(4));
@@ -296,11 +299,11 @@
     {
         clock.advance(step);
         actions.clear();
-        keeper.on_worker_list(clock.now(), clock.now().time_since_epoch(),
-                              tasks, actions);
+        tracker.on_worker_list(clock.now(), clock.now().time_since_epoch(),
+                               tasks, actions);
     }
 
-    attempt_tracker keeper{
+    attempt_tracker tracker{
         {.incarnation = "1", .capacity = {.cpu_millis = 150, .memory_mb = 1}}};
     manual_clock clock;
     worker_actions actions;
@@ -310,64 +313,67 @@
 
 TEST_CASE("a guard starts tasks only when its predecessor's cannot start")
 {
-    attempt_tracker keeper({.incarnation = "1"});
+    attempt_tracker tracker({.incarnation = "1"});
     manual_clock clock;
     worker_actions actions;
     const auto list = [&]
     {
-        keeper.on_worker_list(clock.now(), clock.now().time_since_epoch(), {},
-                              actions);
+        tracker.on_worker_list(clock.now(), clock.now().time_since_epoch(), {},
+                               actions);
     };
     list();
     clock.advance(milliseconds(2900));
     list();
-    CHECK(!keeper.ready());
-    CHECK(keeper.on_start(clock.now(), start_of(1, 1), actions).reason ==
+    CHECK(!tracker.ready());
+    CHECK(tracker.on_start(clock.now(), make_start(1, 1), actions).reason ==
           "starting");
     clock.advance(milliseconds(200));
     list();
-    CHECK(keeper.ready());
+    CHECK(tracker.ready());
 }
 
-TEST_CASE("a holder that was overtaken can start, stop and settle nothing")
+TEST_CASE("a holder that was overtaken can start, stop and acknowledge nothing")
 {
-    single_keeper of;
-    CHECK(of.keeper.on_start(of.clock.now(), start_of(1, 5), of.actions)
+    single_tracker worker;
+    CHECK(worker.tracker
+              .on_start(worker.clock.now(), make_start(1, 5), worker.actions)
               .accepted);
-    CHECK(
-        of.keeper.on_start(of.clock.now(), start_of(2, 4), of.actions).reason ==
-        "stale_epoch");
+    CHECK(worker.tracker
+              .on_start(worker.clock.now(), make_start(2, 4), worker.actions)
+              .reason == "stale_epoch");
     const stop_task stop{.task = "t1-a", .attempt = 1, .shard = 1, .epoch = 4};
-    CHECK(of.keeper.on_stop(of.clock.now(), stop, of.actions).reason ==
-          "stale_epoch");
-    of.list({{.name = {"t1-a", 1},
-              .how = listed_task::state::finished,
-              .needs = {.cpu_millis = 100}}});
-    const auto settle = [&](std::int64_t epoch)
+    CHECK(worker.tracker.on_stop(worker.clock.now(), stop, worker.actions)
+              .reason == "stale_epoch");
+    worker.list({{.name = {"t1-a", 1},
+                  .how = listed_task::state::finished,
+                  .needs = {.cpu_millis = 100}}});
+    const auto acknowledge = [&](std::int64_t epoch)
     {
-        of.keeper.on_acked(of.clock.now(), {{"t1-a", 1, 1, epoch}}, of.actions);
-        return of.keeper.reports().empty();
+        worker.tracker.on_acked(worker.clock.now(), {{"t1-a", 1, 1, epoch}},
+                                worker.actions);
+        return worker.tracker.reports().empty();
     };
-    CHECK(!settle(4));
-    CHECK(settle(5));
+    CHECK(!acknowledge(4));
+    CHECK(acknowledge(5));
 }
 
 TEST_CASE("a start that is refused or given up stays so")
 {
-    single_keeper of;
-    start_task large = start_of(1, 1);
+    single_tracker worker;
+    start_task large = make_start(1, 1);
     large.spec.needs.cpu_millis = 200;
-    CHECK(of.keeper.on_start(of.clock.now(), large, of.actions).reason ==
-          "no_room");
-    CHECK(
-        of.keeper.on_start(of.clock.now(), start_of(1, 1), of.actions).reason ==
-        "closed");
-    CHECK(of.keeper.on_start(of.clock.now(), start_of(2, 1), of.actions)
+    CHECK(worker.tracker.on_start(worker.clock.now(), large, worker.actions)
+              .reason == "no_room");
+    CHECK(worker.tracker
+              .on_start(worker.clock.now(), make_start(1, 1), worker.actions)
+              .reason == "closed");
+    CHECK(worker.tracker
+              .on_start(worker.clock.now(), make_start(2, 1), worker.actions)
               .accepted);
-    CHECK(of.keeper.free().cpu_millis == 50);
-    of.list({}, seconds(2)); // it may still start
-    CHECK(of.keeper.free().cpu_millis == 50);
-    of.list({}, seconds(2)); // not any more, by the worker's own clock
-    CHECK(of.keeper.free().cpu_millis == 150);
-    CHECK(of.keeper.reports().front().state == "lost");
+    CHECK(worker.tracker.free().cpu_millis == 50);
+    worker.list({}, seconds(2)); // it may still start
+    CHECK(worker.tracker.free().cpu_millis == 50);
+    worker.list({}, seconds(2)); // not any more, by the worker's own clock
+    CHECK(worker.tracker.free().cpu_millis == 150);
+    CHECK(worker.tracker.reports().front().state == "lost");
 }
