--- a/packages/daemon/include/springstair/daemon.hpp
+++ b/packages/daemon/include/springstair/daemon.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// The daemon: its settings, its supervisor, and the two roles.
+/// Settings, supervisor and roles of the daemon.
 
 #include <springstair/detail/daemon/job_settings.hpp>
 #include <springstair/detail/daemon/roles.hpp>
--- a/packages/daemon/include/springstair/detail/daemon/roles.hpp
+++ b/packages/daemon/include/springstair/detail/daemon/roles.hpp
@@ -9,23 +9,24 @@
 namespace springstair
 {
 
-/// @brief Runs an entry until a planned stop has ended.
-/// @param own_settings the settings @param drain set when a planned stop begins
-/// @throw transport_error if its address cannot be had
-/// @throw std::runtime_error if a part failed too often
+/// @brief Runs an entry until a planned stop is complete.
+/// @param own_settings the settings of this process
+/// @param drain set when the planned stop begins
+/// @throw std::runtime_error if a part exceeded its restart limit, for example
+/// because the address cannot be bound
 void run_entry(const settings& own_settings, const std::atomic<bool>& drain);
 
 /// @copydoc run_entry
-/// The same for a guard.
+/// Runs a guard instead.
 void run_guard(const settings& own_settings, const std::atomic<bool>& drain);
 
 /// @copydoc run_entry
-/// The same for an entry of the job system.
+/// Runs an entry of the job system instead.
 void run_job_entry(const job_settings& own_settings,
                    const std::atomic<bool>& drain);
 
 /// @copydoc run_entry
-/// The same for a guard of the job system.
+/// Runs a guard of the job system instead.
 void run_job_guard(const job_settings& own_settings,
                    const std::atomic<bool>& drain);
 
--- a/packages/daemon/include/springstair/detail/daemon/settings.hpp
+++ b/packages/daemon/include/springstair/detail/daemon/settings.hpp
@@ -10,25 +10,25 @@
 namespace springstair
 {
 
-/// @brief What a process is.
+/// @brief The role of a process.
 enum class process_role : std::uint8_t
 {
     entry,
     guard
 };
 
-/// @brief Settings that both roles have.
+/// @brief Settings of both roles.
 struct common_settings
 {
     process_role role = process_role::entry;
-    std::string name; ///< of its VM, as the platform lists it
+    std::string name; ///< name of its VM in the platform's list
     std::string data_centre;
     std::string rack;
     std::string address = "127.0.0.1";
     std::uint16_t port = 0;
-    std::string fleet_key;            ///< shared by all our processes
-    std::vector<std::string> entries; ///< addresses to begin with
-    std::string platform;             ///< address of the list of VMs
+    std::string fleet_key; ///< secret shared by all springstair processes
+    std::vector<std::string> entries; ///< initially known addresses of entries
+    std::string platform; ///< address that serves the list of VMs; may be empty
     unsigned int threads = 2;
     std::size_t most_body_bytes = 0;
 };
@@ -41,7 +41,9 @@
     std::string routing = "sampled";
     std::int64_t shards = 8;
     duration commit_interval{0};
-    duration drain_grace{0}; ///< for the balancer to notice
+    /// A draining entry still admits requests for this time, so that the load
+    /// balancer notices the drain.
+    duration drain_grace{0};
 };
 
 /// @brief Settings of a guard.
@@ -51,13 +53,13 @@
     std::int64_t slots = 8;
     bool reserve_slots = true;
     std::string worker;
-    resources capacity; ///< for tasks: what the executor leaves
+    resources capacity; ///< for tasks; excludes the executor's own needs
     duration heartbeat{0};
     duration max_service_time{0};
     duration task_lease{0};
 };
 
-/// @brief One process's settings, checked.
+/// @brief The validated settings of one process.
 struct settings
 {
     common_settings common;
@@ -65,19 +67,20 @@
     guard_settings guard;
 };
 
-/// @brief Checks a settings document.
+/// @brief Parses and validates a settings document.
 /// @throw document_error 101 with every finding and its JSON pointer
 settings parse_settings(const json& document);
 
-/// @brief Reads a file of JSON.
-/// @throw document_error 102 if it cannot be read
+/// @brief Reads a JSON file.
+/// @throw document_error 102 if the file is unreadable or not JSON
 json read_document(const std::string& path);
 
-/// @brief Reads and checks a settings file.
-/// @throw document_error 101, or 102 if the file cannot be read
+/// @brief Reads and validates a settings file.
+/// @throw document_error 101 with every finding and its JSON pointer, or 102
+/// if the file is unreadable or not JSON
 settings read_settings(const std::string& path);
 
-/// @brief The settings with every default filled in; the key is left out.
+/// @brief Returns the settings with all defaults; masks the fleet key.
 json to_document(const settings& values);
 
 } // namespace springstair
--- a/packages/daemon/include/springstair/detail/daemon/supervisor.hpp
+++ b/packages/daemon/include/springstair/detail/daemon/supervisor.hpp
@@ -13,41 +13,44 @@
 namespace springstair
 {
 
-/// @brief How often a part may fail.
+/// @brief Restart limit: a part that fails more than `max_restarts` times
+/// within `within` is not restarted.
 struct supervisor_options
 {
     std::size_t max_restarts = 5;
     duration within = std::chrono::seconds(10);
 };
 
-/// @brief Owns threads and starts a part again that ended by an exception.
+/// @brief Runs each part in its own thread and restarts a part that threw.
 ///
-/// A part that fails too often stops all parts. A supervisor may be a part
-/// of another one: its run() then throws, which counts as its failure.
+/// A part that exceeds the restart limit stops all parts. Supervisors can be
+/// nested: the exception that run() throws is then a failure of the outer
+/// supervisor's part.
 class supervisor
 {
 public:
-    /// @param options bounds
+    /// @param options the restart limit of each part
     explicit supervisor(supervisor_options options = {});
     ~supervisor();
     supervisor(const supervisor&) = delete;
     supervisor& operator=(const supervisor&) = delete;
 
-    /// @brief Adds a part before run().
-    /// @param name for the log @param body runs until stopping() is true
+    /// @brief Adds a part. Must be called before run().
+    /// @param name of the part in the log
+    /// @param body returns when stopping() is true
     void add(std::string name, std::function<void()> body);
 
-    /// @brief Runs all parts until each has returned.
-    /// @throw std::runtime_error if a part failed too often
+    /// @brief Runs all parts and waits until each has returned.
+    /// @throw std::runtime_error if a part exceeded the restart limit
     void run();
 
-    /// @brief Whether the parts are to return. Safe from any thread.
+    /// @brief Whether the parts must return. Safe from any thread.
     [[nodiscard]] bool stopping() const noexcept
     {
         return stopping_;
     }
 
-    /// @brief Has the parts return. Safe from any thread.
+    /// @brief Requests that all parts return. Safe from any thread.
     void stop() noexcept
     {
         stopping_ = true;
--- a/packages/daemon/main.cpp
+++ b/packages/daemon/main.cpp
@@ -1,4 +1,4 @@
-// springstaird: one process of the system; its settings name the role.
+// springstaird: runs one process in the role that its settings name.
 
 #include <springstair/daemon.hpp>
 
@@ -27,7 +27,7 @@
     int version = 0;
 };
 
-// Reads the options; on a bad one says which and gives nothing.
+// Parses the options. Prints the first invalid one and returns false.
 bool read_options(int count, const char** arguments, command_line& parsed)
 {
     const poptOption options[] = {
@@ -65,7 +65,7 @@
     return exit_settings;
 }
 
-// Signals are received by one thread; all others block them.
+// Waits for a stop signal in its own thread; all other threads block them.
 void await_stop_signal(sigset_t signals, std::atomic<bool>& drain)
 {
     int received = 0;
@@ -73,7 +73,8 @@
     drain = true;
 }
 
-// Runs a role until it has stopped, by itself or by a signal.
+// Runs a role until it returns or throws. SIGTERM and SIGINT start a planned
+// stop.
 template <class Role>
 int run_until_stopped(const std::string& name, Role role)
 {
@@ -123,7 +124,8 @@
         });
 }
 
-// Checks the settings, and prints or runs them as the command line says.
+// Prints the settings, only accepts them, or runs the role, as the command
+// line requests. The settings are valid already.
 template <class Settings, class Run>
 int print_or_run(const command_line& line, const Settings& settings,
                  Run run_role)
--- a/packages/daemon/src/entry_control.cpp
+++ b/packages/daemon/src/entry_control.cpp
@@ -1,4 +1,4 @@
-// Where each call goes, what operators see, and the passing of time.
+// Routing of calls, operator calls, and periodic work.
 
 #include "entry_control.hpp"
 
@@ -76,8 +76,9 @@
     return common.address + ":" + std::to_string(common.port);
 }
 
-// An entry serves once it has a table, without which it would not know whom
-// to refuse, and once the guards have had time to tell it of themselves.
+// An entry serves once it has a table, which it needs to authenticate
+// callers, and once the guards have had time to send heartbeats. It does not
+// wait for guards longer than max_warm_up.
 bool entry_control::serving() const
 {
     const duration uptime = clock_.now() - started_;
@@ -88,7 +89,7 @@
 }
 
 // ---------------------------------------------------------------------------
-// Where a call goes
+// Routing of calls
 // ---------------------------------------------------------------------------
 
 bool entry_control::is_operator(const http_request& request) const
@@ -115,7 +116,7 @@
     if (request.headers.contains(wire::fleet_key) &&
         has_fleet_key(request, process_.own_settings.common.fleet_key))
     {
-        return request.header(wire::workspace); // handed on by an entry
+        return request.header(wire::workspace); // forwarded by an entry
     }
     return requests_.rows().authenticate(request.header(wire::credential));
 }
@@ -303,7 +304,7 @@
 }
 
 // ---------------------------------------------------------------------------
-// Time
+// Periodic work
 // ---------------------------------------------------------------------------
 
 void entry_control::poll_platform(time_point now)
--- a/packages/daemon/src/entry_control.hpp
+++ b/packages/daemon/src/entry_control.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// The control part of an entry: binds its state machines to the network.
+// The control part of an entry: connects its state machines to the network.
 
 #include "entry_process.hpp"
 
@@ -15,7 +15,7 @@
 public:
     explicit entry_control(entry_process& process);
 
-    /// Serves events until the parts are to return.
+    /// Processes events until the supervisor stops the parts.
     void run();
 
 private:
@@ -25,23 +25,23 @@
         std::shared_ptr<http_responder> responder;
         class_name request_class;
         time_point arrived;
-        int attempts = 0; ///< attempts so far
+        int attempts = 0; ///< sent to guards so far
     };
 
     struct peer
     {
-        bool exchange_in_flight = false; ///< an exchange is on its way
+        bool exchange_in_flight = false;
         std::string name;
         bool in_settings = false;
         time_point answered_at{};
     };
 
-    /// An edit that is committed, and who has yet to hear of it.
+    /// A committed edit that is not yet acknowledged to the operator.
     struct committed_edit
     {
         std::shared_ptr<http_responder> responder;
         std::int64_t revision = 0;
-        std::set<std::string> waiting_for;
+        std::set<std::string> waiting_for; ///< peers that may not have it yet
         time_point deadline;
     };
 
@@ -49,11 +49,11 @@
     {
         std::shared_ptr<http_responder> responder;
         json tasks = json::array();
-        std::size_t outstanding = 0;
-        bool complete = true;
+        std::size_t outstanding = 0; ///< queries in flight
+        bool complete = true;        ///< no query failed
     };
 
-    // Where a request goes.
+    // Routing of calls.
     void on(http_arrival& arrival);
     void on_caller(http_arrival& arrival);
     void on_operator(http_arrival& arrival);
@@ -83,7 +83,7 @@
     void finish_edits(time_point now);
     void on(store_answered& answered);
 
-    // Carries out actions of which some are calls to the store.
+    // Executes actions, some of which are calls to the store.
     template <class Actions>
     void carry_out_for(store_user user, const Actions& actions)
     {
@@ -143,7 +143,7 @@
     [[nodiscard]] json status(time_point now) const;
     void on_drain_guard(http_arrival& arrival);
 
-    // Time.
+    // Periodic work.
     void tick();
     void poll_platform(time_point now);
     void drain_if_requested(time_point now);
@@ -159,15 +159,16 @@
     rpc_dispatcher rpc_;
     std::map<request_number, open_request> open_;
     request_number next_number_ = 1;
-    const http_result* current_result_ = nullptr;
-    std::map<std::string, peer> peers_; ///< by address
+    const http_result* current_result_ = nullptr; ///< during its event only
+    std::map<std::string, peer> peers_;           ///< by address
     std::map<edit_number, std::shared_ptr<http_responder>> edits_;
     std::vector<committed_edit> committed_;
     std::map<store_token, std::shared_ptr<http_responder>> history_calls_;
     std::map<task_call, std::shared_ptr<http_responder>> task_calls_;
     std::map<std::uint64_t, task_list> task_lists_;
-    std::set<std::string> listed_vms_;        ///< names ever seen on the list
-    std::map<std::string, int> missed_lists_; ///< lists in a row without the VM
+    std::set<std::string> listed_vms_; ///< names of all VMs ever listed
+    /// Number of consecutive lists without the VM, by name.
+    std::map<std::string, int> missed_lists_;
     time_point next_exchange_{};
     time_point next_vms_poll_{};
     bool vms_in_flight_ = false;
--- a/packages/daemon/src/entry_peers.cpp
+++ b/packages/daemon/src/entry_peers.cpp
@@ -1,4 +1,4 @@
-// Other processes: guards' heartbeats and the exchange between entries.
+// Heartbeats of guards and the exchange of summaries between entries.
 
 #include "entry_control.hpp"
 
--- a/packages/daemon/src/entry_process.hpp
+++ b/packages/daemon/src/entry_process.hpp
@@ -1,5 +1,6 @@
 #pragma once
-// What the parts of an entry share, and the events they hand to control.
+// State shared by the parts of an entry, and the events posted to its control
+// part.
 
 #include "role_support.hpp"
 
@@ -15,14 +16,14 @@
 namespace springstair
 {
 
-/// An attempt at a guard ended.
+/// A call with an attempt to a guard ended.
 struct attempt_ended
 {
     attempt_name attempt;
     http_result result;
 };
 
-/// Which state machine asked the store.
+/// The originator of a store call.
 enum class store_user : std::uint8_t
 {
     table,
@@ -30,7 +31,7 @@
     history
 };
 
-/// The store answered.
+/// A call to the store ended.
 struct store_answered
 {
     store_user user = store_user::table;
@@ -42,38 +43,38 @@
 struct exchange_ended
 {
     std::string address;
-    std::string peer; ///< the name it was meant for, if known
+    std::string peer; ///< name at the time of the call; empty if unknown
     http_result result;
 };
 
-/// A guard replied to a start, or not.
+/// A call to start a task on a guard ended.
 struct start_ended
 {
     start_task start;
     http_result result;
 };
 
-/// A guard replied to a stop, or not.
+/// A call to stop a task on a guard ended.
 struct stop_ended
 {
     stop_task stop;
     http_result result;
 };
 
-/// The platform's list of VMs came, or not.
+/// The query for the platform's list of VMs ended; no list if it failed.
 struct vms_listed
 {
     std::optional<std::vector<listed_vm>> vms;
 };
 
-/// A call handed to the entry that holds a task's shard ended.
+/// A call forwarded to the owner of a task's shard ended.
 struct forward_ended
 {
     std::shared_ptr<http_responder> responder;
     http_result result;
 };
 
-/// Part of a list of tasks came from another entry, or not.
+/// A query for another entry's part of a task list ended.
 struct list_part_ended
 {
     std::uint64_t list = 0;
@@ -93,7 +94,7 @@
     metrics numbers;
     http_client client;
     etcd_client store;
-    std::atomic<bool> closing = false; ///< answers close their connections
+    std::atomic<bool> closing = false; ///< each response closes its connection
 
     entry_process(const settings& all, const std::atomic<bool>& drain_flag)
         : own_settings(all), drain(drain_flag),
--- a/packages/daemon/src/entry_requests.cpp
+++ b/packages/daemon/src/entry_requests.cpp
@@ -1,4 +1,4 @@
-// Callers' requests: from HTTP to the state machine and back.
+// Callers' requests: translates between HTTP and the state machine.
 
 #include "entry_control.hpp"
 
@@ -57,7 +57,7 @@
         const auto found = headers.find(name);
         return found == headers.end() ? std::string() : found->second;
     };
-    // An answer that does not name the attempt is not an answer to it.
+    // A response that does not name the attempt does not answer it.
     const bool is_own_answer = ended.result.how == delivery::answered &&
                                value(wire::attempt) == ended.attempt.value;
     if (!is_own_answer)
--- a/packages/daemon/src/entry_role.cpp
+++ b/packages/daemon/src/entry_role.cpp
@@ -1,4 +1,4 @@
-// The parts of an entry.
+// Runs the traffic and control parts of an entry.
 
 #include "entry_control.hpp"
 
--- a/packages/daemon/src/entry_table.cpp
+++ b/packages/daemon/src/entry_table.cpp
@@ -1,4 +1,5 @@
-// The table: operators' edits, what the store says, who has yet to hear.
+// The table: operators' edits, answers of the store, and distribution to the
+// other entries.
 
 #include "entry_control.hpp"
 
@@ -139,8 +140,9 @@
     return true;
 }
 
-// A committed edit is told only after the other entries have it: the store
-// may go away, or this process, right after the operator's success line.
+// A committed edit is acknowledged to the operator only after every entry
+// that answered recently has it, or after max_forward_time: the store or this
+// process may fail right after the operator receives the acknowledgement.
 void entry_control::act(const edit_outcome& ended)
 {
     const auto found = edits_.find(ended.number);
@@ -183,13 +185,13 @@
     case edit_outcome::ending::unavailable:
         responder->respond(json_response(
             unavailable,
-            {{"outcome", "not_run"}, {"detail", "the store does not answer"}}));
+            {{"outcome", "not_run"}, {"detail", "the store is unavailable"}}));
         break;
     case edit_outcome::ending::unknown:
         responder->respond(json_response(
             gateway_timeout,
             {{"outcome", "unknown"},
-             {"detail", "the store did not say whether it wrote"}}));
+             {"detail", "the outcome of the write to the store is unknown"}}));
         break;
     }
 }
--- a/packages/daemon/src/entry_tasks.cpp
+++ b/packages/daemon/src/entry_tasks.cpp
@@ -1,4 +1,4 @@
-// Tasks: callers' submissions, reads and cancels, and commands to guards.
+// Tasks: callers' submissions, queries and cancellations, and calls to guards.
 
 #include "entry_control.hpp"
 
@@ -41,7 +41,7 @@
     return answer;
 }
 
-// Reads a submission. @throw document_error with every finding
+// Parses a submission. Throws document_error with every finding.
 task_spec parse_submission(const json& body, const std::string& workspace)
 {
     findings wrong;
@@ -143,7 +143,8 @@
     carry_out(actions);
 }
 
-// Hands a call to the entry that holds the task's shard; once only.
+// Forwards a call to the owner of the task's shard. Returns false if the task
+// name is invalid or another entry has forwarded the call already.
 bool entry_control::forward_task_call(http_arrival& arrival,
                                       const std::string& workspace,
                                       const std::string& task)
@@ -178,7 +179,7 @@
     arrival.responder->respond(
         to_response({.reason = refusal::starting,
                      .retry_after = std::chrono::seconds(1),
-                     .detail = "the task's shard changes hands"}));
+                     .detail = "no known entry owns the task's shard"}));
     return true;
 }
 
@@ -276,7 +277,7 @@
 }
 
 // ---------------------------------------------------------------------------
-// Actions of the state machine
+// Actions of the task state machine
 // ---------------------------------------------------------------------------
 
 void entry_control::carry_out(const task_actions& actions)
--- a/packages/daemon/src/guard_control.cpp
+++ b/packages/daemon/src/guard_control.cpp
@@ -1,4 +1,5 @@
-// From calls, heartbeats and lists to the state machines of a guard, and back.
+// Translates calls, heartbeats and worker lists to the state machines of a
+// guard, and their actions to calls.
 
 #include "guard_control.hpp"
 
@@ -388,7 +389,7 @@
 }
 
 // ---------------------------------------------------------------------------
-// Time
+// Periodic work
 // ---------------------------------------------------------------------------
 
 void guard_control::begin_drain()
--- a/packages/daemon/src/guard_control.hpp
+++ b/packages/daemon/src/guard_control.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// The control part of a guard: binds its state machines to the network.
+// The control part of a guard: connects its state machines to the network.
 
 #include "role_support.hpp"
 
@@ -13,21 +13,21 @@
 namespace springstair
 {
 
-/// The executor is done with an attempt.
+/// The call of an attempt to the executor ended.
 struct executor_ended
 {
     attempt_name attempt;
     http_result result;
 };
 
-/// The worker's list came, or not.
+/// The query for the worker's list ended; no list if it failed.
 struct worker_listed
 {
     time_point requested_at;
     std::optional<worker_list> list;
 };
 
-/// An entry answered a heartbeat, or not.
+/// A heartbeat to an entry ended, answered or not.
 struct heartbeat_ended
 {
     std::string address;
@@ -37,7 +37,7 @@
 using guard_event =
     std::variant<http_arrival, executor_ended, worker_listed, heartbeat_ended>;
 
-/// What the parts of a guard share.
+/// State shared by the parts of a guard.
 struct guard_process
 {
     const settings& own_settings;
@@ -58,7 +58,7 @@
 public:
     explicit guard_control(guard_process& process);
 
-    /// Serves events until the parts are to return.
+    /// Processes events until the supervisor stops the parts.
     void run();
 
 private:
@@ -72,7 +72,7 @@
 
     struct known_entry
     {
-        bool heartbeat_in_flight = false; ///< a heartbeat is on its way
+        bool heartbeat_in_flight = false;
         std::string name;
         time_point answered_at{};
     };
@@ -106,7 +106,7 @@
     void on(heartbeat_ended& ended);
     void apply_table(const json& document);
 
-    // Time.
+    // Periodic work.
     void begin_drain();
     void tick();
 
@@ -118,13 +118,13 @@
     worker_client worker_;
     rpc_dispatcher rpc_;
     std::map<attempt_name, open_attempt> open_;
-    const http_result* current_result_ = nullptr;
+    const http_result* current_result_ = nullptr; ///< during its event only
     std::map<std::string, known_entry> entries_;
     time_point next_heartbeat_{};
     time_point next_poll_{};
     bool polling_ = false;
-    bool leave_acknowledged_ =
-        false; ///< an entry has heard that this guard leaves
+    /// An entry has answered a heartbeat since the drain began.
+    bool leave_acknowledged_ = false;
     std::optional<time_point> stop_since_;
 };
 
--- a/packages/daemon/src/guard_role.cpp
+++ b/packages/daemon/src/guard_role.cpp
@@ -1,4 +1,4 @@
-// The parts of a guard.
+// Runs the traffic and control parts of a guard.
 
 #include "guard_control.hpp"
 
--- a/packages/daemon/src/role_support.hpp
+++ b/packages/daemon/src/role_support.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// What both roles need between their state machine and the network.
+// Helpers of both roles between their state machines and the network.
 
 #include <springstair/daemon.hpp>
 #include <springstair/transport.hpp>
@@ -10,11 +10,12 @@
 namespace springstair
 {
 
-/// The clock of both roles; their state machines are given its readings.
+/// The clock of both roles. The state machines receive its readings as
+/// arguments.
 using daemon_clock = system_clock_source;
 static_assert(clock_source<daemon_clock>);
 
-/// A request that came in, and the means to answer it.
+/// A received request and the responder that answers it.
 struct http_arrival
 {
     http_request request;
@@ -24,21 +25,22 @@
 inline constexpr duration tick_length = std::chrono::milliseconds(20);
 inline constexpr duration control_timeout = std::chrono::seconds(1);
 inline constexpr int incarnation_bytes = 6;
-/// Requests open to one guard or executor: its admission, by slots and queue,
-/// bounds them first.
+/// Limit on requests in flight to one guard or executor. The guard's
+/// admission, by slots and queue, refuses requests before it is reached.
 inline constexpr std::size_t max_requests_open = 1024;
 
-/// Whether a request carries the key that our processes share.
+/// Whether a request carries the fleet key.
 bool has_fleet_key(const http_request& request, const std::string& key);
 
-/// A JSON-RPC call to another of our processes.
+/// Builds a JSON-RPC call to another springstair process.
 http_call make_rpc_call(const std::string& address, const std::string& key,
                         const std::string& method, const json& message);
 
-/// The result of such a call, or nothing.
+/// The result of a JSON-RPC call; nothing if the call failed.
 std::optional<json> rpc_result_of(const http_result& result);
 
-/// The same as a message; nothing if it has not the message's shape.
+/// The result of a JSON-RPC call as a message; nothing if the call failed or
+/// the result is not such a message.
 template <class Message>
 std::optional<Message> rpc_answer_of(const http_result& result)
 {
@@ -54,20 +56,21 @@
     }
 }
 
-/// A table handed on by another process, or nothing if it has findings.
+/// Parses a table received from another process; logs its findings and
+/// returns nothing if it is invalid.
 std::optional<table> table_of_peer(const json& document);
 
-/// Header fields that belong to the caller's and the executor's exchange,
-/// not to a connection or to us.
+/// The header fields that pass between caller and executor: without those of
+/// the connection and of springstair itself.
 header_map end_to_end_headers(const header_map& all);
 
-/// Runs a JSON-RPC request and answers it.
+/// Dispatches a JSON-RPC request and sends the result.
 void answer_rpc(http_arrival& arrival, rpc_dispatcher& methods);
 
-/// Answers with the metrics of the process.
+/// Sends the metrics of the process.
 void answer_metrics(http_responder& responder, const metrics& numbers);
 
-/// Answers 404 without a word about what exists.
+/// Sends a 404 that does not reveal what exists.
 void answer_not_found(http_responder& responder);
 
 } // namespace springstair
--- a/packages/daemon/src/settings.cpp
+++ b/packages/daemon/src/settings.cpp
@@ -44,7 +44,7 @@
 {
     if (!text.empty() && !is_endpoint(text))
     {
-        reader.report(key, text + " is not an IP number and a port");
+        reader.report(key, text + " is not an IPv4 address and port");
     }
 }
 
@@ -79,14 +79,14 @@
     common.address = reader.text("address");
     if (!common.address.empty() && !is_ipv4_address(common.address))
     {
-        reader.report("address", "must be an IP number");
+        reader.report("address", "must be an IPv4 address");
     }
     common.port = static_cast<std::uint16_t>(
         reader.integer("port", std::nullopt, {.least = 0, .most = max_port}));
     common.fleet_key = reader.text("fleet_key");
     if (!common.fleet_key.empty() && common.fleet_key.size() < min_key_length)
     {
-        reader.report("fleet_key", "must have 16 characters or more");
+        reader.report("fleet_key", "must have at least 16 characters");
     }
     common.entries = reader.texts("entries");
     check_endpoints(reader, "entries", common.entries);
@@ -111,7 +111,7 @@
     check_endpoints(reader, "store", entry.store);
     if (entry.store.empty())
     {
-        reader.report("store", "must name one endpoint or more");
+        reader.report("store", "must name at least one endpoint");
     }
     entry.operator_credential_hashes =
         reader.texts("operator_credential_hashes");
--- a/packages/daemon/src/supervisor.cpp
+++ b/packages/daemon/src/supervisor.cpp
@@ -64,7 +64,7 @@
     }
     if (given_up_)
     {
-        throw std::runtime_error("a part failed too often");
+        throw std::runtime_error("a part exceeded its restart limit");
     }
 }
 
