--- a/tests/unit/edge_tests.cpp
+++ b/tests/unit/edge_tests.cpp
@@ -1,5 +1,5 @@
-// Contracts of the edges: HTTP, the store's gateway, settings, messages,
-// secrets, the supervisor.
+// Tests of the external interfaces: HTTP, the store's gateway, settings,
+// messages, secrets; and of the supervisor, metrics and event catalogue.
 
 #include <doctest/doctest.h>
 
@@ -24,7 +24,7 @@
 
 } // namespace
 
-TEST_CASE("a request and its answer pass whole, query and headers too")
+TEST_CASE("body, query and headers pass HTTP unchanged")
 {
     http_server server({},
                        [](const http_request& request, http_responder responder)
@@ -48,7 +48,7 @@
     CHECK(result.response.headers.at("x-arg") == "7");
 }
 
-TEST_CASE("what is known of a call that failed")
+TEST_CASE("a failed call is reported as not_sent or unknown")
 {
     http_client client;
     std::string closed_url;
@@ -76,7 +76,7 @@
     responders.clear();
 }
 
-TEST_CASE("servers that end right after an answer end clean")
+TEST_CASE("a server can be destroyed right after an answer")
 {
     http_client client;
     for (int count = 0; count < 400; ++count)
@@ -90,7 +90,7 @@
     }
 }
 
-TEST_CASE("a responder that is dropped answers unknown, not nothing")
+TEST_CASE("a responder destroyed without an answer answers unknown")
 {
     const http_server server({}, [](const http_request&, http_responder) {});
     http_client client;
@@ -101,7 +101,7 @@
     CHECK(problem->result == outcome::unknown);
 }
 
-TEST_CASE("bodies beyond the bound are refused")
+TEST_CASE("bodies over the size limit are refused")
 {
     const http_server server({.most_body_bytes = 1000},
                              [](const http_request&, http_responder responder)
@@ -114,7 +114,7 @@
     CHECK(refused);
 }
 
-TEST_CASE("problems pass the wire and say when to come back")
+TEST_CASE("problem reports pass HTTP unchanged and set retry-after")
 {
     const problem_report problem{.result = outcome::not_run,
                                  .reason = refusal::queue_full,
@@ -135,7 +135,7 @@
     }
 }
 
-TEST_CASE("the store's gateway: what is written and what is read")
+TEST_CASE("store gateway: encoding of calls, decoding of answers")
 {
     struct encoding_case
     {
@@ -193,7 +193,7 @@
     }
 }
 
-TEST_CASE("an answer that is lost is unknown, a refusal is not_done")
+TEST_CASE("store calls: invalid answers and 5xx are unknown, 4xx is not_done")
 {
     int status = 200;
     const http_server server(
@@ -225,7 +225,7 @@
     CHECK(read_state() == kv_answer::state::not_done);
 }
 
-TEST_CASE("messages pass the wire unchanged")
+TEST_CASE("messages are unchanged after encoding and decoding")
 {
     const guard_report report{.guard = {"g"},
                               .incarnation = "i",
@@ -253,7 +253,7 @@
     }
 }
 
-TEST_CASE("each step follows from the state, or is passed over")
+TEST_CASE("a task transition that does not fit the state is ignored")
 {
     using step = task_transition::step;
     shard_tasks tasks;
@@ -270,20 +270,20 @@
     CHECK(apply(step::accept, 0));
     CHECK(!apply(step::accept, 0));
     CHECK(!apply(step::finish, 1)); // never placed
-    CHECK(!apply(step::place, 2));  // out of turn
+    CHECK(!apply(step::place, 2));  // attempt 1 must come first
     CHECK(apply(step::place, 1));
-    CHECK(!apply(step::place, 2)); // one at a time
+    CHECK(!apply(step::place, 2)); // attempt 1 is still placed
     CHECK(!apply(step::finish, 2));
     CHECK(apply(step::evict, 1));
-    CHECK(!apply(step::evict, 1));  // resumed once
-    CHECK(!apply(step::finish, 1)); // the evicted attempt counts no more
+    CHECK(!apply(step::evict, 1));  // evicted already
+    CHECK(!apply(step::finish, 1)); // attempt 1 was evicted
     CHECK(apply(step::place, 2));
     CHECK(apply(step::finish, 2));
     CHECK(!apply(step::cancel, 0)); // ended already
     CHECK(shard_tasks::parse(tasks.to_document()) == tasks);
 }
 
-TEST_CASE("settings: every finding, with its place")
+TEST_CASE("settings: all findings are reported with their places")
 {
     const json invalid{{"role", "guard"},
                        {"name", ""},
@@ -296,7 +296,7 @@
     try
     {
         parse_settings(invalid);
-        FAIL("it was accepted");
+        FAIL("invalid settings were accepted");
     }
     catch (const document_error& error)
     {
@@ -315,7 +315,7 @@
     CHECK_THROWS_AS(read_settings("/no/such/file"), document_error);
 }
 
-TEST_CASE("secrets")
+TEST_CASE("hashing, constant-time comparison and random hex")
 {
     CHECK(sha256_hex("abc") ==
           "ba7816bf8f01cfea414140de5dae2223b00361a396177a9cb410ff61f20015ad");
@@ -325,7 +325,7 @@
     CHECK(random_hex(8) != random_hex(8));
 }
 
-TEST_CASE("the supervisor restarts a part, and gives up on a hopeless one")
+TEST_CASE("the supervisor restarts a part up to the limit, then stops all")
 {
     supervisor parts({.max_restarts = 3});
     int runs = 0;
@@ -356,7 +356,7 @@
     CHECK(other_stopped);
 }
 
-TEST_CASE("classes beyond the bound share a label")
+TEST_CASE("metrics: classes over the limit share a label")
 {
     metrics numbers;
     for (std::size_t index = 0; index < metrics::max_classes + 10; ++index)
@@ -368,7 +368,7 @@
     CHECK(text.find("class=\"c0\"") != std::string::npos);
 }
 
-TEST_CASE("docs/EVENTS.md is the catalogue of the code")
+TEST_CASE("docs/EVENTS.md matches the event catalogue")
 {
     const std::ifstream file(std::string(SPRINGSTAIR_DOCS) + "/EVENTS.md");
     REQUIRE(file);
--- a/tests/unit/role_tests.cpp
+++ b/tests/unit/role_tests.cpp
@@ -1,4 +1,5 @@
-// Single steps of the roles that the worlds do not single out.
+// Single transitions of the entry and guard state machines that the
+// simulations do not check one by one.
 
 #include <doctest/doctest.h>
 
@@ -84,7 +85,7 @@
 
 } // namespace
 
-TEST_CASE("an older table is passed over, at entry and guard")
+TEST_CASE("entry and guard ignore an older table")
 {
     request_core entry(request_options{.name = {"e"}});
     CHECK(entry.on_table(make_table(5)));
@@ -97,7 +98,7 @@
     CHECK(guard.rows().revision() == 5);
 }
 
-TEST_CASE("what an ending of an attempt leads to")
+TEST_CASE("the end of an attempt leads to a retry or to an answer")
 {
     using ending = attempt_result::ending;
     struct ending_case
@@ -107,7 +108,7 @@
         ending how;
         problem_report problem;
         bool retried;
-        outcome reported; ///< if not sent again
+        outcome reported; ///< if not retried
     };
     const auto refused = [](outcome result, refusal reason)
     {
@@ -129,7 +130,7 @@
          refused(outcome::not_run, refusal::draining),
          true,
          {}},
-        {"new process, once",
+        {"new incarnation, once",
          "once",
          ending::refused,
          refused(outcome::unknown, refusal::wrong_incarnation),
@@ -160,7 +161,7 @@
     }
 }
 
-TEST_CASE("once it may have run, no later refusal is called not_run")
+TEST_CASE("a request that may have run is never reported as not_run")
 {
     single_entry entry(2);
     const auto first = entry.send_request("fast");
@@ -174,7 +175,7 @@
     CHECK(problem_in(last).result == outcome::unknown);
 }
 
-TEST_CASE("a request without an executor is refused at once")
+TEST_CASE("a request is refused at once if there is no executor")
 {
     single_entry entry(0);
     const auto refused = entry.send_request("fast");
@@ -184,18 +185,19 @@
     CHECK(entry.core.open() == 0);
 }
 
-TEST_CASE("at its deadline a request is given up, as what is known of it")
+TEST_CASE("a request with an attempt in flight at its deadline ends as unknown")
 {
     single_entry entry(1);
     const auto sent = entry.send_request("once", milliseconds(100));
     entry.clock.advance(milliseconds(101));
     const auto expired = entry.core.on_tick(entry.clock.now());
     CHECK(problem_in(expired).result == outcome::unknown);
-    // The late answer belongs to nobody now.
+    // The late answer is ignored.
     CHECK(entry.end_attempt(sent, attempt_result::ending::answered).empty());
 }
 
-TEST_CASE("guards that leave, fall silent or refuse connections get nothing")
+TEST_CASE("guards that are leaving, unresponsive, not ready or unreachable "
+          "receive no requests")
 {
     struct exclusion
     {
@@ -203,19 +205,19 @@
         std::function<void(single_entry&)> cause;
     };
     const std::vector<exclusion> cases{
-        {"its own word",
+        {"guard reports that it is leaving",
          [](single_entry& entry)
          {
              guard_report report = ready_guard("g0");
              report.leaving = true;
              entry.core.on_heartbeat(entry.clock.now(), report);
          }},
-        {"the platform's list",
+        {"platform lists it as leaving",
          [](single_entry& entry)
          {
              entry.core.on_leaving_list({"g0"});
          }},
-        {"silence",
+        {"heartbeat timeout",
          [](single_entry& entry)
          {
              entry.clock.advance(milliseconds(1501));
@@ -244,7 +246,7 @@
     }
 }
 
-TEST_CASE("a repeatable request is taken from a guard that falls silent")
+TEST_CASE("a repeatable request is retried if its guard is unresponsive")
 {
     single_entry entry(1);
     const auto repeatable = entry.send_request("fast", seconds(10));
@@ -255,10 +257,10 @@
     const auto actions = entry.core.on_tick(entry.clock.now());
     REQUIRE(sends_attempt(actions));
     CHECK(std::get<send_attempt>(actions.back()).number == 1);
-    CHECK(entry.core.open() == 2); // the other waits for its answer
+    CHECK(entry.core.open() == 2); // the other still waits for its answer
 }
 
-TEST_CASE("a guard's new process does not speak for the old one")
+TEST_CASE("a guard answers unknown for attempts at its past incarnation")
 {
     manual_clock clock;
     guard_core guard({.name = {"g"}, .incarnation = "2"}, clock.now());
@@ -311,7 +313,7 @@
 
 } // namespace
 
-TEST_CASE("a guard starts tasks only when its predecessor's cannot start")
+TEST_CASE("a guard starts tasks once its past incarnation's cannot start")
 {
     attempt_tracker tracker({.incarnation = "1"});
     manual_clock clock;
@@ -332,7 +334,7 @@
     CHECK(tracker.ready());
 }
 
-TEST_CASE("a holder that was overtaken can start, stop and acknowledge nothing")
+TEST_CASE("a superseded shard owner cannot start, stop or acknowledge")
 {
     single_tracker worker;
     CHECK(worker.tracker
@@ -357,7 +359,7 @@
     CHECK(acknowledge(5));
 }
 
-TEST_CASE("a start that is refused or given up stays so")
+TEST_CASE("a refused start stays refused, an expired one is lost")
 {
     single_tracker worker;
     start_task large = make_start(1, 1);
@@ -373,7 +375,7 @@
     CHECK(worker.tracker.free().cpu_millis == 50);
     worker.list({}, seconds(2)); // it may still start
     CHECK(worker.tracker.free().cpu_millis == 50);
-    worker.list({}, seconds(2)); // not any more, by the worker's own clock
+    worker.list({}, seconds(2)); // start deadline passed on the worker's clock
     CHECK(worker.tracker.free().cpu_millis == 150);
     CHECK(worker.tracker.reports().front().state == "lost");
 }
