--- a/tests/unit/blocked_step_tests.cpp
+++ b/tests/unit/blocked_step_tests.cpp
@@ -18,51 +18,51 @@
 public:
     explicit filled_worker(std::int64_t most_missing)
     {
-        at.worker("g1").worker.labels = {"a"};
-        at.say("g1");
+        harness.worker("g1").worker.labels = {"a"};
+        harness.say("g1");
         job_step step = step_of(4);
         step.lasting = true;
         step.most_missing = most_missing;
-        lasting = at.submit({step}).id;
-        at.turn();
-        at.say("g2");
+        lasting = harness.submit({step}).id;
+        harness.turn();
+        harness.say("g2");
         job_step wanted = step_of(1, 2000);
         wanted.label = "a";
-        blocked = at.submit({wanted}).id + ".0.0.0";
+        blocked = harness.submit({wanted}).id + ".0.0.0";
     }
 
     // Advances the time; workers end the runs that are to be stopped.
     void run(duration length)
     {
-        const time_point until = at.now + length;
-        while (at.now < until)
+        const time_point until = harness.now + length;
+        while (harness.now < until)
         {
-            at_once = std::max(at_once, at.stops.size());
-            for (const auto& [task, run] : std::exchange(at.stops, {}))
+            max_stops = std::max(max_stops, harness.stops.size());
+            for (const auto& [task, run] : std::exchange(harness.stops, {}))
             {
                 ++stopped;
-                at.end(task, run_end::stopped);
+                harness.end(task, run_end::stopped);
             }
             report("g1");
             report("g2");
-            at.turn(milliseconds(100));
+            harness.turn(milliseconds(100));
         }
     }
 
-    scheduler_harness at;
+    scheduler_harness harness;
     std::string lasting;
     std::string blocked; ///< the task that may only run on the first worker
     int stopped = 0;
-    std::size_t at_once = 0; ///< most stop orders between two reports
+    std::size_t max_stops = 0; ///< most stop orders between two reports
 
 private:
     void report(const std::string& guard)
     {
-        for (running_task& row : at.worker(guard).running)
+        for (running_task& row : harness.worker(guard).running)
         {
             row.percent = full_percent;
         }
-        at.say(guard);
+        harness.say(guard);
     }
 };
 
@@ -73,33 +73,34 @@
 // for them.
 TEST_CASE("long-running tasks are preempted for a step with no other worker")
 {
-    filled_worker with(0);
-    with.run(seconds(1));
-    CHECK(with.stopped == 0);
-    with.run(milliseconds(1500));
-    CHECK(with.at.where[with.blocked] == "g1");
-    CHECK(with.stopped == 2);
+    filled_worker fixture(0);
+    fixture.run(seconds(1));
+    CHECK(fixture.stopped == 0);
+    fixture.run(milliseconds(1500));
+    CHECK(fixture.harness.where[fixture.blocked] == "g1");
+    CHECK(fixture.stopped == 2);
     int elsewhere = 0;
     for (int index = 0; index < 4; ++index)
     {
-        const std::string task = with.lasting + ".0.0." + std::to_string(index);
-        elsewhere += with.at.where.at(task) == "g2" ? 1 : 0;
+        const std::string task =
+            fixture.lasting + ".0.0." + std::to_string(index);
+        elsewhere += fixture.harness.where.at(task) == "g2" ? 1 : 0;
     }
     CHECK(elsewhere == 2);
 }
 
 TEST_CASE("preemption stops at most most_missing tasks of a step at once")
 {
-    filled_worker with(1);
-    with.run(milliseconds(2500));
-    CHECK(with.at_once == 1);
-    CHECK(with.at.where[with.blocked] == "g1");
+    filled_worker fixture(1);
+    fixture.run(milliseconds(2500));
+    CHECK(fixture.max_stops == 1);
+    CHECK(fixture.harness.where[fixture.blocked] == "g1");
 }
 
 TEST_CASE("long-running tasks are not preempted without another worker")
 {
-    filled_worker with(0);
-    with.at.worker("g2").worker.draining = true;
-    with.run(seconds(5));
-    CHECK(with.stopped == 0);
+    filled_worker fixture(0);
+    fixture.harness.worker("g2").worker.draining = true;
+    fixture.run(seconds(5));
+    CHECK(fixture.stopped == 0);
 }
--- a/tests/unit/crashing_fleet.hpp
+++ b/tests/unit/crashing_fleet.hpp
@@ -16,24 +16,24 @@
     struct options
     {
         int workers = 11;
-        int a_rack = 3;
-        duration away = seconds(3);           ///< until the executor is back
+        int workers_per_rack = 3;
+        duration downtime = seconds(3);       ///< until the executor is back
         duration crashes_after = duration{0}; ///< work before the crash
         duration work = milliseconds(1000);
         /// Until the guard detects a crash.
-        duration silence = milliseconds(1200);
+        duration detection_time = milliseconds(1200);
         /// Number of first crashes of a task that also end the guard, so that
         /// nobody reports them.
-        std::int64_t unwitnessed = 0;
+        std::int64_t guard_losses = 0;
     };
 
-    explicit crashing_fleet(options from) : options_(from)
+    explicit crashing_fleet(options settings) : options_(settings)
     {
         for (int number = 0; number < options_.workers; ++number)
         {
             const std::string guard = "g" + std::to_string(number);
-            at.worker(guard).worker.rack =
-                "r" + std::to_string(number / options_.a_rack);
+            harness.worker(guard).worker.rack =
+                "r" + std::to_string(number / options_.workers_per_rack);
             workers_[guard];
         }
         report_all();
@@ -42,27 +42,27 @@
     // Submits a job whose first task crashes its executor.
     std::string submit_crashing(job_step step = step_of(1))
     {
-        std::string id = at.submit({std::move(step)}).id;
+        std::string id = harness.submit({std::move(step)}).id;
         crashing_.insert(id + ".0.0.0");
         return id;
     }
 
     std::string submit(job_step step = step_of(1))
     {
-        return at.submit({std::move(step)}).id;
+        return harness.submit({std::move(step)}).id;
     }
 
     void run(duration length)
     {
-        const time_point until = at.now + length;
-        while (at.now < until)
+        const time_point until = harness.now + length;
+        while (harness.now < until)
         {
-            at.turn();
+            harness.turn();
             for (auto& [guard, worker] : workers_)
             {
-                settle(guard, worker);
+                update_worker(guard, worker);
             }
-            if (at.now >= next_reports_)
+            if (harness.now >= next_reports_)
             {
                 report_all();
             }
@@ -78,12 +78,12 @@
     void lose_power(const std::string& guard)
     {
         crash(guard);
-        workers_.at(guard).dark = true;
+        workers_.at(guard).guard_down = true;
     }
 
     [[nodiscard]] bool is_up(const std::string& guard) const
     {
-        return workers_.at(guard).back == time_point{};
+        return workers_.at(guard).returns_at == time_point{};
     }
 
     [[nodiscard]] std::int64_t crashes(const std::string& job) const
@@ -97,15 +97,15 @@
         return all_crashes_;
     }
 
-    scheduler_harness at;
+    scheduler_harness harness;
 
 private:
     struct worker_state
     {
-        time_point back{}; ///< when the executor returns; zero: it is up
-        time_point gone{};
-        bool dark = false; ///< its guard is down, too
-        int lives = 1;
+        time_point returns_at{}; ///< when the executor returns; zero: it is up
+        time_point crashed_at{};
+        bool guard_down = false; ///< its guard is down, too
+        int incarnations = 1;
         std::set<std::string> known;             ///< starts begun or refused
         std::map<std::string, time_point> since; ///< start times of runs
         /// When a report last listed each run.
@@ -118,51 +118,52 @@
         return row.task + "/" + std::to_string(row.run);
     }
 
-    void settle(const std::string& guard, worker_state& worker)
+    void update_worker(const std::string& guard, worker_state& worker)
     {
-        if (worker.back != time_point{})
+        if (worker.returns_at != time_point{})
         {
-            settle_down(guard, worker);
+            update_down_worker(guard, worker);
             return;
         }
-        const auto rows = at.worker(guard).running;
+        const auto rows = harness.worker(guard).running;
         for (const running_task& row : rows)
         {
             if (worker.known.insert(key(row)).second)
             {
-                worker.since[key(row)] = at.now;
+                worker.since[key(row)] = harness.now;
             }
         }
         for (const running_task& row : rows)
         {
-            const duration worked = at.now - worker.since.at(key(row));
+            const duration worked = harness.now - worker.since.at(key(row));
             if (crashing_.contains(row.task) &&
                 worked >= options_.crashes_after)
             {
                 const std::int64_t crashes = ++crashes_[row.task];
                 crash(guard, worker);
-                worker.dark = crashes <= options_.unwitnessed;
+                worker.guard_down = crashes <= options_.guard_losses;
                 return;
             }
         }
         for (const running_task& row : rows)
         {
-            end_if_over(guard, row, at.now - worker.since.at(key(row)));
+            end_if_due(guard, row, harness.now - worker.since.at(key(row)));
         }
     }
 
     void end(const std::string& guard, const running_task& row, run_end how)
     {
         workers_.at(guard).ended.insert(key(row));
-        at.end(row.task, how);
+        harness.end(row.task, how);
     }
 
-    void end_if_over(const std::string& guard, const running_task& row,
-                     duration worked)
+    void end_if_due(const std::string& guard, const running_task& row,
+                    duration worked)
     {
         const auto name = task_name::parse(row.task);
-        const bool lasting = at.accepted.at(name->job).steps.front().lasting;
-        for (running_task& listed : at.worker(guard).running)
+        const bool lasting =
+            harness.accepted.at(name->job).steps.front().lasting;
+        for (running_task& listed : harness.worker(guard).running)
         {
             if (listed.task == row.task)
             {
@@ -171,8 +172,8 @@
                                      : full_percent * worked / options_.work;
             }
         }
-        const auto stop = at.stops.find(row.task);
-        if (stop != at.stops.end() && stop->second == row.run)
+        const auto stop = harness.stops.find(row.task);
+        if (stop != harness.stops.end() && stop->second == row.run)
         {
             end(guard, row, run_end::stopped);
         }
@@ -188,10 +189,10 @@
 
     // Starts that arrive while the executor is down are refused. The guard
     // still lists the runs that it last saw there.
-    void settle_down(const std::string& guard, worker_state& worker)
+    void update_down_worker(const std::string& guard, worker_state& worker)
     {
-        worker_report& report = at.worker(guard);
-        report.lists_age_ms = to_milliseconds(at.now - worker.gone);
+        worker_report& report = harness.worker(guard);
+        report.lists_age_ms = to_milliseconds(harness.now - worker.crashed_at);
         report.failing_ms = report.lists_age_ms;
         std::erase_if(report.running,
                       [&](const running_task& row)
@@ -206,20 +207,21 @@
                           }
                           return fresh || !shown_.contains(guard + key(row));
                       });
-        report.answering = at.now - worker.gone < options_.silence;
-        report.lapsed = at.now - worker.gone >= lease_;
-        if (at.now >= worker.back)
+        report.answering =
+            harness.now - worker.crashed_at < options_.detection_time;
+        report.lapsed = harness.now - worker.crashed_at >= lease_;
+        if (harness.now >= worker.returns_at)
         {
             begin_incarnation(guard, worker);
         }
     }
 
-    past_incarnation former_of(const std::string& guard,
-                               const worker_state& worker)
+    past_incarnation past_incarnation_of(const std::string& guard,
+                                         const worker_state& worker)
     {
-        past_incarnation over{.executor = at.worker(guard).worker.executor,
-                              .lost_ms =
-                                  to_milliseconds(worker.gone - time_point{})};
+        past_incarnation past{
+            .executor = harness.worker(guard).worker.executor,
+            .lost_ms = to_milliseconds(worker.crashed_at - time_point{})};
         for (const auto& [run, since] : worker.since)
         {
             if (worker.ended.contains(run))
@@ -231,19 +233,20 @@
                                        ? duration{0}
                                        : listed->second - since;
             const std::size_t slash = run.find('/');
-            over.begun.push_back({.task = run.substr(0, slash),
+            past.begun.push_back({.task = run.substr(0, slash),
                                   .run = std::stoll(run.substr(slash + 1)),
                                   .at_work_ms = to_milliseconds(shown),
                                   .is_sure = true});
         }
-        return over;
+        return past;
     }
 
     void begin_incarnation(const std::string& guard, worker_state& worker)
     {
-        worker_report& report = at.worker(guard);
-        report.former = {former_of(guard, worker)};
-        report.worker.executor = guard + "-" + std::to_string(++worker.lives);
+        worker_report& report = harness.worker(guard);
+        report.former = {past_incarnation_of(guard, worker)};
+        report.worker.executor =
+            guard + "-" + std::to_string(++worker.incarnations);
         report.running.clear();
         report.ended.clear();
         report.refused.clear();
@@ -251,13 +254,13 @@
         report.lapsed = false;
         report.lists_age_ms = 0;
         report.failing_ms = 0;
-        if (worker.dark)
+        if (worker.guard_down)
         {
             report.incarnation += "i";
             report.former.clear(); // unknown to the new guard
         }
-        worker.dark = false;
-        worker.back = {};
+        worker.guard_down = false;
+        worker.returns_at = {};
         worker.since.clear();
         worker.listed.clear();
     }
@@ -266,11 +269,11 @@
     void break_gang(const running_task& crashed)
     {
         const auto name = task_name::parse(crashed.task);
-        const job& what = at.accepted.at(name->job);
-        for (const auto& [task, start] : at.started)
+        const job& definition = harness.accepted.at(name->job);
+        for (const auto& [task, start] : harness.started)
         {
-            if (what.steps.front().gang && task.starts_with(what.id + ".") &&
-                task != crashed.task)
+            if (definition.steps.front().gang &&
+                task.starts_with(definition.id + ".") && task != crashed.task)
             {
                 broken_.insert(task);
             }
@@ -279,36 +282,39 @@
 
     void crash(const std::string& guard, worker_state& worker)
     {
-        for (const running_task& row : at.worker(guard).running)
+        for (const running_task& row : harness.worker(guard).running)
         {
             break_gang(row);
         }
         ++all_crashes_;
-        worker.back = at.now + options_.away;
-        worker.gone = at.now;
+        worker.returns_at = harness.now + options_.downtime;
+        worker.crashed_at = harness.now;
         // Starts that no poll has shown yet are not listed.
-        std::erase_if(at.worker(guard).running, [&](const running_task& row)
+        std::erase_if(harness.worker(guard).running,
+                      [&](const running_task& row)
                       { return !shown_.contains(guard + key(row)); });
     }
 
     void report_all()
     {
-        next_reports_ = at.now + milliseconds(400);
+        next_reports_ = harness.now + milliseconds(400);
         for (auto& [guard, worker] : workers_)
         {
-            if (worker.dark)
+            if (worker.guard_down)
             {
                 continue;
             }
-            for (const running_task& row : at.worker(guard).running)
+            for (const running_task& row : harness.worker(guard).running)
             {
                 shown_.insert(guard + key(row));
-                worker.listed[key(row)] =
-                    worker.back == time_point{} ? at.now : worker.gone;
+                worker.listed[key(row)] = worker.returns_at == time_point{}
+                                              ? harness.now
+                                              : worker.crashed_at;
             }
-            at.worker(guard).sent_ms = to_milliseconds(at.now - time_point{});
-            at.say(guard);
-            at.worker(guard).refused.clear();
+            harness.worker(guard).sent_ms =
+                to_milliseconds(harness.now - time_point{});
+            harness.say(guard);
+            harness.worker(guard).refused.clear();
         }
     }
 
@@ -324,35 +330,35 @@
 };
 
 // Short jobs that are submitted continuously.
-class passing_jobs
+class background_jobs
 {
 public:
-    explicit passing_jobs(crashing_fleet& at) : at_(at) {}
+    explicit background_jobs(crashing_fleet& fleet) : fleet_(fleet) {}
 
     void run(duration length, duration gap)
     {
-        const time_point until = at_.at.now + length;
-        while (at_.at.now < until)
+        const time_point until = fleet_.harness.now + length;
+        while (fleet_.harness.now < until)
         {
-            ids_.push_back(at_.submit(step_of(2, 500)));
-            at_.run(gap);
+            ids_.push_back(fleet_.submit(step_of(2, 500)));
+            fleet_.run(gap);
         }
     }
 
     // Number of jobs that did not succeed.
-    [[nodiscard]] std::size_t unserved() const
+    [[nodiscard]] std::size_t unsuccessful() const
     {
         return static_cast<std::size_t>(std::ranges::count_if(
             ids_, [&](const std::string& id)
-            { return at_.at.shown(id) != job_state::succeeded; }));
+            { return fleet_.harness.shown(id) != job_state::succeeded; }));
     }
 
 private:
-    crashing_fleet& at_;
+    crashing_fleet& fleet_;
     std::vector<std::string> ids_;
 };
 
-inline job_step lasting(std::int64_t count)
+inline job_step lasting_step(std::int64_t count)
 {
     job_step step = step_of(count, 500);
     step.lasting = true;
--- a/tests/unit/crashing_task_tests.cpp
+++ b/tests/unit/crashing_task_tests.cpp
@@ -24,8 +24,8 @@
 TEST_CASE("a task that crashes each executor that starts it fails")
 {
     crashing_fleet fleet({});
-    passing_jobs passing(fleet);
-    passing.run(seconds(3), milliseconds(100));
+    background_jobs background(fleet);
+    background.run(seconds(3), milliseconds(100));
     std::string bad;
     SUBCASE("alone in its job")
     {
@@ -37,7 +37,7 @@
     }
     SUBCASE("in a long-running job")
     {
-        bad = fleet.submit_crashing(lasting(3));
+        bad = fleet.submit_crashing(lasting_step(3));
     }
     SUBCASE("in a gang")
     {
@@ -51,37 +51,37 @@
         step.checkpoints = true;
         bad = fleet.submit_crashing(step);
     }
-    passing.run(seconds(20), milliseconds(100));
+    background.run(seconds(20), milliseconds(100));
     fleet.run(seconds(10));
-    CHECK(fleet.at.shown(bad) == job_state::failed);
+    CHECK(fleet.harness.shown(bad) == job_state::failed);
     CHECK(fleet.crashes(bad) <= max_crashes);
-    CHECK(passing.unserved() == 0);
+    CHECK(background.unsuccessful() == 0);
 }
 
 TEST_CASE("a task that crashes its executor after some work fails")
 {
     crashing_fleet fleet({.crashes_after = milliseconds(700)});
-    passing_jobs passing(fleet);
-    passing.run(seconds(3), milliseconds(100));
+    background_jobs background(fleet);
+    background.run(seconds(3), milliseconds(100));
     const std::string bad = fleet.submit_crashing();
-    passing.run(seconds(40), milliseconds(100));
+    background.run(seconds(40), milliseconds(100));
     fleet.run(seconds(10));
-    CHECK(fleet.at.shown(bad) == job_state::failed);
+    CHECK(fleet.harness.shown(bad) == job_state::failed);
     CHECK(fleet.crashes(bad) <= max_crashes + max_starts_after);
-    CHECK(passing.unserved() == 0);
+    CHECK(background.unsuccessful() == 0);
 }
 
 TEST_CASE("crashes are counted if the executor stays down for long")
 {
-    crashing_fleet fleet({.away = seconds(7)});
-    passing_jobs passing(fleet);
-    passing.run(seconds(2), milliseconds(100));
+    crashing_fleet fleet({.downtime = seconds(7)});
+    background_jobs background(fleet);
+    background.run(seconds(2), milliseconds(100));
     const std::string bad = fleet.submit_crashing();
-    passing.run(seconds(45), milliseconds(100));
+    background.run(seconds(45), milliseconds(100));
     fleet.run(seconds(10));
-    CHECK(fleet.at.shown(bad) == job_state::failed);
+    CHECK(fleet.harness.shown(bad) == job_state::failed);
     CHECK(fleet.crashes(bad) <= max_crashes + max_starts_after);
-    CHECK(passing.unserved() == 0);
+    CHECK(background.unsuccessful() == 0);
 }
 
 // From a soak test: two executors crashed just as their guards were stopped, so
@@ -90,9 +90,10 @@
 // times.
 TEST_CASE("crashes without a surviving guard count less, but do count")
 {
-    crashing_fleet fleet({.workers = 5, .a_rack = 5, .unwitnessed = 2});
-    passing_jobs passing(fleet);
-    passing.run(seconds(3), milliseconds(400));
+    crashing_fleet fleet(
+        {.workers = 5, .workers_per_rack = 5, .guard_losses = 2});
+    background_jobs background(fleet);
+    background.run(seconds(3), milliseconds(400));
     std::vector<std::string> bad(3);
     for (std::string& id : bad)
     {
@@ -101,47 +102,47 @@
     fleet.run(seconds(90));
     for (const std::string& id : bad)
     {
-        CHECK(fleet.at.shown(id) == job_state::failed);
+        CHECK(fleet.harness.shown(id) == job_state::failed);
         CHECK(fleet.crashes(id) <= max_crashes + max_starts_after);
     }
-    CHECK(passing.unserved() == 0);
+    CHECK(background.unsuccessful() == 0);
 }
 
 TEST_CASE("the crash count survives a change of leader")
 {
     crashing_fleet fleet({});
-    passing_jobs passing(fleet);
-    passing.run(seconds(3), milliseconds(100));
+    background_jobs background(fleet);
+    background.run(seconds(3), milliseconds(100));
     const std::string bad = fleet.submit_crashing();
-    for (int office = 0; office < 12; ++office)
+    for (int term = 0; term < 12; ++term)
     {
-        passing.run(milliseconds(2300), milliseconds(100));
-        fleet.at.take_over();
+        background.run(milliseconds(2300), milliseconds(100));
+        fleet.harness.take_over();
     }
     fleet.run(seconds(15));
-    CHECK(fleet.at.shown(bad) == job_state::failed);
+    CHECK(fleet.harness.shown(bad) == job_state::failed);
     CHECK(fleet.crashes(bad) <= max_crashes + max_starts_after);
-    CHECK(passing.unserved() == 0);
+    CHECK(background.unsuccessful() == 0);
 }
 
 TEST_CASE("twenty tasks that crash executors are submitted at once")
 {
     crashing_fleet fleet({});
-    passing_jobs passing(fleet);
-    passing.run(seconds(3), milliseconds(100));
+    background_jobs background(fleet);
+    background.run(seconds(3), milliseconds(100));
     std::vector<std::string> bad(20);
     for (std::string& id : bad)
     {
         id = fleet.submit_crashing();
     }
-    passing.run(seconds(60), milliseconds(200));
+    background.run(seconds(60), milliseconds(200));
     fleet.run(seconds(30));
     for (const std::string& id : bad)
     {
-        CHECK(fleet.at.shown(id) == job_state::failed);
+        CHECK(fleet.harness.shown(id) == job_state::failed);
         CHECK(fleet.crashes(id) <= max_crashes + max_starts_after);
     }
-    CHECK(passing.unserved() == 0);
+    CHECK(background.unsuccessful() == 0);
 }
 
 // Guards against a job that fails although its task merely ran beside crashes.
@@ -151,7 +152,7 @@
 {
     begun_run other{.task = "other.0.0.0", .run = 1, .is_sure = true};
     bool is_sure = true;
-    bool is_named = false;
+    bool is_blamed = false;
     SUBCASE("not if the start was unanswered, beside another run")
     {
         is_sure = false;
@@ -164,27 +165,27 @@
     SUBCASE("for one with nothing beside it")
     {
         other.task.clear();
-        is_named = true;
+        is_blamed = true;
     }
     SUBCASE("for three while it certainly ran, whatever ran beside it")
     {
-        is_named = true;
+        is_blamed = true;
     }
-    scheduler_harness at;
-    at.say("g1");
-    const std::string id = at.submit({step_of(1)}).id;
+    scheduler_harness harness;
+    harness.say("g1");
+    const std::string id = harness.submit({step_of(1)}).id;
     for (int crash = 1; crash <= 3; ++crash)
     {
-        for (int turn = 0; turn < 100 && !at.runs(id + ".0.0.0"); ++turn)
+        for (int turn = 0; turn < 100 && !harness.runs(id + ".0.0.0"); ++turn)
         {
-            at.say("g1");
-            at.turn(milliseconds(100));
+            harness.say("g1");
+            harness.turn(milliseconds(100));
         }
-        REQUIRE(at.runs(id + ".0.0.0"));
+        REQUIRE(harness.runs(id + ".0.0.0"));
         const begun_run own{.task = id + ".0.0.0",
-                            .run = at.started[id + ".0.0.0"].run,
+                            .run = harness.started[id + ".0.0.0"].run,
                             .is_sure = is_sure || crash < 3};
-        worker_report& report = at.worker("g1");
+        worker_report& report = harness.worker("g1");
         report.former = {{.executor = report.worker.executor, .begun = {own}}};
         if (crash < 3 || !other.task.empty())
         {
@@ -192,11 +193,11 @@
         }
         report.worker.executor = "g1-" + std::to_string(crash + 1);
         report.running.clear();
-        at.started.clear();
-        at.say("g1");
+        harness.started.clear();
+        harness.say("g1");
     }
-    at.turn();
-    CHECK((at.shown(id) == job_state::failed) == is_named);
+    harness.turn();
+    CHECK((harness.shown(id) == job_state::failed) == is_blamed);
 }
 
 // Guards against a task that is started too often: its first crash, beside a
@@ -220,7 +221,7 @@
 {
     constexpr int crashes = 4;
     int sure = 1;
-    bool is_named = false;
+    bool is_blamed = false;
     SUBCASE("with one crash while it certainly ran") {}
     SUBCASE("with no crash while it certainly ran")
     {
@@ -229,32 +230,32 @@
     SUBCASE("but two crashes while it certainly ran fail it")
     {
         sure = 2;
-        is_named = true;
+        is_blamed = true;
     }
-    scheduler_harness at;
-    at.say("g1");
-    const std::string task = at.submit({step_of(1)}).id + ".0.0.0";
+    scheduler_harness harness;
+    harness.say("g1");
+    const std::string task = harness.submit({step_of(1)}).id + ".0.0.0";
     for (int crash = 1; crash <= crashes; ++crash)
     {
-        for (int turn = 0; turn < 100 && !at.runs(task); ++turn)
+        for (int turn = 0; turn < 100 && !harness.runs(task); ++turn)
         {
-            at.say("g1");
-            at.turn(milliseconds(100));
+            harness.say("g1");
+            harness.turn(milliseconds(100));
         }
-        REQUIRE(at.runs(task));
-        worker_report& report = at.worker("g1");
+        REQUIRE(harness.runs(task));
+        worker_report& report = harness.worker("g1");
         report.former = {{.executor = report.worker.executor,
                           .begun = {{.task = task,
-                                     .run = at.started[task].run,
+                                     .run = harness.started[task].run,
                                      .is_sure = crash <= sure}}}};
         report.worker.executor = "g1-" + std::to_string(crash + 1);
         report.running.clear();
-        at.started.clear();
-        at.say("g1");
+        harness.started.clear();
+        harness.say("g1");
     }
-    at.turn();
+    harness.turn();
     const std::string job = task.substr(0, task.find('.'));
-    CHECK((at.shown(job) == job_state::failed) == is_named);
+    CHECK((harness.shown(job) == job_state::failed) == is_blamed);
 }
 
 // Seven tasks that crash executors at once, with all executors in one rack.
@@ -263,23 +264,23 @@
     for (unsigned seed = 1; seed <= 20; ++seed)
     {
         CAPTURE(seed);
-        crashing_fleet fleet({.workers = 5, .a_rack = 5});
-        passing_jobs passing(fleet);
-        passing.run(seconds(2), milliseconds(300));
+        crashing_fleet fleet({.workers = 5, .workers_per_rack = 5});
+        background_jobs background(fleet);
+        background.run(seconds(2), milliseconds(300));
         std::mt19937 random(seed);
         std::vector<std::string> bad;
         for (int number = 0; number < 7; ++number)
         {
             bad.push_back(fleet.submit_crashing());
-            passing.run(milliseconds(random() % 1500), milliseconds(300));
+            background.run(milliseconds(random() % 1500), milliseconds(300));
         }
-        passing.run(seconds(25), milliseconds(400));
+        background.run(seconds(25), milliseconds(400));
         for (const std::string& id : bad)
         {
-            CHECK(fleet.at.shown(id) == job_state::failed);
+            CHECK(fleet.harness.shown(id) == job_state::failed);
             CHECK(fleet.crashes(id) <= max_crashes + max_starts_after);
         }
         fleet.run(seconds(5));
-        CHECK(passing.unserved() == 0);
+        CHECK(background.unsuccessful() == 0);
     }
 }
--- a/tests/unit/entry_list_tests.cpp
+++ b/tests/unit/entry_list_tests.cpp
@@ -101,9 +101,9 @@
 {
     time_point now{std::chrono::hours(1)};
     entry_list list = two_data_centres(now);
-    const leader_state stops{.stopping = true};
+    const leader_state draining{.stopping = true};
     std::set<std::string> asked;
-    while (const auto next = list.next_handover(stops, now))
+    while (const auto next = list.next_handover(draining, now))
     {
         asked.insert(next->to);
         list.note_declined(next->to, now);
@@ -111,14 +111,14 @@
     // Without this limit, 95 of 184 were asked in 1.5 s of a store outage.
     CHECK(asked.size() == 4);
     now += seconds(2);
-    CHECK(list.next_handover(stops, now).has_value());
+    CHECK(list.next_handover(draining, now).has_value());
     // In a store outage that affects all entries, leadership stays.
     for (entry_heartbeat one : list.successors(now))
     {
         one.store_away = true;
         list.note(one, now);
     }
-    CHECK_FALSE(list.next_handover(stops, now).has_value());
+    CHECK_FALSE(list.next_handover(draining, now).has_value());
 }
 
 TEST_CASE("successors claim vacant leadership in the order of their ranks")
--- a/tests/unit/fault_detector_tests.cpp
+++ b/tests/unit/fault_detector_tests.cpp
@@ -21,7 +21,7 @@
 
 constexpr std::size_t fleet_size = 62;
 
-struct tested_fleet
+struct simulated_fleet
 {
     // Runs end on all executors in turn. Returns how many executors were found
     // faulty.
@@ -31,12 +31,13 @@
         for (int number = 0; number < ends; ++number)
         {
             double& fault_score =
-                doubts[static_cast<std::size_t>(number) % doubts.size()];
-            fault_score = test.fault_score_after(fault_score, fails(share));
-            if (test.is_faulty(fault_score))
+                fault_scores[static_cast<std::size_t>(number) %
+                             fault_scores.size()];
+            fault_score = detector.fault_score_after(fault_score, fails(share));
+            if (detector.is_faulty(fault_score))
             {
                 ++found;
-                fault_score = test.fault_score_at_return();
+                fault_score = detector.fault_score_at_return();
             }
         }
         return found;
@@ -49,8 +50,9 @@
         double fault_score = 0;
         for (int ends = 1; ends <= 200; ++ends)
         {
-            fault_score = test.fault_score_after(fault_score, fails(own_share));
-            if (test.is_faulty(fault_score))
+            fault_score =
+                detector.fault_score_after(fault_score, fails(own_share));
+            if (detector.is_faulty(fault_score))
             {
                 return ends;
             }
@@ -65,8 +67,8 @@
     }
 
     std::mt19937 random{7};
-    fault_detector test;
-    std::vector<double> doubts = std::vector<double>(fleet_size);
+    fault_detector detector;
+    std::vector<double> fault_scores = std::vector<double>(fleet_size);
 };
 
 } // namespace
@@ -77,7 +79,7 @@
     for (const double share : {0.005, 0.05, 0.1})
     {
         CAPTURE(share);
-        tested_fleet fleet;
+        simulated_fleet fleet;
         CHECK(fleet.run(17'000, share) <= 4);
     }
 }
@@ -87,7 +89,7 @@
     for (const double share : {0.0, 0.005, 0.05, 0.1})
     {
         CAPTURE(share);
-        tested_fleet fleet;
+        simulated_fleet fleet;
         fleet.run(2000, share);
         CHECK(fleet.ends_to_find(1.0, share) <= 6);
     }
@@ -98,7 +100,7 @@
     int ends = 0;
     for (unsigned seed = 1; seed <= 20; ++seed)
     {
-        tested_fleet fleet;
+        simulated_fleet fleet;
         fleet.random.seed(seed);
         fleet.run(2000, 0.05);
         ends += fleet.ends_to_find(0.5, 0.05);
@@ -108,59 +110,59 @@
 
 TEST_CASE("one failure does not eject an executor that has just returned")
 {
-    tested_fleet fleet;
+    simulated_fleet fleet;
     fleet.run(2000, 0.05);
-    double fault_score = fleet.test.fault_score_at_return();
-    fault_score = fleet.test.fault_score_after(fault_score, true);
-    CHECK(!fleet.test.is_faulty(fault_score));
-    fault_score = fleet.test.fault_score_after(fault_score, true);
-    CHECK(fleet.test.is_faulty(fault_score));
+    double fault_score = fleet.detector.fault_score_at_return();
+    fault_score = fleet.detector.fault_score_after(fault_score, true);
+    CHECK(!fleet.detector.is_faulty(fault_score));
+    fault_score = fleet.detector.fault_score_after(fault_score, true);
+    CHECK(fleet.detector.is_faulty(fault_score));
 }
 
 TEST_CASE("failures already in flight do not extend an ejection")
 {
-    scheduler_harness with;
+    scheduler_harness harness;
     for (int guard = 0; guard < 11; ++guard)
     {
-        with.worker("g" + std::to_string(guard)).worker.capacity = {
+        harness.worker("g" + std::to_string(guard)).worker.capacity = {
             .cpu_millis = 64'000, .memory_mb = 64'000};
-        with.say("g" + std::to_string(guard));
+        harness.say("g" + std::to_string(guard));
     }
     std::vector<std::string> jobs;
     jobs.reserve(200);
     for (int number = 0; number < 200; ++number)
     {
-        jobs.push_back(with.submit({step_of(1)}).id);
+        jobs.push_back(harness.submit({step_of(1)}).id);
     }
-    with.turn();
-    with.turn();
-    std::vector<std::string> there;
+    harness.turn();
+    harness.turn();
+    std::vector<std::string> tasks_on_g0;
     for (const std::string& id : jobs)
     {
         const std::string task = id + ".0.0.0";
-        if (with.where.contains(task) && with.where.at(task) == "g0")
+        if (harness.where.contains(task) && harness.where.at(task) == "g0")
         {
-            there.push_back(task);
+            tasks_on_g0.push_back(task);
         }
     }
-    REQUIRE(there.size() >= 12);
+    REQUIRE(tasks_on_g0.size() >= 12);
     const auto ejected_until = [&]
     {
-        return with.core.workers().at("g0").ejected_until;
+        return harness.core.workers().at("g0").ejected_until;
     };
     std::size_t failed = 0;
-    while (ejected_until() == time_point{} && failed < there.size())
+    while (ejected_until() == time_point{} && failed < tasks_on_g0.size())
     {
-        with.end(there[failed++], run_end::failed);
-        with.say("g0");
+        harness.end(tasks_on_g0[failed++], run_end::failed);
+        harness.say("g0");
     }
     REQUIRE(failed <= 6);
     const time_point until = ejected_until();
     for (std::size_t more = failed; more < failed + 4; ++more)
     {
-        with.turn();
-        with.end(there[more], run_end::failed);
-        with.say("g0");
+        harness.turn();
+        harness.end(tasks_on_g0[more], run_end::failed);
+        harness.say("g0");
     }
     CHECK(ejected_until() == until);
 }
--- a/tests/unit/freed_capacity_tests.cpp
+++ b/tests/unit/freed_capacity_tests.cpp
@@ -15,7 +15,7 @@
 namespace
 {
 
-constexpr std::int64_t half_a_worker = 2000;
+constexpr std::int64_t half_worker = 2000;
 
 bool writes(const commit_batch& batch, const std::string& job)
 {
@@ -31,7 +31,7 @@
     {
         for (const char* guard : {"g1", "g2", "g3"})
         {
-            at_.say(guard);
+            harness_.say(guard);
         }
     }
 
@@ -41,29 +41,30 @@
         {
             submit();
         }
-        for (auto& [guard, report] : at_.reports)
+        for (auto& [guard, report] : harness_.reports)
         {
             end_some(report);
-            at_.say(guard);
+            harness_.say(guard);
         }
-        at_.now += milliseconds(25);
-        at_.verified = at_.now;
-        at_.core.tick(at_.now, at_.unix_ms);
+        harness_.now += milliseconds(25);
+        harness_.verified = harness_.now;
+        harness_.core.tick(harness_.now, harness_.unix_ms);
         write();
     }
 
     // Whether a successor that assumes every run in the store would exceed a
     // worker's capacity.
-    [[nodiscard]] bool counts_more_than_fits() const
+    [[nodiscard]] bool exceeds_capacity() const
     {
         std::map<std::string, resources> used;
-        for (const auto& [id, record] : at_.records)
+        for (const auto& [id, record] : harness_.records)
         {
             for (const task_progress& one : decode_progress(record.text).tasks)
             {
-                const job& what = at_.accepted.at(id);
+                const job& definition = harness_.accepted.at(id);
                 used[one.guard] +=
-                    what.steps[static_cast<std::size_t>(one.at.step)].demand;
+                    definition.steps[static_cast<std::size_t>(one.at.step)]
+                        .demand;
             }
         }
         used.erase(""); // of tasks without a worker
@@ -79,11 +80,11 @@
     [[nodiscard]] bool all_ended() const
     {
         return std::ranges::all_of(
-            at_.accepted, [&](const auto& one)
-            { return at_.shown(one.first) == job_state::succeeded; });
+            harness_.accepted, [&](const auto& one)
+            { return harness_.shown(one.first) == job_state::succeeded; });
     }
 
-    void calm()
+    void stop_submitting()
     {
         submits_ = false;
     }
@@ -103,13 +104,13 @@
         std::vector<job_step> steps;
         for (std::size_t number = 0; number < 3; ++number)
         {
-            steps.push_back(step_of(chance(0.5) ? 1 : 3, half_a_worker));
+            steps.push_back(step_of(chance(0.5) ? 1 : 3, half_worker));
             if (number > 0)
             {
                 steps.back().after = {number - 1};
             }
         }
-        at_.submit(std::move(steps));
+        harness_.submit(std::move(steps));
     }
 
     void end_some(const worker_report& report)
@@ -119,31 +120,31 @@
         {
             if (chance(0.4))
             {
-                at_.end(row.task, run_end::done);
+                harness_.end(row.task, run_end::done);
             }
         }
     }
 
     void write()
     {
-        if (const auto batch = at_.core.next_commit(at_.now))
+        if (const auto batch = harness_.core.next_commit(harness_.now))
         {
-            ++at_.revision;
+            ++harness_.revision;
             for (const progress_write& one : *batch)
             {
-                at_.records[one.job] = {.text = one.text,
-                                        .revision = at_.revision};
+                harness_.records[one.job] = {.text = one.text,
+                                             .revision = harness_.revision};
             }
-            at_.core.committed(*batch, at_.revision, at_.now);
+            harness_.core.committed(*batch, harness_.revision, harness_.now);
             max_queued_ = std::max(max_queued_, batch->size());
         }
-        for (const addressed_orders& one : at_.core.take_orders())
+        for (const addressed_orders& one : harness_.core.take_orders())
         {
-            at_.take(one.orders, one.guard);
+            harness_.take(one.orders, one.guard);
         }
     }
 
-    scheduler_harness at_{
+    scheduler_harness harness_{
         {.jobs_per_commit = 2, .lasting_batch_window = duration{0}}};
     std::mt19937 random_;
     bool submits_ = true;
@@ -165,14 +166,14 @@
         for (int turn = 0; turn < 400; ++turn)
         {
             store.turn();
-            REQUIRE_FALSE(store.counts_more_than_fits());
+            REQUIRE_FALSE(store.exceeds_capacity());
         }
         CHECK(store.max_queued() == 2);
-        store.calm();
+        store.stop_submitting();
         for (int turn = 0; turn < 4000 && !store.all_ended(); ++turn)
         {
             store.turn();
-            REQUIRE_FALSE(store.counts_more_than_fits());
+            REQUIRE_FALSE(store.exceeds_capacity());
         }
         CHECK(store.all_ended());
     }
@@ -180,13 +181,13 @@
 
 TEST_CASE("a placement is not written before the end that freed its capacity")
 {
-    scheduler_harness at;
-    at.say("g1");
-    const std::string first = at.submit({step_of(2, half_a_worker)}).id;
-    at.turn();
-    at.turn();
-    REQUIRE(at.runs(first + ".0.0.0"));
-    worker_report& report = at.worker("g1");
+    scheduler_harness harness;
+    harness.say("g1");
+    const std::string first = harness.submit({step_of(2, half_worker)}).id;
+    harness.turn();
+    harness.turn();
+    REQUIRE(harness.runs(first + ".0.0.0"));
+    worker_report& report = harness.worker("g1");
     std::erase_if(report.running, [&](const running_task& row)
                   { return row.task == first + ".0.0.0"; });
     SUBCASE("the run was refused")
@@ -201,12 +202,12 @@
                          .run = 1,
                          .how = run_end::done}};
     }
-    at.say("g1");
-    const std::string second = at.submit({step_of(1, half_a_worker)}).id;
-    at.now += milliseconds(25);
-    at.verified = at.now;
-    at.core.tick(at.now, at.unix_ms);
-    const auto batch = at.core.next_commit(at.now);
+    harness.say("g1");
+    const std::string second = harness.submit({step_of(1, half_worker)}).id;
+    harness.now += milliseconds(25);
+    harness.verified = harness.now;
+    harness.core.tick(harness.now, harness.unix_ms);
+    const auto batch = harness.core.next_commit(harness.now);
     REQUIRE(batch.has_value());
     REQUIRE(writes(*batch, second));
     CHECK(writes(*batch, first));
--- a/tests/unit/interference_model_tests.cpp
+++ b/tests/unit/interference_model_tests.cpp
@@ -86,22 +86,23 @@
 
 TEST_CASE("the siblings' mean excludes the task itself and stale figures")
 {
-    sibling_headroom of;
+    sibling_headroom siblings;
     time_point now{std::chrono::hours(1)};
-    of.note("a", {.headroom = 1, .beside = {{"f", 0.4}}}, now);
-    of.note("b", {.headroom = 2, .beside = {{"f", 0.2}}}, now);
-    CHECK_FALSE(of.mean_without("a").has_value()); // one other is too few
-    of.note("c", {.headroom = 4}, now);
-    const auto mean = of.mean_without("a");
+    siblings.note("a", {.headroom = 1, .beside = {{"f", 0.4}}}, now);
+    siblings.note("b", {.headroom = 2, .beside = {{"f", 0.2}}}, now);
+    CHECK_FALSE(siblings.mean_without("a").has_value()); // one other is too few
+    siblings.note("c", {.headroom = 4}, now);
+    const auto mean = siblings.mean_without("a");
     REQUIRE(mean.has_value());
     CHECK(mean->headroom == doctest::Approx(3));
     CHECK(mean->beside.at("f") == doctest::Approx(0.1));
     now += std::chrono::milliseconds(500);
-    of.note("b", {.headroom = 3}, now);
-    of.note("c", {.headroom = 3}, now);
+    siblings.note("b", {.headroom = 3}, now);
+    siblings.note("c", {.headroom = 3}, now);
     now += std::chrono::milliseconds(500);
-    of.note("d", {.headroom = 6}, now);
-    const auto later = of.mean_without("a"); // excludes the stale figure of "a"
+    siblings.note("d", {.headroom = 6}, now);
+    const auto later =
+        siblings.mean_without("a"); // excludes the stale figure of "a"
     REQUIRE(later.has_value());
     CHECK(later->headroom == doctest::Approx(4));
     CHECK(later->beside.at("f") == doctest::Approx(0));
--- a/tests/unit/job_simulation.hpp
+++ b/tests/unit/job_simulation.hpp
@@ -23,28 +23,28 @@
 public:
     job_simulation(std::uint32_t seed, job_faults faults);
     void run(duration length, bool submitting);
-    void calm();
+    void stop_faults();
     void check_histories() const;
     void check_all_ended() const;
 
 private:
-    struct holder_process
+    struct leader_process
     {
         std::shared_ptr<scheduler_core> core;
         std::int64_t epoch = 0;
         time_point verified;
         std::optional<commit_batch> batch;
         bool writing = false;
-        time_point next_hearing{}; ///< next read of the closures
+        time_point next_closure_read{}; ///< next read of the closures
     };
 
     struct guard_process
     {
         std::string name;
-        std::shared_ptr<run_reconciler> keeper;
+        std::shared_ptr<run_reconciler> reconciler;
         std::string incarnation;
         std::int64_t sequence = 0;
-        std::int64_t holder = 0; ///< epoch of the leader it reports to
+        std::int64_t leader_epoch = 0; ///< of the leader it reports to
         bool reporting = false;
         time_point next_report{};
         time_point next_heartbeat{};
@@ -53,76 +53,78 @@
         time_point down_until{};   ///< killed, not restarted before this
         time_point silent_until{}; ///< its polls get no answer
         fake_executor executor;
-        std::int64_t lives = 0;
+        std::int64_t incarnations = 0;
         std::string executor_id; ///< incarnations may share it
     };
 
     int draw(int below);
-    bool chance(int of);
-    void later(duration after, std::function<void()> what);
+    bool chance(int probability);
+    void schedule(duration after, std::function<void()> event);
     duration delay();
 
     // Jobs
-    duration held();
+    duration hold_time();
     void submit();
 
     // The store
-    void write(const std::shared_ptr<holder_process>& by);
-    bool apply(const holder_process& by);
-    void written(const std::shared_ptr<holder_process>& by, bool lost,
+    void write(const std::shared_ptr<leader_process>& leader);
+    bool apply(const leader_process& leader);
+    void written(const std::shared_ptr<leader_process>& leader, bool lost,
                  bool applied, time_point sent);
 
     // Leaders
     void take_over();
-    std::shared_ptr<holder_process> holder_of(std::int64_t epoch);
-    void serve(const std::shared_ptr<holder_process>& by);
+    std::shared_ptr<leader_process> leader_of(std::int64_t epoch);
+    void serve(const std::shared_ptr<leader_process>& leader);
     // Reads the closures from the store; the answer arrives after a delay. A
     // stale watch misses changes for up to a second.
-    void hear_operator(holder_process& by);
+    void read_closures(leader_process& leader);
     static std::string data_centre_of(std::size_t index);
     [[nodiscard]] std::set<std::string> closed_at(time_point when) const;
     // Whether a run may begin at this guard's executor now.
     [[nodiscard]] bool may_begin(std::size_t index) const;
     void deliver(const addressed_orders& one);
-    void hear_orders(std::size_t index, const guard_orders& orders);
+    void receive_orders(std::size_t index, const guard_orders& orders);
 
     // Guards
     void begin_incarnation(std::size_t index);
-    duration time_away();
-    static executor_incarnation next_incarnation(guard_process& of,
+    duration restart_downtime();
+    static executor_incarnation next_incarnation(guard_process& guard,
                                                  bool keeps_id);
     void begin_guard(std::size_t index);
     void serve(std::size_t index);
-    void beat(std::size_t index);
+    void send_heartbeat(std::size_t index);
     // Delivers a report late, to the leader that it was sent to or to the
     // current one. The answer is dropped.
-    void hold_back(const worker_report& out,
-                   const std::shared_ptr<holder_process>& sent_to);
+    void deliver_late(const worker_report& out,
+                      const std::shared_ptr<leader_process>& sent_to);
     void report(std::size_t index);
     void end_report(std::size_t index,
-                    const std::shared_ptr<run_reconciler>& of, duration pause);
+                    const std::shared_ptr<run_reconciler>& reconciler,
+                    duration pause);
     // Records the acknowledgement of ends by the leader, which has committed
     // them.
-    void note_acknowledged(std::size_t index,
-                           const executor_incarnation& executor,
-                           std::int64_t number);
+    void record_acknowledged(std::size_t index,
+                             const executor_incarnation& incarnation,
+                             std::int64_t number);
 
     // Workers
     // Delivers a call to the executor: at once or late, with or without an
     // answer, or not at all.
     template <class Order>
-    void order(std::size_t index, const Order& what)
+    void order(std::size_t index, const Order& call)
     {
-        const auto keeper = guards_[index].keeper;
-        if (!has_connection(index, what))
+        const auto reconciler = guards_[index].reconciler;
+        if (!has_connection(index, call))
         {
-            later(milliseconds(1), [this, keeper, what, sent = now_]
-                  { answer(*keeper, what, sent, order_result::unanswered); });
+            schedule(
+                milliseconds(1), [this, reconciler, call, sent = now_]
+                { answer(*reconciler, call, sent, order_result::unanswered); });
             return;
         }
         if (chance(faults_.call_held))
         {
-            hold_call(index, what, keeper);
+            hold_call(index, call, reconciler);
             return;
         }
         const bool late = chance(faults_.order_late);
@@ -131,46 +133,50 @@
         {
             if (late)
             {
-                later(milliseconds(2000 + draw(4000)),
-                      [this, index, what, to = incarnation_at(index)]
-                      { carry_out_late(index, what, to); });
+                schedule(milliseconds(2000 + draw(4000)),
+                         [this, index, call, target = incarnation_at(index)]
+                         { carry_out_late(index, call, target); });
             }
-            later(milliseconds(300), [this, keeper, what, sent = now_]
-                  { answer(*keeper, what, sent, order_result::unanswered); });
+            schedule(
+                milliseconds(300), [this, reconciler, call, sent = now_]
+                { answer(*reconciler, call, sent, order_result::unanswered); });
             return;
         }
-        const bool is_unheard = gets_no_answer(index, what);
-        if (is_unheard)
+        const bool is_unanswered = gets_no_answer(index, call);
+        if (is_unanswered)
         {
-            later(milliseconds(1), [this, index, what]
-                  { static_cast<void>(carry_out(index, what)); });
-            later(call_limit, [this, keeper, what, sent = now_]
-                  { answer(*keeper, what, sent, order_result::unanswered); });
+            schedule(milliseconds(1), [this, index, call]
+                     { static_cast<void>(carry_out(index, call)); });
+            schedule(
+                call_timeout, [this, reconciler, call, sent = now_]
+                { answer(*reconciler, call, sent, order_result::unanswered); });
             return;
         }
-        later(milliseconds(1),
-              [this, index, what, keeper, sent = now_]
-              {
-                  const order_result result = carry_out(index, what);
-                  std::optional<executor_snapshot> look;
-                  if (result == order_result::accepted)
-                  {
-                      look = look_of(guards_[index].executor);
-                  }
-                  later(milliseconds(1),
-                        [this, keeper, what, sent, result, look]
-                        { answer(*keeper, what, sent, result, look); });
-              });
+        schedule(milliseconds(1),
+                 [this, index, call, reconciler, sent = now_]
+                 {
+                     const order_result result = carry_out(index, call);
+                     std::optional<executor_snapshot> snapshot;
+                     if (result == order_result::accepted)
+                     {
+                         snapshot = snapshot_of(guards_[index].executor);
+                     }
+                     schedule(milliseconds(1),
+                              [this, reconciler, call, sent, result, snapshot] {
+                                  answer(*reconciler, call, sent, result,
+                                         snapshot);
+                              });
+                 });
     }
 
     // A connection ends with the incarnation that it was opened to.
     template <class Order>
-    bool has_connection(std::size_t index, const Order& what)
+    bool has_connection(std::size_t index, const Order& call)
     {
         if constexpr (std::is_same_v<Order, poll_executor>)
         {
-            return !what.connected_before ||
-                   *what.connected_before >= guards_[index].executor.born;
+            return !call.connected_before ||
+                   *call.connected_before >= guards_[index].executor.born;
         }
         return true;
     }
@@ -178,14 +184,16 @@
     // A call that waits unread is carried out later, whatever has happened to
     // its sender and to newer calls.
     template <class Order>
-    void hold_call(std::size_t index, const Order& what,
-                   const std::shared_ptr<run_reconciler>& keeper)
+    void hold_call(std::size_t index, const Order& call,
+                   const std::shared_ptr<run_reconciler>& reconciler)
     {
-        later(milliseconds(draw(max_wait_ms)),
-              [this, index, what, to = incarnation_at(index)]
-              { carry_out_late(index, what, to); });
-        later(call_limit, [this, keeper, what, sent = now_]
-              { answer(*keeper, what, sent, order_result::unanswered); });
+        schedule(milliseconds(draw(max_wait_ms)),
+                 [this, index, call, target = incarnation_at(index)]
+                 { carry_out_late(index, call, target); });
+        schedule(call_timeout,
+                 [this, reconciler, call, sent = now_] {
+                     answer(*reconciler, call, sent, order_result::unanswered);
+                 });
     }
 
     [[nodiscard]] const executor_incarnation&
@@ -198,7 +206,7 @@
     // was delivered to, whichever one it was meant for. The bound on starts in
     // a closed data centre does not apply to it.
     template <class Order>
-    void carry_out_late(std::size_t index, const Order& what,
+    void carry_out_late(std::size_t index, const Order& call,
                         const executor_incarnation& sent_to)
     {
         if (incarnation_at(index) != sent_to)
@@ -206,75 +214,77 @@
             return;
         }
         is_late_ = true;
-        static_cast<void>(carry_out(index, what));
+        static_cast<void>(carry_out(index, call));
         is_late_ = false;
     }
 
     template <class Order>
-    bool gets_no_answer(std::size_t index, const Order& /*what*/)
+    bool gets_no_answer(std::size_t index, const Order& /*call*/)
     {
         const bool is_silent = std::is_same_v<Order, poll_executor> &&
                                now_ < guards_[index].silent_until;
         return chance(faults_.answer_lost) || is_silent;
     }
 
-    void answer(run_reconciler& to, const start_run& what, time_point sent,
-                order_result result,
-                const std::optional<executor_snapshot>& /*look*/ = {});
-    void answer(run_reconciler& to, const stop_run& what, time_point sent,
-                order_result result,
-                const std::optional<executor_snapshot>& /*look*/ = {});
-    void answer(run_reconciler& to, const throttle_run& what, time_point sent,
-                order_result result,
-                const std::optional<executor_snapshot>& /*look*/ = {});
-    void answer(run_reconciler& to, const poll_executor& what, time_point sent,
-                order_result result,
-                const std::optional<executor_snapshot>& look = {});
-    executor_snapshot look_of(const fake_executor& at) const;
-    std::int64_t draw_percent(const fake_executor::at_work& work) const;
-    std::optional<order_result> refusal(fake_executor& at,
-                                        const executor_incarnation& executor,
+    void answer(run_reconciler& reconciler, const start_run& call,
+                time_point sent, order_result result,
+                const std::optional<executor_snapshot>& /*snapshot*/ = {});
+    void answer(run_reconciler& reconciler, const stop_run& call,
+                time_point sent, order_result result,
+                const std::optional<executor_snapshot>& /*snapshot*/ = {});
+    void answer(run_reconciler& reconciler, const throttle_run& call,
+                time_point sent, order_result result,
+                const std::optional<executor_snapshot>& /*snapshot*/ = {});
+    void answer(run_reconciler& reconciler, const poll_executor& call,
+                time_point sent, order_result result,
+                const std::optional<executor_snapshot>& snapshot = {});
+    executor_snapshot snapshot_of(const fake_executor& executor) const;
+    std::int64_t draw_percent(const fake_executor::active_run& work) const;
+    std::optional<order_result> refusal(fake_executor& executor,
+                                        const executor_incarnation& incarnation,
                                         std::int64_t fence) const;
-    order_result carry_out(std::size_t index, const start_run& what);
-    void start(fake_executor& at, const std::string& task, std::int64_t run);
+    order_result carry_out(std::size_t index, const start_run& call);
+    void start(fake_executor& executor, const std::string& task,
+               std::int64_t run);
     void count_start_after_crashes(const std::string& task,
-                                   const fake_executor& at);
+                                   const fake_executor& executor);
     // Checks ORDER and BUDGET (platform rules) when a run starts: the steps
     // before it are done, and the attempts are not used up.
     void check_start(const task_name& name) const;
-    std::int64_t ended_so(const task_name& name, const std::string& how) const;
-    order_result carry_out(std::size_t index, const stop_run& what);
-    order_result carry_out(std::size_t /*index*/, const throttle_run& /*what*/);
-    order_result carry_out(std::size_t index, const poll_executor& what);
-    void end(fake_executor& at, const std::string& task, run_end how);
-    void settle(fake_executor& at);
+    std::int64_t count_ended(const task_name& name,
+                             const std::string& how) const;
+    order_result carry_out(std::size_t index, const stop_run& call);
+    order_result carry_out(std::size_t /*index*/, const throttle_run& /*call*/);
+    order_result carry_out(std::size_t index, const poll_executor& call);
+    void end(fake_executor& executor, const std::string& task, run_end how);
+    void end_due_runs(fake_executor& executor);
 
     // Faults and time
-    void break_things();
+    void inject_faults();
     duration restart_time();
     void kill_guards();
     // Writes in flight when the leader is killed may still be applied.
     void kill_all();
-    void crash_if_told(std::size_t index);
+    void crash_if_marked(std::size_t index);
     void advance();
 
     // Checks
     void check_pair(const run_interval& one, const run_interval& other) const;
-    [[nodiscard]] std::string told(const decision& one,
-                                   std::int64_t epoch) const;
-    void tell(const run_interval& one) const;
-    void tell(const std::string& task) const;
+    [[nodiscard]] std::string format_decision(const decision& one,
+                                              std::int64_t epoch) const;
+    void log_run(const run_interval& one) const;
+    void log_runs(const std::string& task) const;
     // No run starts after an end as done has been acknowledged.
     void check_after_done(const run_interval& done,
                           const run_interval& start) const;
     // Nor does one start between such an end and its acknowledgement.
-    void check_after_noted(const run_interval& done,
-                           const run_interval& start) const;
-    void tell_job(const std::string& id) const;
+    void check_after_received(const run_interval& done,
+                              const run_interval& start) const;
+    void log_job_runs(const std::string& id) const;
     // Whether a task of the job failed, or executors crashed under it often
     // enough for it to fail.
-    [[nodiscard]] bool has_cause(const job& what) const;
-    void check_done(const job& what) const;
+    [[nodiscard]] bool has_failure_cause(const job& definition) const;
+    void check_done(const job& definition) const;
 
     std::mt19937 random_;
     job_faults faults_;
@@ -285,22 +295,22 @@
     std::set<std::string> cancelled_;
     std::set<std::string> crashing_; ///< tasks that crash their executors
     std::map<std::string, std::int64_t> crashes_; ///< under each task
-    std::map<std::string, std::int64_t> went_with_executor_;
+    std::map<std::string, std::int64_t> lost_with_executor_;
     std::map<std::string, std::int64_t> starts_after_;
     std::map<std::string, std::pair<std::string, std::int64_t>> progress_;
     std::int64_t revision_ = 0;
     std::int64_t epoch_ = 0;
-    std::shared_ptr<holder_process> current_;
-    holder_process holder_;
-    std::vector<std::shared_ptr<holder_process>> lingering_;
+    std::shared_ptr<leader_process> current_;
+    leader_process leader_copy_; ///< state of current_ after the last step
+    std::vector<std::shared_ptr<leader_process>> superseded_leaders_;
     std::array<guard_process, guard_count> guards_;
-    std::vector<run_interval> past_;
-    bool overfull_ = false;
+    std::vector<run_interval> runs_;
+    bool over_capacity_ = false;
     /// For each data centre, when it was closed (true) and opened (false).
     std::map<std::string, std::map<time_point, bool>> closures_;
     bool is_late_ = false; ///< the current call is carried out late
     int begun_in_closed_ = 0;
-    std::vector<std::string> story_; ///< all decisions, for failed checks
+    std::vector<std::string> decision_log_; ///< printed if a check fails
 };
 
 } // namespace springstair::job_simulations
--- a/tests/unit/job_simulation_checks.cpp
+++ b/tests/unit/job_simulation_checks.cpp
@@ -9,7 +9,7 @@
 namespace springstair::job_simulations
 {
 
-void job_simulation::break_things()
+void job_simulation::inject_faults()
 {
     if (current_->core && chance(faults_.takeover))
     {
@@ -24,7 +24,7 @@
         kill_all();
         if (draw(2) == 0)
         {
-            later(milliseconds(7000 + draw(18'000)), [this] { kill_all(); });
+            schedule(milliseconds(7000 + draw(18'000)), [this] { kill_all(); });
         }
     }
     for (std::size_t index = 0; index < guard_count; ++index)
@@ -34,7 +34,7 @@
         {
             guard.executor.busy_until = now_ + milliseconds(draw(max_wait_ms));
         }
-        if (chance(faults_.look_silent))
+        if (chance(faults_.poll_silent))
         {
             guard.silent_until = now_ + milliseconds(10'000 + draw(5000));
         }
@@ -86,23 +86,23 @@
 {
     kill_guards();
     current_->core.reset();
-    holder_ = *current_;
-    for (const auto& one : lingering_)
+    leader_copy_ = *current_;
+    for (const auto& one : superseded_leaders_)
     {
         one->core.reset();
     }
-    lingering_.clear();
-    later(restart_time(),
-          [this]
-          {
-              if (!current_->core)
-              {
-                  take_over();
-              }
-          });
+    superseded_leaders_.clear();
+    schedule(restart_time(),
+             [this]
+             {
+                 if (!current_->core)
+                 {
+                     take_over();
+                 }
+             });
 }
 
-void job_simulation::crash_if_told(std::size_t index)
+void job_simulation::crash_if_marked(std::size_t index)
 {
     for (const auto& [task, work] : guards_[index].executor.running)
     {
@@ -119,22 +119,22 @@
     now_ += step;
     while (!events_.empty() && events_.begin()->first <= now_)
     {
-        const auto what = std::move(events_.begin()->second);
+        const auto event = std::move(events_.begin()->second);
         events_.erase(events_.begin());
-        what();
+        event();
     }
     for (std::size_t index = 0; index < guard_count; ++index)
     {
-        crash_if_told(index);
-        settle(guards_[index].executor);
+        crash_if_marked(index);
+        end_due_runs(guards_[index].executor);
         serve(index);
     }
     serve(current_);
-    for (const auto& one : lingering_)
+    for (const auto& one : superseded_leaders_)
     {
         serve(one);
     }
-    holder_ = *current_;
+    leader_copy_ = *current_;
 }
 
 void job_simulation::check_pair(const run_interval& one,
@@ -144,18 +144,19 @@
     {
         return;
     }
-    const bool apart = one.end <= other.begin || other.end <= one.begin;
-    if (!apart)
+    const bool is_disjoint = one.end <= other.begin || other.end <= one.begin;
+    if (!is_disjoint)
     {
-        tell(one);
-        tell(other);
+        log_run(one);
+        log_run(other);
     }
-    RC_ASSERT(apart);
+    RC_ASSERT(is_disjoint);
     check_after_done(one, other);
     check_after_done(other, one);
 }
 
-std::string job_simulation::told(const decision& one, std::int64_t epoch) const
+std::string job_simulation::format_decision(const decision& one,
+                                            std::int64_t epoch) const
 {
     std::string line = std::to_string(to_milliseconds(now_ - time_point{} -
                                                       std::chrono::hours(1))) +
@@ -168,11 +169,11 @@
     return line;
 }
 
-void job_simulation::tell(const run_interval& one) const
+void job_simulation::log_run(const run_interval& one) const
 {
     const std::string guard =
         one.executor.substr(0, one.executor.find("-life"));
-    for (const std::string& line : story_)
+    for (const std::string& line : decision_log_)
     {
         const bool concerns = line.find(one.task) != std::string::npos ||
                               (line.find(guard) != std::string::npos &&
@@ -182,7 +183,7 @@
             RC_LOG() << line << "\n";
         }
     }
-    const auto at = [](time_point when)
+    const auto elapsed_ms = [](time_point when)
     {
         return when == time_point::max()
                    ? -1
@@ -190,17 +191,17 @@
                                      std::chrono::hours(1));
     };
     RC_LOG() << one.task << " run " << one.run << " on " << one.executor
-             << " from " << at(one.begin) << " to " << at(one.end) << " "
-             << one.how << "\n";
+             << " from " << elapsed_ms(one.begin) << " to "
+             << elapsed_ms(one.end) << " " << one.how << "\n";
 }
 
-void job_simulation::tell(const std::string& task) const
+void job_simulation::log_runs(const std::string& task) const
 {
-    for (const run_interval& one : past_)
+    for (const run_interval& one : runs_)
     {
         if (one.task == task)
         {
-            tell(one);
+            log_run(one);
         }
     }
 }
@@ -212,43 +213,43 @@
                        start.begin > done.acknowledged_at;
     if (wrong)
     {
-        tell(done);
-        tell(start);
+        log_run(done);
+        log_run(start);
     }
     RC_ASSERT(!wrong);
-    check_after_noted(done, start);
+    check_after_received(done, start);
 }
 
-void job_simulation::check_after_noted(const run_interval& done,
-                                       const run_interval& start) const
+void job_simulation::check_after_received(const run_interval& done,
+                                          const run_interval& start) const
 {
-    const bool counts =
-        done.how == "done" && done.noted && !done.lapsed_unnoted;
+    const bool counts = done.how == "done" && done.acknowledgement_received &&
+                        !done.lapsed_before_receipt;
     const bool wrong = counts && start.begin >= done.end;
     if (wrong)
     {
-        tell(done);
-        tell(start);
+        log_run(done);
+        log_run(start);
     }
     RC_ASSERT(!wrong);
 }
 
-void job_simulation::tell_job(const std::string& id) const
+void job_simulation::log_job_runs(const std::string& id) const
 {
-    for (const run_interval& one : past_)
+    for (const run_interval& one : runs_)
     {
         if (one.task.starts_with(id + "."))
         {
-            tell(one);
+            log_run(one);
         }
     }
 }
 
-bool job_simulation::has_cause(const job& what) const
+bool job_simulation::has_failure_cause(const job& definition) const
 {
-    const std::string prefix = what.id + ".";
+    const std::string prefix = definition.id + ".";
     const bool crashed =
-        std::ranges::any_of(went_with_executor_,
+        std::ranges::any_of(lost_with_executor_,
                             [&](const auto& entry)
                             {
                                 return entry.first.starts_with(prefix) &&
@@ -256,20 +257,21 @@
                             });
     return crashed ||
            std::ranges::any_of(
-               past_, [&](const run_interval& one)
+               runs_, [&](const run_interval& one)
                { return one.task.starts_with(prefix) && one.how == "failed"; });
 }
 
-void job_simulation::check_done(const job& what) const
+void job_simulation::check_done(const job& definition) const
 {
-    for (std::size_t number = 0; number < what.steps.size(); ++number)
+    for (std::size_t number = 0; number < definition.steps.size(); ++number)
     {
-        for (std::int64_t index = 0; index < what.steps[number].count; ++index)
+        for (std::int64_t index = 0; index < definition.steps[number].count;
+             ++index)
         {
             const task_name name{
-                what.id,
+                definition.id,
                 {.step = static_cast<std::int64_t>(number), .index = index}};
-            RC_ASSERT(ended_so(name, "done") > 0);
+            RC_ASSERT(count_ended(name, "done") > 0);
         }
     }
 }
--- a/tests/unit/job_simulation_leaders.cpp
+++ b/tests/unit/job_simulation_leaders.cpp
@@ -35,12 +35,12 @@
         {
             submit();
         }
-        break_things();
+        inject_faults();
         advance();
     }
 }
 
-void job_simulation::calm()
+void job_simulation::stop_faults()
 {
     faults_ = {};
     for (guard_process& guard : guards_)
@@ -56,32 +56,33 @@
 
 void job_simulation::check_histories() const
 {
-    for (std::size_t left = 0; left < past_.size(); ++left)
+    for (std::size_t left = 0; left < runs_.size(); ++left)
     {
         for (std::size_t right = 0; right < left; ++right)
         {
-            check_pair(past_[left], past_[right]);
+            check_pair(runs_[left], runs_[right]);
         }
     }
-    RC_ASSERT(!overfull_);
+    RC_ASSERT(!over_capacity_);
     RC_ASSERT(begun_in_closed_ == 0);
 }
 
 void job_simulation::check_all_ended() const
 {
-    for (const auto& [id, what] : jobs_)
+    for (const auto& [id, definition] : jobs_)
     {
-        const auto state = holder_.core->shown(id, now_, now_);
+        const auto state = leader_copy_.core->shown(id, now_, now_);
         RC_ASSERT(state.has_value());
         RC_ASSERT(is_final(*state));
         if (*state == job_state::succeeded)
         {
-            check_done(what);
+            check_done(definition);
         }
-        const bool unfounded = *state == job_state::failed && !has_cause(what);
+        const bool unfounded =
+            *state == job_state::failed && !has_failure_cause(definition);
         if (unfounded)
         {
-            tell_job(id);
+            log_job_runs(id);
         }
         RC_ASSERT(!unfounded);
     }
@@ -97,14 +98,14 @@
     return std::uniform_int_distribution<int>(0, below - 1)(random_);
 }
 
-bool job_simulation::chance(int of)
+bool job_simulation::chance(int probability)
 {
-    return draw(100'000) < of;
+    return draw(100'000) < probability;
 }
 
-void job_simulation::later(duration after, std::function<void()> what)
+void job_simulation::schedule(duration after, std::function<void()> event)
 {
-    events_.emplace(now_ + after, std::move(what));
+    events_.emplace(now_ + after, std::move(event));
 }
 
 duration job_simulation::delay()
@@ -112,20 +113,20 @@
     return milliseconds(1 + draw(8));
 }
 
-duration job_simulation::held()
+duration job_simulation::hold_time()
 {
     return milliseconds(500 + draw(7000));
 }
 
 void job_simulation::submit()
 {
-    if (!holder_.core)
+    if (!leader_copy_.core)
     {
         return;
     }
-    job what{.id = "job-" + std::to_string(jobs_.size()),
-             .queue = "q",
-             .payload = "p"};
+    job definition{.id = "job-" + std::to_string(jobs_.size()),
+                   .queue = "q",
+                   .payload = "p"};
     const int steps = 1 + draw(3);
     for (int number = 0; number < steps; ++number)
     {
@@ -138,51 +139,51 @@
         {
             one.after = {static_cast<std::size_t>(number - 1)};
         }
-        what.steps.push_back(one);
+        definition.steps.push_back(one);
     }
-    jobs_[what.id] = what;
+    jobs_[definition.id] = definition;
     if (chance(faults_.crashing_job))
     {
-        crashing_.insert(what.id + ".0.0.0");
+        crashing_.insert(definition.id + ".0.0.0");
     }
-    holder_.core->accept(what, now_);
+    leader_copy_.core->accept(definition, now_);
 }
 
-void job_simulation::write(const std::shared_ptr<holder_process>& by)
+void job_simulation::write(const std::shared_ptr<leader_process>& leader)
 {
-    if (by->writing)
+    if (leader->writing)
     {
         return;
     }
-    if (!by->batch)
+    if (!leader->batch)
     {
-        by->batch = by->core->next_commit(now_);
+        leader->batch = leader->core->next_commit(now_);
     }
-    if (!by->batch)
+    if (!leader->batch)
     {
         return;
     }
-    by->writing = true;
+    leader->writing = true;
     const bool lost = chance(faults_.write_lost);
     const bool done = !lost || draw(2) == 0;
     const time_point sent = now_;
-    later(delay(),
-          [this, by, lost, done, sent]
-          {
-              const bool applied = done && apply(*by);
-              later(lost ? milliseconds(250) : delay(),
-                    [this, by, lost, applied, sent]
-                    { written(by, lost, applied, sent); });
-          });
+    schedule(delay(),
+             [this, leader, lost, done, sent]
+             {
+                 const bool applied = done && apply(*leader);
+                 schedule(lost ? milliseconds(250) : delay(),
+                          [this, leader, lost, applied, sent]
+                          { written(leader, lost, applied, sent); });
+             });
 }
 
-bool job_simulation::apply(const holder_process& by)
+bool job_simulation::apply(const leader_process& leader)
 {
-    if (by.epoch != epoch_ || !by.batch)
+    if (leader.epoch != epoch_ || !leader.batch)
     {
         return false;
     }
-    for (const progress_write& one : *by.batch)
+    for (const progress_write& one : *leader.batch)
     {
         if (progress_[one.job].second != one.expected_revision)
         {
@@ -190,43 +191,43 @@
         }
     }
     ++revision_;
-    for (const progress_write& one : *by.batch)
+    for (const progress_write& one : *leader.batch)
     {
         progress_[one.job] = {one.text, revision_};
     }
     return true;
 }
 
-void job_simulation::written(const std::shared_ptr<holder_process>& by,
+void job_simulation::written(const std::shared_ptr<leader_process>& leader,
                              bool lost, bool applied, time_point sent)
 {
-    by->writing = false;
-    if (lost || !by->core)
+    leader->writing = false;
+    if (lost || !leader->core)
     {
         return; // the same batch is retried
     }
-    const auto& first = by->batch->front();
+    const auto& first = leader->batch->front();
     const auto& stored = progress_[first.job];
     const bool before =
         stored.first == first.text && stored.second > first.expected_revision;
-    if (by->epoch != epoch_ || (!applied && !before))
+    if (leader->epoch != epoch_ || (!applied && !before))
     {
-        by->core.reset(); // superseded: this process leads no more
+        leader->core.reset(); // superseded: this process leads no more
         return;
     }
-    by->verified = sent;
-    by->core->committed(*by->batch, stored.second, now_);
-    by->batch.reset();
+    leader->verified = sent;
+    leader->core->committed(*leader->batch, stored.second, now_);
+    leader->batch.reset();
 }
 
 void job_simulation::take_over()
 {
     if (current_ && current_->core)
     {
-        lingering_.push_back(current_);
+        superseded_leaders_.push_back(current_);
     }
     epoch_ = ++revision_;
-    current_ = std::make_shared<holder_process>();
+    current_ = std::make_shared<leader_process>();
     current_->core = std::make_shared<scheduler_core>(
         scheduler_options{.closing = {.close_within = close_within}});
     current_->epoch = epoch_;
@@ -234,11 +235,11 @@
     scheduler_core& core = *current_->core;
     core.begin_term(epoch_, now_);
     core.set_table(table_);
-    for (const auto& [id, what] : jobs_)
+    for (const auto& [id, definition] : jobs_)
     {
         const auto found = progress_.find(id);
         const bool known = found != progress_.end() && found->second.second > 0;
-        core.adopt(what,
+        core.adopt(definition,
                    known ? std::optional(decode_progress(found->second.first))
                          : std::nullopt,
                    known ? found->second.second : 0, now_, 0);
@@ -248,17 +249,17 @@
     {
         core.cancel(id, now_);
     }
-    holder_ = *current_;
+    leader_copy_ = *current_;
 }
 
-std::shared_ptr<job_simulation::holder_process>
-job_simulation::holder_of(std::int64_t epoch)
+std::shared_ptr<job_simulation::leader_process>
+job_simulation::leader_of(std::int64_t epoch)
 {
     if (current_->epoch == epoch)
     {
         return current_;
     }
-    for (const auto& one : lingering_)
+    for (const auto& one : superseded_leaders_)
     {
         if (one->epoch == epoch && one->core)
         {
@@ -268,41 +269,42 @@
     return nullptr;
 }
 
-void job_simulation::serve(const std::shared_ptr<holder_process>& by)
+void job_simulation::serve(const std::shared_ptr<leader_process>& leader)
 {
-    if (!by->core)
+    if (!leader->core)
     {
         return;
     }
-    hear_operator(*by);
-    by->core->tick(now_, 0);
-    write(by);
-    for (addressed_orders& one : by->core->take_orders())
+    read_closures(*leader);
+    leader->core->tick(now_, 0);
+    write(leader);
+    for (addressed_orders& one : leader->core->take_orders())
     {
         deliver(one);
     }
-    for (const decision& one : by->core->take_decisions())
+    for (const decision& one : leader->core->take_decisions())
     {
-        story_.push_back(told(one, by->epoch));
+        decision_log_.push_back(format_decision(one, leader->epoch));
     }
 }
 
-void job_simulation::hear_operator(holder_process& by)
+void job_simulation::read_closures(leader_process& leader)
 {
-    if (now_ < by.next_hearing)
+    if (now_ < leader.next_closure_read)
     {
         return;
     }
-    by.next_hearing = now_ + milliseconds(100 + draw(900));
+    leader.next_closure_read = now_ + milliseconds(100 + draw(900));
     if (chance(faults_.cut_watch))
     {
-        by.next_hearing = now_ + milliseconds(1000 + draw(9000));
+        leader.next_closure_read = now_ + milliseconds(1000 + draw(9000));
     }
-    const bool deaf = draw(4) == 0;
+    const bool is_stale = draw(4) == 0;
     const time_point asked =
-        deaf ? now_ - milliseconds(draw(deaf_watch_ms)) : now_;
-    later(delay(), [core = by.core, this, sent = now_, names = closed_at(asked)]
-          { core->set_closed({.names = names, .known_at = sent}, now_); });
+        is_stale ? now_ - milliseconds(draw(max_watch_lag_ms)) : now_;
+    schedule(delay(),
+             [core = leader.core, this, sent = now_, names = closed_at(asked)]
+             { core->set_closed({.names = names, .known_at = sent}, now_); });
 }
 
 std::string job_simulation::data_centre_of(std::size_t index)
@@ -341,30 +343,31 @@
     const bool is_cut = now_ < guards_[index].cut_until;
     if (chance(faults_.push_again))
     {
-        later(milliseconds(draw(max_wait_ms)),
-              [this, index, orders = one.orders]
-              { hear_orders(index, orders); });
+        schedule(milliseconds(draw(max_wait_ms)),
+                 [this, index, orders = one.orders]
+                 { receive_orders(index, orders); });
     }
     if (chance(faults_.report_lost) || is_cut)
     {
         if (is_cut && chance(faults_.report_held))
         {
             // A held message arrives when the partition heals.
-            later(guards_[index].cut_until - now_ + delay(),
-                  [this, index, orders = one.orders]
-                  { hear_orders(index, orders); });
+            schedule(guards_[index].cut_until - now_ + delay(),
+                     [this, index, orders = one.orders]
+                     { receive_orders(index, orders); });
         }
         return;
     }
-    later(delay(),
-          [this, index, orders = one.orders] { hear_orders(index, orders); });
+    schedule(delay(), [this, index, orders = one.orders]
+             { receive_orders(index, orders); });
 }
 
-void job_simulation::hear_orders(std::size_t index, const guard_orders& orders)
+void job_simulation::receive_orders(std::size_t index,
+                                    const guard_orders& orders)
 {
     if (now_ >= guards_[index].down_until)
     {
-        guards_[index].keeper->on_orders(orders, now_);
+        guards_[index].reconciler->on_orders(orders, now_);
     }
 }
 
--- a/tests/unit/job_simulation_parts.hpp
+++ b/tests/unit/job_simulation_parts.hpp
@@ -25,20 +25,20 @@
 // Starts of a task after max_crashes executor crashes under it. Only starts by
 // guards that have neither restarted nor been cut off for in_touch_after count.
 constexpr std::int64_t max_starts_after = 2;
-constexpr duration in_touch_after = seconds(3);
+constexpr duration min_contact_time = seconds(3);
 constexpr std::size_t data_centre_count = 2;
 // No run begins in a data centre later than this after it was closed.
 constexpr duration close_within = seconds(5);
 // Max time for which a watch may miss a change (platform).
-constexpr int deaf_watch_ms = 1000;
+constexpr int max_watch_lag_ms = 1000;
 // Max time for which a call waits unread at an executor or a guard.
 constexpr int max_wait_ms = 2000;
 // Timeout of a guard's call.
-constexpr duration call_limit = milliseconds(300);
+constexpr duration call_timeout = milliseconds(300);
 constexpr duration max_lease = seconds(6);
 // Max downtime of an executor that restarts under its id.
-constexpr int max_away_ms = 3000;
-constexpr std::int64_t middle_birth_ms = 1'776'000'000'000;
+constexpr int max_downtime_ms = 3000;
+constexpr std::int64_t base_birth_ms = 1'776'000'000'000;
 
 // Probabilities of faults, in units of 1/100,000, per step or message.
 struct job_faults
@@ -46,10 +46,11 @@
     int order_lost = 0; ///< never carried out, no answer
     int order_late = 0; ///< carried out seconds later, no answer
     int report_lost = 0;
-    int report_held = 0; ///< a duplicate or delayed copy arrives seconds later
-    int beat_held = 0;   ///< the same for an executor's heartbeat
-    int write_lost = 0;  ///< no answer; half of them are applied
-    int takeover = 0;    ///< the previous leader keeps running
+    /// A copy arrives seconds later, when its sender waits no longer.
+    int report_held = 0;
+    int heartbeat_held = 0; ///< the same for an executor's heartbeat
+    int write_lost = 0;     ///< no answer; half of them are applied
+    int takeover = 0;       ///< the previous leader keeps running
     int kill_guard = 0;
     int crash_worker = 0;
     int cut_guard = 0; ///< from all leaders, for seconds
@@ -58,11 +59,11 @@
     int crashing_job = 0; ///< its first task crashes each executor
     int close = 0;        ///< a data centre is closed, or opened again
     int cut_watch = 0;    ///< a leader misses closures for seconds
-    int call_held = 0;    ///< a guard's call waits unread, then is done
+    int call_held = 0;    ///< a guard's call waits unread, then takes effect
     int answer_lost = 0;  ///< the call was carried out
     int busy = 0;         ///< an executor refuses calls, up to seconds
     int no_room = 0;      ///< a start is refused
-    int look_silent = 0;  ///< polls are done but unanswered for 10 s or more
+    int poll_silent = 0;  ///< polls are done but unanswered for 10 s or more
     int push_again = 0;   ///< orders are duplicated, up to seconds later
     int kill_guards = 0;  ///< all at once
     int kill_all = 0;     ///< guards and leader at once, half of them twice
@@ -78,9 +79,11 @@
     time_point end = time_point::max();
     std::string how;
     bool acknowledged = false;
-    bool lapsed = false; ///< the lease expired before that
-    bool noted = false;  ///< its executor has the acknowledgement
-    bool lapsed_unnoted = false; ///< the lease expired before `noted`
+    bool lapsed = false; ///< lease expired before acknowledgement
+    /// Its executor has received the acknowledgement.
+    bool acknowledgement_received = false;
+    /// The lease expired before the executor received it.
+    bool lapsed_before_receipt = false;
     time_point acknowledged_at = time_point::max();
 };
 
@@ -88,7 +91,7 @@
 // does not enforce its capacity.
 struct fake_executor
 {
-    struct at_work
+    struct active_run
     {
         std::int64_t run = 0;
         time_point done_at;
@@ -102,7 +105,7 @@
     time_point born; ///< in the future while it is down
     std::int64_t fence = 0;
     std::int64_t deadline = 0;
-    std::map<std::string, at_work> running;
+    std::map<std::string, active_run> running;
     std::map<std::string, std::int64_t> closed; ///< highest closed run per task
     std::vector<std::pair<ended_task, std::size_t>> ended;
     std::int64_t numbers = 0;
@@ -111,8 +114,8 @@
     // Extends the lease, at most to max_lease from now (platform).
     void extend_to(std::int64_t asked, time_point now)
     {
-        const std::int64_t most = clock(now) + to_milliseconds(max_lease);
-        deadline = std::max(deadline, std::min(asked, most));
+        const std::int64_t limit = clock(now) + to_milliseconds(max_lease);
+        deadline = std::max(deadline, std::min(asked, limit));
     }
 
     [[nodiscard]] std::int64_t clock(time_point now) const
--- a/tests/unit/job_simulation_tests.cpp
+++ b/tests/unit/job_simulation_tests.cpp
@@ -21,30 +21,30 @@
 // A second kill of all processes can follow 25 s after the first.
 constexpr seconds calm_after_kills{50};
 
-void play(job_simulation& world, seconds length, seconds calm)
+void run_simulation(job_simulation& simulation, seconds length, seconds calm)
 {
-    world.run(length, true);
-    world.check_histories();
-    world.calm();
-    world.run(calm, false);
-    world.check_histories();
-    world.check_all_ended();
+    simulation.run(length, true);
+    simulation.check_histories();
+    simulation.stop_faults();
+    simulation.run(calm, false);
+    simulation.check_histories();
+    simulation.check_all_ended();
 }
 
-void play_short(const job_faults& faults)
+void run_short(const job_faults& faults)
 {
     const auto seed = *rc::gen::arbitrary<std::uint32_t>();
-    job_simulation world(seed, faults);
-    play(world, short_length,
-         faults.kill_all > 0 ? calm_after_kills : short_calm);
+    job_simulation simulation(seed, faults);
+    run_simulation(simulation, short_length,
+                   faults.kill_all > 0 ? calm_after_kills : short_calm);
 }
 
 // A guard may stay cut off for up to 15 s of the calm phase.
-void play_cut(const job_faults& faults)
+void run_with_cuts(const job_faults& faults)
 {
     const auto seed = *rc::gen::arbitrary<std::uint32_t>();
-    job_simulation world(seed, faults);
-    play(world, short_length, calm_after_cuts);
+    job_simulation simulation(seed, faults);
+    run_simulation(simulation, short_length, calm_after_cuts);
 }
 
 } // namespace
@@ -60,7 +60,8 @@
                             .order_late = *rc::gen::element(0, 2000, 10'000),
                             .report_lost = *rc::gen::element(0, 3000, 20'000),
                             .report_held = *rc::gen::element(0, 3000, 20'000),
-                            .beat_held = *rc::gen::element(0, 10'000, 50'000),
+                            .heartbeat_held =
+                                *rc::gen::element(0, 10'000, 50'000),
                             .write_lost = *rc::gen::element(0, 5000, 30'000),
                             .takeover = *rc::gen::element(0, 50, 300),
                             .kill_guard = *rc::gen::element(0, 20, 100),
@@ -75,12 +76,12 @@
                             .answer_lost = *rc::gen::element(0, 2000, 10'000),
                             .busy = *rc::gen::element(0, 50, 200),
                             .no_room = *rc::gen::element(0, 2000, 10'000),
-                            .look_silent = *rc::gen::element(0, 0, 30),
+                            .poll_silent = *rc::gen::element(0, 0, 30),
                             .push_again = *rc::gen::element(0, 5000, 30'000),
                             .kill_guards = *rc::gen::element(0, 0, 60),
                             .kill_all = *rc::gen::element(0, 0, 60)};
-                        job_simulation world(seed, faults);
-                        play(world, seconds(20), seconds(40));
+                        job_simulation simulation(seed, faults);
+                        run_simulation(simulation, seconds(20), seconds(40));
                     }));
 }
 
@@ -94,14 +95,14 @@
 {
     CHECK(rc::check("no room",
                     [] {
-                        play_short({.call_held = 20'000,
-                                    .no_room = 20'000,
-                                    .kill_guards = 300});
+                        run_short({.call_held = 20'000,
+                                   .no_room = 20'000,
+                                   .kill_guards = 300});
                     }));
     CHECK(rc::check(
         "busy",
         [] {
-            play_short({.call_held = 20'000, .busy = 500, .kill_guards = 300});
+            run_short({.call_held = 20'000, .busy = 500, .kill_guards = 300});
         }));
 }
 
@@ -111,11 +112,11 @@
 TEST_CASE("a duplicate of an order arrives after its run was refused")
 {
     CHECK(rc::check("busy",
-                    [] { play_short({.busy = 500, .push_again = 30'000}); }));
+                    [] { run_short({.busy = 500, .push_again = 30'000}); }));
     CHECK(rc::check(
         "to the guard's next incarnation",
         [] {
-            play_short({.busy = 500, .push_again = 30'000, .kill_guards = 60});
+            run_short({.busy = 500, .push_again = 30'000, .kill_guards = 60});
         }));
 }
 
@@ -127,7 +128,7 @@
 TEST_CASE("a guard reports to the next leader without a snapshot")
 {
     CHECK(rc::check("all processes killed",
-                    [] { play_short({.look_silent = 100, .kill_all = 60}); }));
+                    [] { run_short({.poll_silent = 100, .kill_all = 60}); }));
 }
 
 // Executors crash, and half of them restart under the same id, while calls wait
@@ -138,30 +139,30 @@
     CHECK(rc::check("calls wait",
                     []
                     {
-                        play_short({.crash_worker = 100,
-                                    .call_held = 20'000,
-                                    .answer_lost = 10'000});
+                        run_short({.crash_worker = 100,
+                                   .call_held = 20'000,
+                                   .answer_lost = 10'000});
                     }));
     CHECK(rc::check("guards are killed as well",
                     []
                     {
-                        play_short({.crash_worker = 100,
-                                    .call_held = 20'000,
-                                    .kill_guards = 100});
+                        run_short({.crash_worker = 100,
+                                   .call_held = 20'000,
+                                   .kill_guards = 100});
                     }));
     CHECK(rc::check("all processes are killed as well",
                     [] {
-                        play_short({.crash_worker = 100,
-                                    .call_held = 20'000,
-                                    .kill_all = 100});
+                        run_short({.crash_worker = 100,
+                                   .call_held = 20'000,
+                                   .kill_all = 100});
                     }));
     CHECK(rc::check("stale heartbeats arrive, leaders change",
                     []
                     {
-                        play_short({.beat_held = 50'000,
-                                    .takeover = 200,
-                                    .crash_worker = 100,
-                                    .answer_lost = 10'000});
+                        run_short({.heartbeat_held = 50'000,
+                                   .takeover = 200,
+                                   .crash_worker = 100,
+                                   .answer_lost = 10'000});
                     }));
 }
 
@@ -173,19 +174,19 @@
     CHECK(rc::check("calls arrive late",
                     []
                     {
-                        play_cut({.order_late = 10'000,
-                                  .crash_worker = 150,
-                                  .cut_guard = 150,
-                                  .call_held = 10'000});
+                        run_with_cuts({.order_late = 10'000,
+                                       .crash_worker = 150,
+                                       .cut_guard = 150,
+                                       .call_held = 10'000});
                     }));
     CHECK(rc::check("leaders change",
                     []
                     {
-                        play_cut({.order_late = 10'000,
-                                  .takeover = 100,
-                                  .crash_worker = 150,
-                                  .cut_guard = 150,
-                                  .answer_lost = 10'000});
+                        run_with_cuts({.order_late = 10'000,
+                                       .takeover = 100,
+                                       .crash_worker = 150,
+                                       .cut_guard = 150,
+                                       .answer_lost = 10'000});
                     }));
 }
 
@@ -195,17 +196,18 @@
 // and the next leader assumes both runs and repeats both starts.
 TEST_CASE("the capacity of a refused run is used once")
 {
-    constexpr std::uint32_t seen_at = 2686216;
+    constexpr std::uint32_t failing_seed = 2686216;
     CHECK(rc::check("one simulation",
                     []
                     {
-                        job_simulation world(seen_at, {.call_held = 20'000,
-                                                       .busy = 300,
-                                                       .no_room = 10'000,
-                                                       .look_silent = 60,
-                                                       .push_again = 30'000,
-                                                       .kill_guards = 200,
-                                                       .kill_all = 60});
-                        play(world, short_length, short_calm);
+                        job_simulation simulation(failing_seed,
+                                                  {.call_held = 20'000,
+                                                   .busy = 300,
+                                                   .no_room = 10'000,
+                                                   .poll_silent = 60,
+                                                   .push_again = 30'000,
+                                                   .kill_guards = 200,
+                                                   .kill_all = 60});
+                        run_simulation(simulation, short_length, short_calm);
                     }));
 }
--- a/tests/unit/large_task_tests.cpp
+++ b/tests/unit/large_task_tests.cpp
@@ -32,11 +32,12 @@
 class small_jobs
 {
 public:
-    small_jobs(scheduler_harness& at, std::int64_t count) : at_(at)
+    small_jobs(scheduler_harness& harness, std::int64_t count)
+        : harness_(harness)
     {
         for (std::int64_t number = 0; number < count; ++number)
         {
-            open_.push_back(at_.submit({step_of(1)}).id + ".0.0.0");
+            open_.push_back(harness_.submit({step_of(1)}).id + ".0.0.0");
         }
     }
 
@@ -45,17 +46,17 @@
     {
         const auto first = std::find_if(open_.begin(), open_.end(),
                                         [&](const std::string& task)
-                                        { return at_.runs(task); });
+                                        { return harness_.runs(task); });
         if (first != open_.end())
         {
-            at_.end(*first, run_end::done);
+            harness_.end(*first, run_end::done);
             open_.erase(first);
         }
-        open_.push_back(at_.submit({step_of(1)}).id + ".0.0.0");
+        open_.push_back(harness_.submit({step_of(1)}).id + ".0.0.0");
     }
 
 private:
-    scheduler_harness& at_;
+    scheduler_harness& harness_;
     std::vector<std::string> open_;
 };
 
@@ -63,65 +64,65 @@
 
 TEST_CASE("a large task does not starve behind small ones")
 {
-    scheduler_harness at;
-    at.say("g1");
-    at.say("g2");
-    small_jobs small(at, 10);
-    at.turn();
-    const job large = at.submit({lasting_step(1, 3000)});
+    scheduler_harness harness;
+    harness.say("g1");
+    harness.say("g2");
+    small_jobs small(harness, 10);
+    harness.turn();
+    const job large = harness.submit({lasting_step(1, 3000)});
     for (int turn = 0; turn < 40; ++turn)
     {
         small.replace_one();
-        at.say("g1");
-        at.say("g2");
-        at.turn(milliseconds(250));
+        harness.say("g1");
+        harness.say("g2");
+        harness.turn(milliseconds(250));
     }
-    CHECK(at.runs(large.id + ".0.0.0"));
+    CHECK(harness.runs(large.id + ".0.0.0"));
 }
 
 TEST_CASE("of waiting long-running tasks the largest are placed first")
 {
-    scheduler_harness at;
-    const job small = at.submit({lasting_step(8, 1000)});
-    const job large = at.submit({lasting_step(2, 4000)});
+    scheduler_harness harness;
+    const job small = harness.submit({lasting_step(8, 1000)});
+    const job large = harness.submit({lasting_step(2, 4000)});
     for (const char* guard : {"g1", "g2", "g3", "g4"})
     {
-        at.say(guard);
+        harness.say(guard);
     }
-    at.turn();
-    CHECK(at.runs(large.id + ".0.0.0"));
-    CHECK(at.runs(large.id + ".0.0.1"));
-    CHECK(at.runs(small.id + ".0.0.7"));
+    harness.turn();
+    CHECK(harness.runs(large.id + ".0.0.0"));
+    CHECK(harness.runs(large.id + ".0.0.1"));
+    CHECK(harness.runs(small.id + ".0.0.7"));
 }
 
 TEST_CASE("a large long-running job just behind small ones is placed first")
 {
-    scheduler_harness at(scheduler_options{});
+    scheduler_harness harness(scheduler_options{});
     for (const char* guard : {"g1", "g2", "g3", "g4"})
     {
-        at.say(guard);
+        harness.say(guard);
     }
-    const job small = at.submit({lasting_step(8, 1000)});
-    at.turn(milliseconds(50));
-    const job large = at.submit({lasting_step(2, 4000)});
-    at.turn(milliseconds(60));
-    CHECK_FALSE(at.runs(small.id + ".0.0.0"));
-    at.turn(milliseconds(60));
-    CHECK(at.runs(large.id + ".0.0.0"));
-    CHECK(at.runs(large.id + ".0.0.1"));
-    CHECK(at.runs(small.id + ".0.0.7"));
+    const job small = harness.submit({lasting_step(8, 1000)});
+    harness.turn(milliseconds(50));
+    const job large = harness.submit({lasting_step(2, 4000)});
+    harness.turn(milliseconds(60));
+    CHECK_FALSE(harness.runs(small.id + ".0.0.0"));
+    harness.turn(milliseconds(60));
+    CHECK(harness.runs(large.id + ".0.0.0"));
+    CHECK(harness.runs(large.id + ".0.0.1"));
+    CHECK(harness.runs(small.id + ".0.0.7"));
 }
 
 TEST_CASE("the batching of long-running jobs has a maximum wait")
 {
-    scheduler_harness at(scheduler_options{});
-    at.say("g1");
-    const job first = at.submit({lasting_step(1, 100)});
+    scheduler_harness harness(scheduler_options{});
+    harness.say("g1");
+    const job first = harness.submit({lasting_step(1, 100)});
     for (int turn = 0; turn < 5; ++turn)
     {
-        at.turn(milliseconds(60));
-        at.submit({lasting_step(1, 200)});
+        harness.turn(milliseconds(60));
+        harness.submit({lasting_step(1, 200)});
     }
-    at.turn(milliseconds(20));
-    CHECK(at.runs(first.id + ".0.0.0"));
+    harness.turn(milliseconds(20));
+    CHECK(harness.runs(first.id + ".0.0.0"));
 }
--- a/tests/unit/late_message_tests.cpp
+++ b/tests/unit/late_message_tests.cpp
@@ -21,9 +21,9 @@
 {
 
 // Restarts the guard and its executor; returns the last report before that.
-worker_report restart(scheduler_harness& at, const std::string& guard)
+worker_report restart(scheduler_harness& harness, const std::string& guard)
 {
-    worker_report& report = at.worker(guard);
+    worker_report& report = harness.worker(guard);
     worker_report before = report;
     report = {.guard = guard,
               .address = before.address,
@@ -39,115 +39,118 @@
 
 TEST_CASE("a stale report of a past incarnation changes no state")
 {
-    scheduler_harness at;
-    at.say("g1");
-    worker_report late = restart(at, "g1");
-    at.say("g1");
-    const job what = at.submit({step_of(1)});
-    at.turn();
-    REQUIRE(at.runs(what.id + ".0.0.0"));
-    at.say("g1");
-    const worker_record before = at.core.workers().at("g1");
-    late.sequence += 5;
-    late.worker.draining = true;
-    const report_answer answer = at.core.report(late, at.now, at.verified);
+    scheduler_harness harness;
+    harness.say("g1");
+    worker_report stale = restart(harness, "g1");
+    harness.say("g1");
+    const job definition = harness.submit({step_of(1)});
+    harness.turn();
+    REQUIRE(harness.runs(definition.id + ".0.0.0"));
+    harness.say("g1");
+    const worker_record before = harness.core.workers().at("g1");
+    stale.sequence += 5;
+    stale.worker.draining = true;
+    const report_answer answer =
+        harness.core.report(stale, harness.now, harness.verified);
     CHECK(answer.permit_ms == 0);
     CHECK(answer.orders.empty());
-    const worker_record& after = at.core.workers().at("g1");
+    const worker_record& after = harness.core.workers().at("g1");
     CHECK(after.description == before.description);
     CHECK(after.assigned_tasks == before.assigned_tasks);
     CHECK(after.used == before.used);
     CHECK(after.lease_ends == before.lease_ends);
     CHECK(after.reported == before.reported);
-    CHECK(at.core.figures().lost == 0);
+    CHECK(harness.core.figures().lost == 0);
 }
 
 TEST_CASE("a new leader rejects a stale report of a past incarnation")
 {
-    scheduler_harness at;
-    at.say("g1");
-    worker_report late = restart(at, "g1");
-    at.core.begin_term(8, at.now);
-    at.core.set_table(scheduler_harness::table());
-    at.core.begin(at.now);
+    scheduler_harness harness;
+    harness.say("g1");
+    worker_report stale = restart(harness, "g1");
+    harness.core.begin_term(8, harness.now);
+    harness.core.set_table(scheduler_harness::table());
+    harness.core.begin(harness.now);
     SUBCASE("that arrives after the next incarnation's") {}
     SUBCASE("that arrives first")
     {
-        at.core.report(late, at.now, at.verified);
+        harness.core.report(stale, harness.now, harness.verified);
     }
-    at.say("g1");
-    late.sequence += 5;
-    at.core.report(late, at.now, at.verified);
-    CHECK(at.core.workers().at("g1").description.executor == "g1-1i");
+    harness.say("g1");
+    stale.sequence += 5;
+    harness.core.report(stale, harness.now, harness.verified);
+    CHECK(harness.core.workers().at("g1").description.executor == "g1-1i");
     // The leader still accepts the live guard's reports.
-    at.submit({step_of(1)});
-    at.turn();
-    CHECK(at.started.size() == 1);
+    harness.submit({step_of(1)});
+    harness.turn();
+    CHECK(harness.started.size() == 1);
 }
 
 TEST_CASE("a stale heartbeat does not replace a live executor")
 {
-    run_reconciler keeper;
+    run_reconciler reconciler;
     time_point now{std::chrono::hours(1)};
     const worker_description live{.executor = "w2", .service = "s"};
     const worker_description former{.executor = "w1", .service = "s"};
-    keeper.on_worker(live, 5, now);
-    keeper.on_answer({.holds = true, .permit_ms = 4000, .orders = {.epoch = 5}},
-                     keeper.report(now), now, now);
-    static_cast<void>(keeper.due(now));
-    keeper.on_polled("w2", order_result::accepted, executor_snapshot{}, now,
-                     now);
-    keeper.on_worker(former, 9000, now);
-    CHECK(keeper.worker().executor == "w2");
-    CHECK(keeper.report(now).looked);
+    reconciler.on_worker(live, 5, now);
+    reconciler.on_answer(
+        {.holds = true, .permit_ms = 4000, .orders = {.epoch = 5}},
+        reconciler.report(now), now, now);
+    static_cast<void>(reconciler.due(now));
+    reconciler.on_polled("w2", order_result::accepted, executor_snapshot{}, now,
+                         now);
+    reconciler.on_worker(former, 9000, now);
+    CHECK(reconciler.worker().executor == "w2");
+    CHECK(reconciler.report(now).looked);
     // The guard polls that address to learn which incarnation is there.
-    const auto actions = keeper.due(now + milliseconds(1));
-    const auto asks =
+    const auto actions = reconciler.due(now + milliseconds(1));
+    const auto polls =
         std::count_if(actions.begin(), actions.end(),
                       [](const executor_action& one)
                       {
-                          const auto* const look =
+                          const auto* const poll =
                               std::get_if<poll_executor>(&one);
-                          return look != nullptr && look->executor == "w1" &&
-                                 !look->deadline_ms && look->acknowledged == 0;
+                          return poll != nullptr && poll->executor == "w1" &&
+                                 !poll->deadline_ms && poll->acknowledged == 0;
                       });
-    CHECK(asks == 1);
+    CHECK(polls == 1);
     SUBCASE("another incarnation answers")
     {
-        keeper.on_polled("w1", order_result::other_life, {}, now, now);
-        CHECK(keeper.worker().executor == "w2");
+        reconciler.on_polled("w1", order_result::other_life, {}, now, now);
+        CHECK(reconciler.worker().executor == "w2");
     }
     SUBCASE("nobody answers")
     {
-        keeper.on_polled("w1", order_result::unanswered, {}, now, now);
-        CHECK(keeper.worker().executor == "w2");
+        reconciler.on_polled("w1", order_result::unanswered, {}, now, now);
+        CHECK(reconciler.worker().executor == "w2");
     }
     SUBCASE("it is alive")
     {
-        keeper.on_polled("w1", order_result::accepted, executor_snapshot{}, now,
-                         now);
-        CHECK(keeper.worker().executor == "w1");
-        CHECK(keeper.report(now).looked);
+        reconciler.on_polled("w1", order_result::accepted, executor_snapshot{},
+                             now, now);
+        CHECK(reconciler.worker().executor == "w1");
+        CHECK(reconciler.report(now).looked);
         // The incarnation before it has certainly ended.
-        keeper.on_worker(live, 7, now);
-        for (const executor_action& one : keeper.due(now + milliseconds(1)))
+        reconciler.on_worker(live, 7, now);
+        for (const executor_action& one : reconciler.due(now + milliseconds(1)))
         {
-            const auto* const look = std::get_if<poll_executor>(&one);
-            CHECK((look == nullptr || look->executor == "w1"));
+            const auto* const poll = std::get_if<poll_executor>(&one);
+            CHECK((poll == nullptr || poll->executor == "w1"));
         }
     }
 }
 
 TEST_CASE("an incarnation that never answered is dropped for another one")
 {
-    run_reconciler keeper;
+    run_reconciler reconciler;
     time_point now{std::chrono::hours(1)};
-    keeper.on_worker({.executor = "w1", .service = "s"}, 9000, now);
-    keeper.on_answer({.holds = true, .permit_ms = 4000, .orders = {.epoch = 5}},
-                     keeper.report(now), now, now);
-    static_cast<void>(keeper.due(now));
-    keeper.on_polled("w1", order_result::other_life, {}, now, now);
-    CHECK(keeper.worker().executor.empty());
-    keeper.on_worker({.executor = "w2", .service = "s"}, 5, now);
-    CHECK(keeper.worker().executor == "w2");
+    reconciler.on_worker({.executor = "w1", .service = "s"}, 9000, now);
+    reconciler.on_answer(
+        {.holds = true, .permit_ms = 4000, .orders = {.epoch = 5}},
+        reconciler.report(now), now, now);
+    static_cast<void>(reconciler.due(now));
+    reconciler.on_polled("w1", order_result::other_life, {}, now, now);
+    CHECK(reconciler.worker().executor.empty());
+    reconciler.on_worker({.executor = "w2", .service = "s"}, 5, now);
+    CHECK(reconciler.worker().executor == "w2");
 }
--- a/tests/unit/run_exclusivity_tests.cpp
+++ b/tests/unit/run_exclusivity_tests.cpp
@@ -21,86 +21,88 @@
 {
 
 constexpr duration step_length = milliseconds(100);
-constexpr int steps_a_report = 5;
+constexpr int steps_per_report = 5;
 constexpr double slow_clock = 0.98;
 
 // A guard and its executor, driven step by step against a scheduler.
-class guard_beside
+class simulated_guard
 {
 public:
-    guard_beside(scheduler_harness& at, const std::string& name)
-        : at_(at), name_(name)
+    simulated_guard(scheduler_harness& harness, const std::string& name)
+        : harness_(harness), name_(name)
     {
         heartbeat();
         report();
         report();
-        act();
+        carry_out_due();
         report();
     }
 
     void heartbeat()
     {
-        keeper_.on_worker(
+        reconciler_.on_worker(
             {.executor = executor(), .service = "s", .capacity = room}, clock(),
-            at_.now);
+            harness_.now);
     }
 
     // Replaces the guard's process by a new incarnation.
     void restart()
     {
         incarnation_ += "i";
-        keeper_ = run_reconciler({}, incarnation_);
+        reconciler_ = run_reconciler({}, incarnation_);
         sequence_ = 0;
     }
 
     void report()
     {
-        worker_report out = keeper_.report(at_.now);
+        worker_report out = reconciler_.report(harness_.now);
         out.guard = name_;
         out.address = name_ + ":1";
         out.incarnation = incarnation_;
         out.sequence = ++sequence_;
-        keeper_.on_answer(at_.core.report(out, at_.now, at_.verified), out,
-                          at_.now, at_.now);
+        reconciler_.on_answer(
+            harness_.core.report(out, harness_.now, harness_.verified), out,
+            harness_.now, harness_.now);
     }
 
     // Delivers the leader's start order for the task.
-    void hear_start(const std::string& task)
+    void receive_start(const std::string& task)
     {
-        keeper_.on_orders(
-            {.epoch = at_.core.epoch(),
+        reconciler_.on_orders(
+            {.epoch = harness_.core.epoch(),
              .executor = executor(),
              .incarnation = incarnation_,
-             .starts = {at_.started.at(task)},
-             .starts_until_ms = at_.core.workers().at(name_).starts_until_ms},
-            at_.now);
+             .starts = {harness_.started.at(task)},
+             .starts_until_ms =
+                 harness_.core.workers().at(name_).starts_until_ms},
+            harness_.now);
     }
 
     // Carries out the guard's due calls, as far as they reach the executor.
-    void act()
+    void carry_out_due()
     {
-        for (const executor_action& one : keeper_.due(at_.now))
+        for (const executor_action& one : reconciler_.due(harness_.now))
         {
             if (const auto* start = std::get_if<start_run>(&one))
             {
                 carry_out(*start);
             }
-            else if (const auto* look = std::get_if<poll_executor>(&one))
+            else if (const auto* poll = std::get_if<poll_executor>(&one))
             {
-                carry_out(*look);
+                carry_out(*poll);
             }
         }
     }
 
     // Advances the time without faults.
-    void pass(duration length)
+    void run_without_faults(duration length)
     {
-        const time_point until = at_.now + length;
-        for (int count = 0; at_.now < until; ++count)
+        const time_point until = harness_.now + length;
+        for (int count = 0; harness_.now < until; ++count)
         {
-            at_.turn(step_length);
-            act();
-            if (count % steps_a_report == 0)
+            harness_.turn(step_length);
+            carry_out_due();
+            if (count % steps_per_report == 0)
             {
                 heartbeat();
                 report();
@@ -113,8 +115,8 @@
         return running_.contains(task) && clock() < deadline_;
     }
 
-    bool hears = true;   ///< calls reach the executor
-    bool answers = true; ///< its answers reach the guard
+    bool is_reachable = true; ///< calls reach the executor
+    bool answers = true;      ///< its answers reach the guard
 
 private:
     [[nodiscard]] std::string executor() const
@@ -125,42 +127,43 @@
     [[nodiscard]] std::int64_t clock() const
     {
         return 1000 + static_cast<std::int64_t>(
-                          slow_clock * static_cast<double>(
-                                           to_milliseconds(at_.now - begun_)));
+                          slow_clock * static_cast<double>(to_milliseconds(
+                                           harness_.now - started_at_)));
     }
 
-    void carry_out(const start_run& what)
+    void carry_out(const start_run& call)
     {
-        if (hears && what.deadline_ms > clock())
+        if (is_reachable && call.deadline_ms > clock())
         {
-            extend(what.deadline_ms);
-            running_[what.order.task] = what.order.run;
+            extend(call.deadline_ms);
+            running_[call.order.task] = call.order.run;
         }
-        keeper_.on_started(what,
-                           hears && answers ? order_result::accepted
-                                            : order_result::unanswered,
-                           at_.now);
+        reconciler_.on_started(call,
+                               is_reachable && answers
+                                   ? order_result::accepted
+                                   : order_result::unanswered,
+                               harness_.now);
     }
 
-    void carry_out(const poll_executor& what)
+    void carry_out(const poll_executor& call)
     {
-        if (hears && what.deadline_ms)
+        if (is_reachable && call.deadline_ms)
         {
-            extend(*what.deadline_ms);
+            extend(*call.deadline_ms);
         }
-        if (!hears || !answers)
+        if (!is_reachable || !answers)
         {
-            keeper_.on_polled(executor(), order_result::unanswered,
-                              std::nullopt, at_.now, at_.now);
+            reconciler_.on_polled(executor(), order_result::unanswered,
+                                  std::nullopt, harness_.now, harness_.now);
             return;
         }
-        executor_snapshot look{.clock_ms = clock()};
+        executor_snapshot snapshot{.clock_ms = clock()};
         for (const auto& [task, run] : running_)
         {
-            look.running.push_back({.task = task, .run = run});
+            snapshot.running.push_back({.task = task, .run = run});
         }
-        keeper_.on_polled(executor(), order_result::accepted, look, at_.now,
-                          at_.now);
+        reconciler_.on_polled(executor(), order_result::accepted, snapshot,
+                              harness_.now, harness_.now);
     }
 
     void extend(std::int64_t deadline_ms)
@@ -172,12 +175,12 @@
         deadline_ = std::max(deadline_, deadline_ms);
     }
 
-    scheduler_harness& at_;
+    scheduler_harness& harness_;
     std::string name_;
     std::int64_t sequence_ = 0;
     std::string incarnation_ = "i";
-    run_reconciler keeper_{{}, incarnation_};
-    time_point begun_ = at_.now;
+    run_reconciler reconciler_{{}, incarnation_};
+    time_point started_at_ = harness_.now;
     std::int64_t deadline_ = 0;
     std::map<std::string, std::int64_t> running_;
 };
@@ -190,34 +193,35 @@
 // but their answers were lost, so they kept the run alive past the wait.
 TEST_CASE("a run is not lost while a guard without a snapshot extends it")
 {
-    scheduler_harness at;
-    guard_beside guard(at, "g1");
-    const job what = at.submit({step_of(1)});
-    const std::string task = what.id + ".0.0.0";
-    at.turn();
-    REQUIRE(at.runs(task));
-    guard.hear_start(task);
-    guard.act();
-    guard.pass(seconds(1));
+    scheduler_harness harness;
+    simulated_guard guard(harness, "g1");
+    const job definition = harness.submit({step_of(1)});
+    const std::string task = definition.id + ".0.0.0";
+    harness.turn();
+    REQUIRE(harness.runs(task));
+    guard.receive_start(task);
+    guard.carry_out_due();
+    guard.run_without_faults(seconds(1));
     REQUIRE(guard.runs(task));
-    at.take_over();
+    harness.take_over();
     guard.restart();
     guard.answers = false;
-    const time_point until = at.now + seconds(12);
-    for (int count = 0; at.now < until; ++count)
+    const time_point until = harness.now + seconds(12);
+    for (int count = 0; harness.now < until; ++count)
     {
-        at.turn(step_length);
-        if (count % steps_a_report == 0)
+        harness.turn(step_length);
+        if (count % steps_per_report == 0)
         {
             guard.heartbeat();
             guard.report();
-            at.say("g2");
+            harness.say("g2");
         }
-        guard.act();
-        const bool runs_elsewhere = at.started.at(task).run > 1;
+        guard.carry_out_due();
+        const bool runs_elsewhere = harness.started.at(task).run > 1;
         REQUIRE_FALSE((runs_elsewhere && guard.runs(task)));
     }
-    CHECK(at.started.at(task).run == 2); // it still counts as lost eventually
+    CHECK(harness.started.at(task).run ==
+          2); // it still counts as lost eventually
 }
 
 // An expired lease was taken to end all runs of an unresponsive executor. A
@@ -225,37 +229,38 @@
 // again.
 TEST_CASE("an expired lease does not end a start that may still begin")
 {
-    scheduler_harness at;
-    guard_beside guard(at, "g1");
-    guard.pass(seconds(4));
-    guard.hears = false;
+    scheduler_harness harness;
+    simulated_guard guard(harness, "g1");
+    guard.run_without_faults(seconds(4));
+    guard.is_reachable = false;
     for (int count = 0; count < 10; ++count)
     {
-        at.turn(step_length);
-        guard.act();
+        harness.turn(step_length);
+        guard.carry_out_due();
     }
     guard.report(); // the executor is not known to be unresponsive yet
-    const job what = at.submit({step_of(1)});
-    const std::string task = what.id + ".0.0.0";
-    at.turn();
-    REQUIRE(at.runs(task));
-    at.turn(milliseconds(200));
-    guard.hear_start(task);
-    const time_point until = at.now + seconds(12);
-    for (int count = 0; at.now < until && at.started.at(task).run == 1; ++count)
+    const job definition = harness.submit({step_of(1)});
+    const std::string task = definition.id + ".0.0.0";
+    harness.turn();
+    REQUIRE(harness.runs(task));
+    harness.turn(milliseconds(200));
+    guard.receive_start(task);
+    const time_point until = harness.now + seconds(12);
+    for (int count = 0;
+         harness.now < until && harness.started.at(task).run == 1; ++count)
     {
-        at.turn(step_length);
-        guard.act();
-        if (count % steps_a_report == 0)
+        harness.turn(step_length);
+        guard.carry_out_due();
+        if (count % steps_per_report == 0)
         {
             guard.report();
-            at.say("g2");
+            harness.say("g2");
         }
     }
-    CHECK(at.started.at(task).run == 2);
-    guard.hears = true;
+    CHECK(harness.started.at(task).run == 2);
+    guard.is_reachable = true;
     guard.heartbeat();
-    guard.act();
+    guard.carry_out_due();
     CHECK_FALSE(guard.runs(task));
 }
 
@@ -264,13 +269,13 @@
 // poll shows it: one report lists the run as both refused and running.
 TEST_CASE("a run that is reported as refused and present has not ended")
 {
-    scheduler_harness at;
-    at.say("g1");
-    const job what = at.submit({step_of(1)});
-    const std::string task = what.id + ".0.0.0";
-    at.turn();
-    REQUIRE(at.runs(task));
-    worker_report& report = at.worker("g1");
+    scheduler_harness harness;
+    harness.say("g1");
+    const job definition = harness.submit({step_of(1)});
+    const std::string task = definition.id + ".0.0.0";
+    harness.turn();
+    REQUIRE(harness.runs(task));
+    worker_report& report = harness.worker("g1");
     report.refused = {{.task = task, .run = 1, .reason = "no_room"}};
     SUBCASE("it runs")
     {
@@ -281,14 +286,14 @@
         report.running.clear();
         report.starting = {task};
     }
-    at.say("g1");
-    at.say("g2");
+    harness.say("g1");
+    harness.say("g2");
     for (int count = 0; count < 5; ++count)
     {
-        at.turn(step_length);
+        harness.turn(step_length);
     }
-    CHECK(at.started.at(task).run == 1);
-    CHECK(at.core.figures().refused == 0);
+    CHECK(harness.started.at(task).run == 1);
+    CHECK(harness.core.figures().refused == 0);
 }
 
 // A duplicate of a start order arrived after its run had been refused. The
@@ -296,19 +301,19 @@
 // of the run and stop it.
 TEST_CASE("an orphan start is stopped before it begins")
 {
-    scheduler_harness at;
-    at.say("g1");
-    const job what = at.submit({step_of(1)});
-    const std::string task = what.id + ".0.0.0";
-    at.turn();
-    REQUIRE(at.runs(task));
-    worker_report& report = at.worker("g1");
+    scheduler_harness harness;
+    harness.say("g1");
+    const job definition = harness.submit({step_of(1)});
+    const std::string task = definition.id + ".0.0.0";
+    harness.turn();
+    REQUIRE(harness.runs(task));
+    worker_report& report = harness.worker("g1");
     report.running.clear();
     report.refused = {{.task = task, .run = 1, .reason = "no_room"}};
-    at.say("g1");
+    harness.say("g1");
     report.refused.clear();
     report.starting = {task};
-    const guard_orders orders = at.say("g1").orders;
+    const guard_orders orders = harness.say("g1").orders;
     const std::vector<stop_order> stops{{.task = task, .run = 1}};
     CHECK(orders.stops == stops);
 }
@@ -318,15 +323,15 @@
 // reboot for as long as the VM had been up before.
 TEST_CASE("after a reboot of a guard's VM, starts are bounded by its new clock")
 {
-    scheduler_harness at;
-    worker_report& report = at.worker("g1");
+    scheduler_harness harness;
+    worker_report& report = harness.worker("g1");
     report.sent_ms = 5'000'000;
-    at.say("g1");
+    harness.say("g1");
     const std::int64_t since_boot_ms = 1000;
     report.incarnation += "i";
     report.worker.executor.id += "i";
     report.sent_ms = since_boot_ms;
-    const report_answer answer = at.say("g1");
+    const report_answer answer = harness.say("g1");
     REQUIRE(answer.permit_ms > 0);
     CHECK(answer.orders.starts_until_ms <= since_boot_ms + answer.permit_ms);
 }
@@ -334,7 +339,7 @@
 namespace
 {
 
-constexpr std::size_t listed_at_once = 500;
+constexpr std::size_t max_ends_listed = 500;
 
 // A guard whose executor lists as many ends as fit into one snapshot.
 class busy_guard
@@ -342,55 +347,56 @@
 public:
     busy_guard()
     {
-        keeper.on_worker({.executor = "w1", .service = "s", .capacity = room},
-                         1000, now);
-        hear({});
-        looked(0);
+        reconciler.on_worker(
+            {.executor = "w1", .service = "s", .capacity = room}, 1000, now);
+        receive_orders({});
+        poll(0);
     }
 
-    void hear(guard_orders orders)
+    void receive_orders(guard_orders orders)
     {
         orders.epoch = 5;
         orders.executor = "w1";
         report_answer answer{.holds = true, .permit_ms = 4000};
         answer.orders = std::move(orders);
-        keeper.on_answer(answer, keeper.report(now), now, now);
+        reconciler.on_answer(answer, reconciler.report(now), now, now);
     }
 
     // Delivers, a second later, a snapshot with the ends of `others` other runs
     // and then, if given, of `task`.
-    void looked(std::size_t others, const std::string& task = {})
+    void poll(std::size_t others, const std::string& task = {})
     {
         now += seconds(1);
-        executor_snapshot look{.clock_ms = 1000};
+        executor_snapshot snapshot{.clock_ms = 1000};
         for (std::size_t number = 1; number <= others; ++number)
         {
-            look.ended.push_back({.number = static_cast<std::int64_t>(number),
-                                  .task = "other",
-                                  .run = static_cast<std::int64_t>(number),
-                                  .how = run_end::done});
+            snapshot.ended.push_back(
+                {.number = static_cast<std::int64_t>(number),
+                 .task = "other",
+                 .run = static_cast<std::int64_t>(number),
+                 .how = run_end::done});
         }
         if (!task.empty())
         {
-            look.ended.push_back(
+            snapshot.ended.push_back(
                 {.number = static_cast<std::int64_t>(others) + 1,
                  .task = task,
                  .run = 1,
                  .how = run_end::done});
         }
-        keeper.on_polled("w1", order_result::accepted, look, now, now);
+        reconciler.on_polled("w1", order_result::accepted, snapshot, now, now);
     }
 
     std::size_t starts_due()
     {
-        const auto due = keeper.due(now);
+        const auto due = reconciler.due(now);
         return static_cast<std::size_t>(std::ranges::count_if(
             due, [](const executor_action& one)
             { return std::holds_alternative<start_run>(one); }));
     }
 
     time_point now{std::chrono::hours(1)};
-    run_reconciler keeper;
+    run_reconciler reconciler;
 };
 
 } // namespace
@@ -403,37 +409,41 @@
 {
     const std::string task = "j.0.0.0";
     busy_guard guard;
-    guard.hear({.starts = {{.task = task, .run = 1}}});
+    guard.receive_orders({.starts = {{.task = task, .run = 1}}});
     REQUIRE(guard.starts_due() == 1);
     SUBCASE("it runs")
     {
-        guard.keeper.on_started({.order = {.task = task, .run = 1},
-                                 .executor = guard.keeper.worker().executor},
-                                order_result::accepted, guard.now);
+        guard.reconciler.on_started(
+            {.order = {.task = task, .run = 1},
+             .executor = guard.reconciler.worker().executor},
+            order_result::accepted, guard.now);
     }
     SUBCASE("a restarted guard finds that it has ended")
     {
-        guard.keeper.on_started({.order = {.task = task, .run = 1},
-                                 .executor = guard.keeper.worker().executor},
-                                order_result::stale, guard.now);
+        guard.reconciler.on_started(
+            {.order = {.task = task, .run = 1},
+             .executor = guard.reconciler.worker().executor},
+            order_result::stale, guard.now);
     }
     SUBCASE("it is stopped")
     {
-        guard.keeper.on_started({.order = {.task = task, .run = 1},
-                                 .executor = guard.keeper.worker().executor},
-                                order_result::accepted, guard.now);
-        guard.hear({.stops = {{.task = task, .run = 1}}});
-        guard.keeper.on_stopped({.order = {.task = task, .run = 1},
-                                 .executor = guard.keeper.worker().executor},
-                                order_result::accepted, guard.now);
+        guard.reconciler.on_started(
+            {.order = {.task = task, .run = 1},
+             .executor = guard.reconciler.worker().executor},
+            order_result::accepted, guard.now);
+        guard.receive_orders({.stops = {{.task = task, .run = 1}}});
+        guard.reconciler.on_stopped(
+            {.order = {.task = task, .run = 1},
+             .executor = guard.reconciler.worker().executor},
+            order_result::accepted, guard.now);
     }
-    guard.looked(listed_at_once);
-    CHECK(guard.keeper.report(guard.now).refused.empty());
+    guard.poll(max_ends_listed);
+    CHECK(guard.reconciler.report(guard.now).refused.empty());
     // The leader does not see the run and repeats the order; the guard still
     // tracks it.
-    guard.hear({.starts = {{.task = task, .run = 1}}});
+    guard.receive_orders({.starts = {{.task = task, .run = 1}}});
     CHECK(guard.starts_due() == 0);
-    guard.looked(listed_at_once - 2, task);
-    CHECK(guard.keeper.report(guard.now).refused.empty());
-    CHECK(guard.keeper.report(guard.now).starting.empty());
+    guard.poll(max_ends_listed - 2, task);
+    CHECK(guard.reconciler.report(guard.now).refused.empty());
+    CHECK(guard.reconciler.report(guard.now).starting.empty());
 }
--- a/tests/unit/scheduler_harness.hpp
+++ b/tests/unit/scheduler_harness.hpp
@@ -85,13 +85,13 @@
 
     job submit(std::vector<job_step> steps, const std::string& queue = "q")
     {
-        job what{.id = "job" + std::to_string(++jobs_),
-                 .queue = queue,
-                 .payload = "p",
-                 .steps = std::move(steps)};
-        core.accept(what, now);
-        accepted[what.id] = what;
-        return what;
+        job definition{.id = "job" + std::to_string(++jobs_),
+                       .queue = queue,
+                       .payload = "p",
+                       .steps = std::move(steps)};
+        core.accept(definition, now);
+        accepted[definition.id] = definition;
+        return definition;
     }
 
     // Another entry becomes leader, with the state in the store.
@@ -99,15 +99,15 @@
     {
         core.begin_term(core.epoch() + 1, now);
         core.set_table(table());
-        for (const auto& [id, what] : accepted)
+        for (const auto& [id, definition] : accepted)
         {
-            const auto kept = records.find(id);
-            core.adopt(what,
-                       kept == records.end()
-                           ? std::nullopt
-                           : std::optional(decode_progress(kept->second.text)),
-                       kept == records.end() ? 0 : kept->second.revision, now,
-                       unix_ms);
+            const auto stored = records.find(id);
+            core.adopt(definition,
+                       stored == records.end() ? std::nullopt
+                                               : std::optional(decode_progress(
+                                                     stored->second.text)),
+                       stored == records.end() ? 0 : stored->second.revision,
+                       now, unix_ms);
         }
         core.begin(now);
     }
--- a/tests/unit/spontaneous_crash_tests.cpp
+++ b/tests/unit/spontaneous_crash_tests.cpp
@@ -15,12 +15,12 @@
 TEST_CASE("spontaneous VM failures, guards included, fail no job")
 {
     crashing_fleet fleet({});
-    passing_jobs passing(fleet);
-    const std::string lasts = fleet.submit(lasting(8));
+    background_jobs background(fleet);
+    const std::string long_running = fleet.submit(lasting_step(8));
     std::mt19937 random(11);
     for (int turn = 0; turn < 60; ++turn)
     {
-        passing.run(milliseconds(500), milliseconds(100));
+        background.run(milliseconds(500), milliseconds(100));
         const std::string guard = "g" + std::to_string(random() % 11);
         if (fleet.is_up(guard))
         {
@@ -28,19 +28,19 @@
         }
     }
     fleet.run(seconds(15));
-    CHECK(passing.unserved() == 0);
-    CHECK(fleet.at.shown(lasts) == job_state::running);
+    CHECK(background.unsuccessful() == 0);
+    CHECK(fleet.harness.shown(long_running) == job_state::running);
 }
 
 TEST_CASE("spontaneous executor crashes fail no job")
 {
     crashing_fleet fleet({});
-    passing_jobs passing(fleet);
-    const std::string lasts = fleet.submit(lasting(8));
+    background_jobs background(fleet);
+    const std::string long_running = fleet.submit(lasting_step(8));
     std::mt19937 random(7);
     for (int turn = 0; turn < 60; ++turn)
     {
-        passing.run(milliseconds(500), milliseconds(100));
+        background.run(milliseconds(500), milliseconds(100));
         const std::string guard = "g" + std::to_string(random() % 11);
         if (fleet.is_up(guard))
         {
@@ -48,8 +48,8 @@
         }
     }
     fleet.run(seconds(15));
-    CHECK(passing.unserved() == 0);
-    CHECK(fleet.at.shown(lasts) == job_state::running);
+    CHECK(background.unsuccessful() == 0);
+    CHECK(fleet.harness.shown(long_running) == job_state::running);
 }
 
 TEST_CASE("tasks that crash executors are told apart from spontaneous crashes")
@@ -58,13 +58,13 @@
     {
         CAPTURE(seed);
         crashing_fleet fleet({});
-        passing_jobs passing(fleet);
-        const std::string lasts = fleet.submit(lasting(8));
+        background_jobs background(fleet);
+        const std::string long_running = fleet.submit(lasting_step(8));
         std::vector<std::string> bad;
         std::mt19937 random(seed);
         for (int turn = 0; turn < 40; ++turn)
         {
-            passing.run(milliseconds(1000), milliseconds(100));
+            background.run(milliseconds(1000), milliseconds(100));
             if (turn % 8 == 3)
             {
                 bad.push_back(fleet.submit_crashing());
@@ -78,27 +78,27 @@
         fleet.run(seconds(20));
         for (const std::string& id : bad)
         {
-            CHECK(fleet.at.shown(id) == job_state::failed);
+            CHECK(fleet.harness.shown(id) == job_state::failed);
             CHECK(fleet.crashes(id) <= max_crashes + max_starts_after);
         }
-        CHECK(passing.unserved() == 0);
-        CHECK(fleet.at.shown(lasts) == job_state::running);
+        CHECK(background.unsuccessful() == 0);
+        CHECK(fleet.harness.shown(long_running) == job_state::running);
     }
 }
 
 TEST_CASE("an executor that crashes again and again fails no job")
 {
     crashing_fleet fleet({.workers = 3, .away = seconds(2)});
-    const std::string lasts = fleet.submit(lasting(9));
-    passing_jobs passing(fleet);
+    const std::string long_running = fleet.submit(lasting_step(9));
+    background_jobs background(fleet);
     for (int turn = 0; turn < 10; ++turn)
     {
-        passing.run(seconds(4), milliseconds(200));
+        background.run(seconds(4), milliseconds(200));
         fleet.crash("g0");
     }
     fleet.run(seconds(15));
-    CHECK(passing.unserved() == 0);
-    CHECK(fleet.at.shown(lasts) == job_state::running);
+    CHECK(background.unsuccessful() == 0);
+    CHECK(fleet.harness.shown(long_running) == job_state::running);
 }
 
 TEST_CASE("the loss of a rack or of all power fails no job")
@@ -115,11 +115,11 @@
         with_guards = true;
     }
     crashing_fleet fleet({});
-    const std::string lasts = fleet.submit(lasting(8));
-    passing_jobs passing(fleet);
+    const std::string long_running = fleet.submit(lasting_step(8));
+    background_jobs background(fleet);
     for (int turn = 0; turn < 5; ++turn)
     {
-        passing.run(seconds(4), milliseconds(100));
+        background.run(seconds(4), milliseconds(100));
         for (int number = 0; number < 11; ++number)
         {
             const std::string guard = "g" + std::to_string(number);
@@ -135,6 +135,6 @@
     }
     CHECK(fleet.all_crashes() >= (by_racks ? 15 : 55));
     fleet.run(seconds(15));
-    CHECK(passing.unserved() == 0);
-    CHECK(fleet.at.shown(lasts) == job_state::running);
+    CHECK(background.unsuccessful() == 0);
+    CHECK(fleet.harness.shown(long_running) == job_state::running);
 }
--- a/tests/unit/ticket_tests.cpp
+++ b/tests/unit/ticket_tests.cpp
@@ -19,85 +19,85 @@
 
 TEST_CASE("one query is in flight at a time, without known executors")
 {
-    ticket_cache book;
+    ticket_cache cache;
     time_point now{std::chrono::hours(1)};
-    book.request_tickets("j.0.0", three, now);
-    book.request_tickets("k.0.0", {"a"}, now);
-    const auto question = book.next_question(now);
-    REQUIRE(question.has_value());
-    CHECK(question->step == "j.0.0");
-    CHECK(question->executors == three);
-    CHECK_FALSE(book.next_question(now).has_value());
-    book.request_tickets("j.0.0", three, now); // already in flight
-    book.answered(advice_answer{.tickets = {{"a", "t"}}, .valid_ms = 3000},
-                  now);
-    CHECK(book.tickets("j.0.0", now) == ticket_map{{"a", "t"}});
-    CHECK(book.next_question(now)->step == "k.0.0");
-    book.answered(std::nullopt, now);
+    cache.request_tickets("j.0.0", three, now);
+    cache.request_tickets("k.0.0", {"a"}, now);
+    const auto query = cache.next_question(now);
+    REQUIRE(query.has_value());
+    CHECK(query->step == "j.0.0");
+    CHECK(query->executors == three);
+    CHECK_FALSE(cache.next_question(now).has_value());
+    cache.request_tickets("j.0.0", three, now); // already in flight
+    cache.answered(advice_answer{.tickets = {{"a", "t"}}, .valid_ms = 3000},
+                   now);
+    CHECK(cache.tickets("j.0.0", now) == ticket_map{{"a", "t"}});
+    CHECK(cache.next_question(now)->step == "k.0.0");
+    cache.answered(std::nullopt, now);
     // Executors without a ticket stay excluded; new ones are asked about.
-    book.request_tickets("j.0.0", {"a", "b", "c", "d"}, now);
-    CHECK(book.next_question(now)->executors ==
+    cache.request_tickets("j.0.0", {"a", "b", "c", "d"}, now);
+    CHECK(cache.next_question(now)->executors ==
           std::vector<executor_incarnation>{"d"});
 }
 
 TEST_CASE("tickets expire early, counted from the query")
 {
-    ticket_cache book;
+    ticket_cache cache;
     time_point now{std::chrono::hours(1)};
-    book.request_tickets("j.0.0", three, now);
-    REQUIRE(book.next_question(now).has_value());
+    cache.request_tickets("j.0.0", three, now);
+    REQUIRE(cache.next_question(now).has_value());
     now += milliseconds(500);
-    book.answered(advice_answer{.tickets = {{"a", "t"}}, .valid_ms = 2000},
-                  now);
+    cache.answered(advice_answer{.tickets = {{"a", "t"}}, .valid_ms = 2000},
+                   now);
     now += milliseconds(1000); // 0.5 s of its validity remain
-    CHECK(book.tickets("j.0.0", now).size() == 1);
+    CHECK(cache.tickets("j.0.0", now).size() == 1);
     now += milliseconds(200);
-    CHECK(book.tickets("j.0.0", now).empty());
-    book.request_tickets("j.0.0", three, now);
-    CHECK(book.next_question(now)->executors ==
+    CHECK(cache.tickets("j.0.0", now).empty());
+    cache.request_tickets("j.0.0", three, now);
+    CHECK(cache.next_question(now)->executors ==
           std::vector<executor_incarnation>{"a"});
 }
 
 TEST_CASE("an unanswered query is repeated after a backoff")
 {
-    ticket_cache book;
+    ticket_cache cache;
     time_point now{std::chrono::hours(1)};
-    book.request_tickets("j.0.0", three, now);
-    REQUIRE(book.next_question(now).has_value());
-    book.answered(std::nullopt, now);
-    book.request_tickets("j.0.0", three, now);
-    CHECK_FALSE(book.next_question(now).has_value());
+    cache.request_tickets("j.0.0", three, now);
+    REQUIRE(cache.next_question(now).has_value());
+    cache.answered(std::nullopt, now);
+    cache.request_tickets("j.0.0", three, now);
+    CHECK_FALSE(cache.next_question(now).has_value());
     now += seconds(1);
-    book.request_tickets("j.0.0", three, now);
-    CHECK(book.next_question(now)->executors == three);
+    cache.request_tickets("j.0.0", three, now);
+    CHECK(cache.next_question(now)->executors == three);
 }
 
 TEST_CASE("a ticket that a worker refuses is requested again")
 {
-    ticket_cache book;
+    ticket_cache cache;
     const time_point now{std::chrono::hours(1)};
-    book.request_tickets("j.0.0", three, now);
-    REQUIRE(book.next_question(now).has_value());
-    book.answered(advice_answer{.tickets = {{"a", "t"}}, .valid_ms = 3000},
-                  now);
-    book.refused("j.0.0", "a");
-    CHECK(book.tickets("j.0.0", now).empty());
-    book.request_tickets("j.0.0", three, now);
-    CHECK(book.next_question(now)->executors ==
+    cache.request_tickets("j.0.0", three, now);
+    REQUIRE(cache.next_question(now).has_value());
+    cache.answered(advice_answer{.tickets = {{"a", "t"}}, .valid_ms = 3000},
+                   now);
+    cache.refused("j.0.0", "a");
+    CHECK(cache.tickets("j.0.0", now).empty());
+    cache.request_tickets("j.0.0", three, now);
+    CHECK(cache.next_question(now)->executors ==
           std::vector<executor_incarnation>{"a"});
 }
 
 TEST_CASE("an answer for a step that needs no ticket any more is ignored")
 {
-    ticket_cache book;
+    ticket_cache cache;
     const time_point now{std::chrono::hours(1)};
-    book.request_tickets("j.0.0", three, now);
-    REQUIRE(book.next_question(now).has_value());
-    book.forget("j.0.0");
-    book.answered(advice_answer{.tickets = {{"a", "t"}}, .valid_ms = 3000},
-                  now);
-    CHECK(book.tickets("j.0.0", now).empty());
-    CHECK_FALSE(book.next_question(now).has_value());
+    cache.request_tickets("j.0.0", three, now);
+    REQUIRE(cache.next_question(now).has_value());
+    cache.forget("j.0.0");
+    cache.answered(advice_answer{.tickets = {{"a", "t"}}, .valid_ms = 3000},
+                   now);
+    CHECK(cache.tickets("j.0.0", now).empty());
+    CHECK_FALSE(cache.next_question(now).has_value());
 }
 
 // Guards against starvation: queries were sent in the order of step names, so a
@@ -105,15 +105,15 @@
 // whenever theirs expired.
 TEST_CASE("the query that has waited longest is sent first")
 {
-    ticket_cache book;
+    ticket_cache cache;
     time_point now{std::chrono::hours(1)};
-    book.request_tickets("z.0.0", {"a"}, now);
+    cache.request_tickets("z.0.0", {"a"}, now);
     now += std::chrono::milliseconds(10);
-    book.request_tickets("b.0.0", {"a"}, now);
-    CHECK(book.next_question(now)->step == "z.0.0");
-    book.answered(advice_answer{.tickets = {{"a", "t"}}, .valid_ms = 1000},
-                  now);
+    cache.request_tickets("b.0.0", {"a"}, now);
+    CHECK(cache.next_question(now)->step == "z.0.0");
+    cache.answered(advice_answer{.tickets = {{"a", "t"}}, .valid_ms = 1000},
+                   now);
     now += std::chrono::milliseconds(10);
-    book.request_tickets("a.0.0", {"a"}, now);
-    CHECK(book.next_question(now)->step == "b.0.0");
+    cache.request_tickets("a.0.0", {"a"}, now);
+    CHECK(cache.next_question(now)->step == "b.0.0");
 }
