--- a/tests/unit/scheduler_tests.cpp
+++ b/tests/unit/scheduler_tests.cpp
@@ -122,7 +122,7 @@
     CHECK(harness.started.size() == 4);
 }
 
-TEST_CASE("a worker's capacity is respected; best-effort tasks use no millis")
+TEST_CASE("a worker's capacity holds; best-effort tasks reserve no processors")
 {
     scheduler_harness harness;
     harness.say("g1");
--- a/tests/unit/ticket_tests.cpp
+++ b/tests/unit/ticket_tests.cpp
@@ -17,7 +17,7 @@
 
 } // namespace
 
-TEST_CASE("one query is in flight at a time, without known executors")
+TEST_CASE("one query is in flight at a time, about executors not yet asked")
 {
     ticket_cache cache;
     time_point now{std::chrono::hours(1)};
