--- a/packages/jobs/include/springstair/detail/jobs/advice.hpp
+++ b/packages/jobs/include/springstair/detail/jobs/advice.hpp
@@ -10,8 +10,8 @@
 namespace springstair
 {
 
-/// @brief Which of some workers may run a step? Asked of the service that a
-/// queue's row names.
+/// @brief Query to the advice service of a queue's row: which of these
+/// executors may run the step?
 struct advice_query
 {
     std::string step; ///< step_group(): job, round and step
@@ -20,15 +20,15 @@
     bool operator==(const advice_query&) const = default;
 };
 
-/// @brief Tickets; each holds for one life and goes with every start of its
-/// step there.
+/// @brief Tickets by incarnation. Each is valid for that incarnation alone, and
+/// is sent with every start of its step there.
 using ticket_map = std::map<executor_incarnation, std::string>;
 
-/// @brief The tickets of those that may.
+/// @brief The tickets of the executors that may run the step.
 struct advice_answer
 {
     ticket_map tickets;
-    std::int64_t valid_ms = 0; ///< from the question on
+    std::int64_t valid_ms = 0; ///< validity, counted from the query
 
     bool operator==(const advice_answer&) const = default;
 };
--- a/packages/jobs/include/springstair/detail/jobs/closed_data_centres.hpp
+++ b/packages/jobs/include/springstair/detail/jobs/closed_data_centres.hpp
@@ -8,13 +8,13 @@
 namespace springstair
 {
 
-/// @brief The data centres in which an operator wants no run to begin, as far
-/// as is known. What runs there already may run on.
+/// @brief The data centres that an operator has closed to new runs, as far as
+/// known. Runs that are there already may continue.
 struct closed_data_centres
 {
     std::set<std::string> names;
-    /// The store had just these entries then, or later. The clock's epoch:
-    /// nothing is known yet.
+    /// The store had exactly these entries at this time or later. The clock's
+    /// epoch: nothing is known yet.
     time_point known_at{};
 
     bool operator==(const closed_data_centres&) const = default;
--- a/packages/jobs/include/springstair/detail/jobs/entry_messages.hpp
+++ b/packages/jobs/include/springstair/detail/jobs/entry_messages.hpp
@@ -10,73 +10,72 @@
 namespace springstair
 {
 
-/// @brief The method of an entry's heartbeat.
+/// @brief Method of an entry's heartbeat to the leader.
 inline constexpr const char* entry_heartbeat_method = "entry_heartbeat";
 
-/// @brief The method by which a holder asks another entry to take its office.
+/// @brief Method by which the leader asks another entry to take over.
 inline constexpr const char* take_over_method = "take_over";
-/// @brief The method by which that one tells what came of it.
+/// @brief Method by which that entry reports the result.
 inline constexpr const char* took_over_method = "took_over";
 
-/// @brief The method by which a former holder tells its guards of the next.
+/// @brief Method by which a previous leader names its successor to its guards.
 inline constexpr const char* leader_changed_method = "holder_changed";
 
-/// @brief Another entry holds the jobs from now on.
+/// @brief Notification that another entry is the leader now.
 struct leader_change
 {
     std::int64_t epoch = 0;
-    std::string holder; ///< its address
+    std::string holder; ///< address of the new leader
 
     bool operator==(const leader_change&) const = default;
 };
 
-/// @brief A holder asks another entry to take its office.
+/// @brief Request of the leader that another entry takes over.
 struct take_over_request
 {
-    std::int64_t epoch = 0; ///< of that office
-    std::string from;       ///< the holder's address
+    std::int64_t epoch = 0; ///< of the leader's term
+    std::string from;       ///< the leader's address
 
     bool operator==(const take_over_request&) const = default;
 };
 
-/// @brief What came of it.
+/// @brief Result of a request to take over.
 struct take_over_result
 {
-    std::int64_t epoch = 0; ///< of the new office; 0: it was not taken
-    std::string by;         ///< who was asked
+    std::int64_t epoch = 0; ///< of the new term; 0: leadership was not taken
+    std::string by;         ///< address of the entry that was asked
 
     bool operator==(const take_over_result&) const = default;
 };
 
-/// @brief What an entry says of itself to the holder of all jobs.
+/// @brief An entry's heartbeat to the leader.
 struct entry_heartbeat
 {
-    std::string address; ///< its internal address, and its name here
+    std::string address; ///< internal address, which also names the entry
     std::string data_centre;
     double processors = 1; ///< of its VM, in cores
-    /// Whether the newest call to the platform's store that ended got no
-    /// service.
+    /// Whether the store did not serve the most recently completed call.
     bool store_away = false;
 
     bool operator==(const entry_heartbeat&) const = default;
 };
 
-/// @brief The holder's answer, or that of an entry that is not the holder.
+/// @brief Answer to a heartbeat, by the leader or another entry.
 struct entry_heartbeat_answer
 {
-    /// The newest office that the answering entry knows of; 0: none.
+    /// Newest epoch that the answering entry knows; 0: none.
     std::int64_t epoch = 0;
-    std::string holder; ///< its address
-    bool holds = false; ///< whether it is the answering entry's own
+    std::string holder; ///< address of the leader
+    bool holds = false; ///< whether the answering entry is the leader
 
-    // Told by the holder only.
+    // Set by the leader only.
 
-    /// Place among those that take the office next, from 0.
+    /// Rank among the successors, from 0; nothing if it cannot succeed.
     std::optional<std::int64_t> rank;
-    /// Entries that the store serves, to pass requests on to.
+    /// Entries that the store serves, as peers to forward requests to.
     std::vector<std::string> peers;
-    /// The store's revision of the newest change of the operator's that the
-    /// holder knows; 0: what it knows is not fresh.
+    /// Store revision of the newest operator's change that the leader knows; 0:
+    /// its knowledge is not up to date.
     std::int64_t operator_change = 0;
 
     bool operator==(const entry_heartbeat_answer&) const = default;
--- a/packages/jobs/include/springstair/detail/jobs/executor_incarnation.hpp
+++ b/packages/jobs/include/springstair/detail/jobs/executor_incarnation.hpp
@@ -9,18 +9,19 @@
 namespace springstair
 {
 
-/// @brief One life of an executor.
+/// @brief One incarnation of an executor.
 ///
-/// An executor may start again under the id that it had. It then holds and
-/// knows nothing of before, and its counts begin anew: the numbers of its ends
-/// and heartbeats, its clock, the highest epoch that it has seen. Calls name an
-/// executor by its id alone, so a call that is meant for one life can reach the
-/// next; only what an executor says of itself and its lists of runs tell which
-/// life speaks.
+/// An executor may restart with the same id. It then has no runs and no memory,
+/// and its counters start again: the numbers of its ends and heartbeats, its
+/// clock, the highest epoch that it has seen. Calls name an executor by its id
+/// alone, so a call meant for one incarnation can reach the next; only an
+/// executor's description of itself and its lists of runs show which
+/// incarnation answers.
 struct executor_incarnation
 {
     executor_incarnation() = default;
-    /// @brief The life of an executor that does not tell when it was born.
+    /// @brief An incarnation of an executor that does not report its start
+    /// time.
     executor_incarnation(std::string executor) : id(std::move(executor)) {}
     /// @copydoc executor_incarnation(std::string)
     executor_incarnation(const char* executor) : id(executor) {}
@@ -29,9 +30,9 @@
     {
     }
 
-    std::string id; ///< of the executor; empty: none is known
-    /// Unix time of its start; 0: not told. It tells lives apart and does not
-    /// order them: the time of day may step back.
+    std::string id; ///< id of the executor; empty: none is known
+    /// Unix time of its start; 0: not reported. Distinguishes incarnations but
+    /// does not order them: the time of day may be set back.
     std::int64_t born_ms = 0;
 
     auto operator<=>(const executor_incarnation&) const = default; // NOLINT
@@ -40,22 +41,23 @@
     {
         return id.empty();
     }
-    /// @brief Whether it may be the same life: it is, or one of the two comes
-    /// from who does not tell births, like a record of an older version.
+    /// @brief Whether both may be the same incarnation: they are equal, or have
+    /// the same id and one has no start time, as in a record of an older
+    /// version.
     [[nodiscard]] bool may_be(const executor_incarnation& other) const noexcept
     {
         return id == other.id &&
                (born_ms == other.born_ms || born_ms == 0 || other.born_ms == 0);
     }
-    /// @brief For the log: the id, and the birth where it is told.
+    /// @brief For the log: the id, and the start time if known.
     [[nodiscard]] std::string text() const
     {
         return born_ms == 0 ? id : id + "@" + std::to_string(born_ms);
     }
 };
 
-/// @brief Writes a life as two members of a message. Older versions read the
-/// first one alone.
+/// @brief Writes an incarnation as two members of a message. Older versions
+/// read only the first one.
 inline void put_incarnation(json& to, const executor_incarnation& executor)
 {
     to["life"] = executor.id;
@@ -65,7 +67,7 @@
     }
 }
 
-/// @brief Reads what put_incarnation() wrote, or an older version.
+/// @brief Reads what put_incarnation() or an older version wrote.
 inline executor_incarnation incarnation_in(const json& from)
 {
     return {from.value("life", std::string()),
--- a/packages/jobs/include/springstair/detail/jobs/queue_table.hpp
+++ b/packages/jobs/include/springstair/detail/jobs/queue_table.hpp
@@ -9,12 +9,13 @@
 namespace springstair
 {
 
-/// @brief A service that decides which workers may run a queue's steps.
+/// @brief Response times of the service that decides which workers may run a
+/// queue's steps.
 struct advice_terms
 {
-    std::int64_t decide_ms = 0; ///< time of one question
-    std::int64_t each_ms = 0;   ///< more for each worker asked about
-    std::int64_t valid_ms = 0;  ///< how long an answer holds
+    std::int64_t decide_ms = 0; ///< time for one query
+    std::int64_t each_ms = 0;   ///< additional time per worker in the query
+    std::int64_t valid_ms = 0;  ///< validity of an answer
 
     bool operator==(const advice_terms&) const = default;
 };
@@ -23,13 +24,14 @@
 struct queue_row
 {
     std::string name;
-    std::string host;          ///< callers reach it under this host
-    std::string path_prefix;   ///< and a path that begins so
+    std::string host;          ///< host of the callers' requests
+    std::string path_prefix;   ///< prefix of their path
     std::string service;       ///< the pool of workers that runs it
-    std::int64_t priority = 0; ///< 0 goes first
+    std::int64_t priority = 0; ///< 0 is the most urgent
     std::int64_t most_attempts = 1;
-    double stretch = 1;          ///< of a job's longest chain of work, and
-    std::int64_t target_ms = 0;  ///< this time more: the latency objective
+    /// Latency objective: stretch times a job's critical path, plus target_ms.
+    double stretch = 1;
+    std::int64_t target_ms = 0;  ///< see stretch
     std::int64_t timeout_ms = 0; ///< of a caller's request
     std::optional<advice_terms> advice;
 
@@ -40,13 +42,14 @@
 struct pool_row
 {
     std::string name;
-    bool enforces_capacity = true; ///< its workers refuse what does not fit
-    bool headroom = false;         ///< its workers are off
+    /// Its workers refuse runs that exceed their capacity.
+    bool enforces_capacity = true;
+    bool headroom = false; ///< its workers are switched off
 
     bool operator==(const pool_row&) const = default;
 };
 
-/// @brief Bounds on what callers may send.
+/// @brief Bounds on callers' requests.
 struct caller_bounds
 {
     std::size_t header_bytes = 16384;
@@ -67,7 +70,7 @@
 
     bool operator==(const queue_table&) const = default;
 
-    /// @brief The row of that name, or null.
+    /// @brief The row with this name, or null.
     [[nodiscard]] const queue_row* queue(std::string_view name) const;
     /// @brief The row for a request: longest matching prefix, or null.
     [[nodiscard]] const queue_row* route(std::string_view host,
--- a/packages/jobs/include/springstair/detail/jobs/worker_messages.hpp
+++ b/packages/jobs/include/springstair/detail/jobs/worker_messages.hpp
@@ -11,36 +11,36 @@
 {
 
 // ---------------------------------------------------------------------------
-// What a worker says of itself
+// Description of a worker
 // ---------------------------------------------------------------------------
 
 /// @brief One incarnation of the executor beside a guard.
 struct worker_description
 {
     executor_incarnation executor; ///< empty: none is known
-    std::string service;           ///< the pool that it belongs to
+    std::string service;           ///< name of its pool
     std::string data_centre;
     std::string rack;
-    std::vector<std::string> labels; ///< its kind and its rack among them
+    std::vector<std::string> labels; ///< including its kind and its rack
     resources capacity;
     bool draining = false;
-    std::int64_t leaves_ms = 0; ///< least time that remains; 0: not leaving
+    std::int64_t leaves_ms = 0; ///< minimum time that remains; 0: not leaving
 
     bool operator==(const worker_description&) const = default;
 };
 
-/// @brief Progress of a task that is done, and of a lasting one at work.
+/// @brief Progress of a task that is done, or of a long-running task at work.
 inline constexpr std::int64_t full_percent = 100;
 
-/// @brief A run that a worker has at work.
+/// @brief A run that a worker executes.
 struct running_task
 {
     std::string task;
     std::int64_t run = 0;
     std::string checkpoint;
-    std::int64_t percent = 0; ///< see full_percent
-    /// The tail latency in milliseconds of a task that serves; otherwise the
-    /// processors in use, in thousandths. A rough figure of half a second.
+    std::int64_t percent = 0; ///< progress; see full_percent
+    /// Tail latency in milliseconds of a latency-critical task; otherwise the
+    /// processors in use, in thousandths. A coarse average over half a second.
     std::int64_t load = 0;
 
     bool operator==(const running_task&) const = default;
@@ -52,18 +52,18 @@
     done,
     failed,
     stopped,
-    lapsed,  ///< its lease ran out
+    lapsed,  ///< its lease expired
     broken,  ///< another member of its gang ended
     alone,   ///< its gang was never complete
-    refused, ///< it never ran: the worker refused it for good
-    lost     ///< the executor's incarnation is gone, or its lease surely
-             ///< ran out
+    refused, ///< it never began: the worker refused it permanently
+    /// The executor's incarnation ended, or its lease has certainly expired.
+    lost
 };
 
-/// @brief The wire name of an end.
+/// @brief The wire name of a way to end.
 std::string_view to_string(run_end value) noexcept;
 
-/// @brief A run's end, listed by the worker until it is acknowledged.
+/// @brief The end of a run; the worker lists it until it is acknowledged.
 struct ended_task
 {
     std::int64_t number = 0; ///< counts the ends of one incarnation
@@ -75,7 +75,7 @@
     bool operator==(const ended_task&) const = default;
 };
 
-/// @brief Why a worker refused a run: its ticket is missing or over.
+/// @brief Reason of a refusal: the run's ticket is missing or has expired.
 inline constexpr const char* no_ticket_reason = "no_ticket";
 
 /// @brief A run that a worker refused and will never begin.
@@ -92,29 +92,29 @@
 // Guard to scheduler
 // ---------------------------------------------------------------------------
 
-/// @brief A run that had begun, or may have, when its executor's incarnation
-/// was over.
+/// @brief A run that had begun, or may have, when the incarnation of its
+/// executor ended.
 struct begun_run
 {
     std::string task;
     std::int64_t run = 0;
-    /// For how long looks at the worker had shown it at work.
+    /// How long polls had shown it running.
     std::int64_t at_work_ms = 0;
-    /// Whether the executor took the start or a look showed the run; else the
-    /// start got no answer.
+    /// Whether the executor confirmed the start or a poll showed the run;
+    /// otherwise the start got no answer.
     bool is_sure = false;
 
     bool operator==(const begun_run&) const = default;
 };
 
-/// @brief An incarnation of the executor that the guard lived through, and
-/// what went with it.
+/// @brief An incarnation of the executor whose end the guard observed, and the
+/// runs lost with it.
 struct past_incarnation
 {
     executor_incarnation executor;
-    /// When looks at it began to fail, by the clock of worker_report::sent_ms;
-    /// 0 if that is not known. An executor that crashes closes its connections,
-    /// so it went then; one that falls silent went up to a look earlier.
+    /// When polls of it began to fail, by the clock of worker_report::sent_ms;
+    /// 0 if unknown. A crashing executor closes its connections, so it crashed
+    /// at that time; an unresponsive one failed up to one poll earlier.
     std::int64_t lost_ms = 0;
     std::vector<begun_run> begun;
 
@@ -124,18 +124,18 @@
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(begun_run, task, run,
                                                 at_work_ms, is_sure)
 
-/// @brief What orders the incarnations of one guard, before one holder.
+/// @brief Orders the incarnations of one guard for one leader.
 ///
-/// A report can be held back by a cut until after its sender's end, and come
-/// when another incarnation has reported from the same address. Random names
-/// of incarnations have no order, clocks step, and a new holder has seen none
-/// of them. So a holder answers an incarnation that it does not know with a
-/// number, and believes it once it repeats the newest one: only who is alive
-/// after its predecessors can have heard that. It costs one more exchange of
-/// each guard with each holder.
+/// A network partition can delay a report until after the end of its sender and
+/// after the first report of the next incarnation at the same address. Names of
+/// incarnations are random and have no order, clocks may be set back, and a new
+/// leader has not seen any of them. So the leader answers an unknown
+/// incarnation with a number and accepts its reports only once it repeats the
+/// newest number: only an incarnation that outlived its predecessors can have
+/// received it. This costs one more exchange of each guard with each leader.
 struct guard_admission
 {
-    std::int64_t epoch = 0;  ///< of the holder that gave it
+    std::int64_t epoch = 0;  ///< of the leader that issued it
     std::int64_t number = 0; ///< from 1; 0: none
 
     bool operator==(const guard_admission&) const = default;
@@ -143,44 +143,45 @@
 
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(guard_admission, epoch, number)
 
-/// @brief A guard's report. Its lists are whole: what one leaves out is not
-/// there.
+/// @brief A guard's report. Its lists are complete: what is missing from a list
+/// is not there.
 struct worker_report
 {
     std::string guard;
-    std::string address;       ///< where the guard takes orders
-    std::int64_t epoch = 0;    ///< newest holder that the guard knows
-    std::string incarnation;   ///< of the guard itself
-    std::int64_t sequence = 0; ///< grows with each report of an incarnation
-    std::int64_t sent_ms = 0;  ///< on the clock of the guard's VM, since boot
-    /// The newest admission that a holder gave this incarnation.
+    std::string address;       ///< where the guard accepts orders
+    std::int64_t epoch = 0;    ///< newest epoch that the guard knows
+    std::string incarnation;   ///< of the guard process
+    std::int64_t sequence = 0; ///< increases with each report of an incarnation
+    std::int64_t sent_ms = 0;  ///< by the clock of the guard's VM, since boot
+    /// The newest admission that a leader gave this incarnation.
     guard_admission admission;
     worker_description worker;
-    /// Whether running and ended are a look at this incarnation; false in a
-    /// guard that has not yet seen its worker's lists.
+    /// Whether running and ended are from a poll of this executor incarnation;
+    /// false as long as the guard has not polled it.
     bool looked = false;
-    /// How old running and ended are: a worker that does not answer is told
-    /// of by the last look at it.
+    /// Age of running and ended: for an unresponsive worker they are from the
+    /// last successful poll.
     std::int64_t lists_age_ms = 0;
-    /// For how long looks at it have failed; 0 if the newest one was answered.
+    /// How long polls have failed; 0 if the newest one was answered.
     std::int64_t failing_ms = 0;
-    /// Whether it tells what runs: running, starting and unknown. Ends that
-    /// are told between two such reports travel without.
+    /// Whether running, starting and unknown are included. Ends that are
+    /// reported between two such reports are sent without them.
     bool whole = true;
-    bool answering = false; ///< whether the worker has answered lately
-    /// Whether every lease that the guard asked for has surely run out
+    bool answering = false; ///< whether the worker has recently answered
+    /// Whether every lease that the guard requested has certainly expired
     /// without an answer: nothing runs at this incarnation any more.
     bool lapsed = false;
-    /// The worker's lease may last so long still, by what this guard knows.
+    /// Remaining time of the worker's lease, at most, as known to this guard.
     std::int64_t lease_ms = 0;
     std::vector<running_task> running;
     std::vector<ended_task> ended;
     std::vector<refused_run> refused;
-    std::map<std::string, std::int64_t> paces; ///< of images that are slowed
+    std::map<std::string, std::int64_t> paces; ///< of images that are throttled
     std::vector<std::string> starting; ///< ordered, not yet seen running
-    std::vector<std::string> unknown;  ///< running, but never described to it
-    /// Incarnations that were over lately; told for some seconds, so that a
-    /// change of holder loses none.
+    /// Running, but never described to the guard.
+    std::vector<std::string> unknown;
+    /// Incarnations that ended recently; repeated for some seconds, so that
+    /// none is missed when the leader changes.
     std::vector<past_incarnation> former;
 
     bool operator==(const worker_report&) const = default;
@@ -190,7 +191,7 @@
 // Scheduler to guard
 // ---------------------------------------------------------------------------
 
-/// @brief Start a run, once; also describes a run that is there already.
+/// @brief Starts a run once; also describes a run that is there already.
 struct start_order
 {
     std::string task;
@@ -199,17 +200,18 @@
     std::string checkpoint;
     std::string ticket;
     bool fills = false;
-    std::int64_t latency_target_ms = 0; ///< 0: it serves nobody
+    std::int64_t latency_target_ms = 0; ///< 0: not latency-critical
     std::string image;
-    /// The incarnation of the guard that was told first. It knows each copy of
-    /// the start that it has sent; any other has to count on one that it does
-    /// not know of. Empty: an earlier holder told, nobody knows whom.
+    /// The incarnation of the guard that the start was first sent to. It knows
+    /// every duplicate of the start that it has sent; any other incarnation
+    /// must expect an unknown one. Empty: sent by a previous leader to an
+    /// unknown incarnation.
     std::string told_incarnation;
 
     bool operator==(const start_order&) const = default;
 };
 
-/// @brief Stop a run, and never begin it if it is not there.
+/// @brief Stops a run, and prevents its start if it has not begun.
 struct stop_order
 {
     std::string task;
@@ -218,58 +220,58 @@
     bool operator==(const stop_order&) const = default;
 };
 
-/// @brief What a holder has a guard do.
+/// @brief Orders of the leader to a guard.
 struct guard_orders
 {
     std::int64_t epoch = 0;
-    executor_incarnation executor; ///< that is meant
-    /// The guard's incarnation that is meant: no other takes the starts. A
-    /// copy that comes late may be of a run that the guard has given back, of
-    /// which its next process knows nothing.
+    executor_incarnation executor; ///< the executor that they are meant for
+    /// The guard incarnation that they are meant for: no other accepts the
+    /// starts. A delayed duplicate may be of a run that the guard has refused,
+    /// which its next process does not know.
     std::string incarnation;
     std::vector<start_order> starts;
     std::vector<stop_order> stops;
-    std::int64_t acknowledged = 0; ///< ends up to this number are kept
-    /// Starts are void from then on, by the clock of the guard's VM: orders
-    /// that a cut held back arrive when it heals, and the holder has given up
-    /// by then what it last heard of before. 0: no bound.
+    std::int64_t acknowledged = 0; ///< ends up to this number are committed
+    /// Starts are void from this time on, by the clock of the guard's VM:
+    /// orders delayed by a partition arrive when it ends, and by then the
+    /// leader has given up the runs it last knew of there. 0: no bound.
     std::int64_t starts_until_ms = 0;
     /// The worker's data centre is closed: no start of any order begins.
     bool closed = false;
 
     bool operator==(const guard_orders&) const = default;
 
-    /// @brief Whether there is nothing to do.
+    /// @brief Whether there are no starts and no stops.
     [[nodiscard]] bool empty() const noexcept
     {
         return starts.empty() && stops.empty();
     }
 };
 
-/// @brief How much tasks of one image that fill harm tasks of another that
-/// serve, on the same worker.
+/// @brief Interference of best-effort tasks of one image with latency-critical
+/// tasks of another on the same worker.
 struct pair_interference
 {
     std::string serving;
     std::string filling;
-    /// Growth of the logarithm of the serving tasks' tail if the fills took
-    /// all of the worker's processors.
+    /// Headroom that the latency-critical tasks would lose if the best-effort
+    /// tasks used all of the worker's processors.
     double harm = 0;
 
     bool operator==(const pair_interference&) const = default;
 };
 
-/// @brief A holder's answer to a report.
+/// @brief The leader's answer to a report.
 struct report_answer
 {
-    bool holds = false;         ///< false: ask @ref holder instead
-    std::string holder;         ///< address of the holder, if known
-    std::int64_t permit_ms = 0; ///< the worker's lease may last so long,
-                                ///< counted from the report's sending
+    bool holds = false; ///< false: ask @ref holder instead
+    std::string holder; ///< address of the leader, if known
+    /// Lease grant, counted from the time at which the report was sent.
+    std::int64_t permit_ms = 0;
     guard_orders orders;
     std::vector<pair_interference> harms; ///< of pairs that run at this worker
-    /// To be repeated in the next report. With a number, the report was not
-    /// believed: there is no permit and there are no orders.
+    /// To be repeated in the next report. If set, the report was not accepted:
+    /// there is no lease grant and there are no orders.
     guard_admission admission;
 
     bool operator==(const report_answer&) const = default;
--- a/packages/jobs/include/springstair/jobs.hpp
+++ b/packages/jobs/include/springstair/jobs.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// @brief Jobs: what callers submit, what workers run and what is kept.
+/// @brief Jobs and their messages and stored records.
 
 #include <springstair/detail/jobs/advice.hpp>
 #include <springstair/detail/jobs/closed_data_centres.hpp>
--- a/packages/jobs/src/job.cpp
+++ b/packages/jobs/src/job.cpp
@@ -83,7 +83,7 @@
 
 std::int64_t job::critical_path_ms() const
 {
-    std::vector<std::int64_t> ends; // of each step
+    std::vector<std::int64_t> ends; // finish time of each step
     std::int64_t longest = 0;
     for (const job_step& step : steps)
     {
--- a/packages/jobs/src/progress.cpp
+++ b/packages/jobs/src/progress.cpp
@@ -6,8 +6,8 @@
 namespace
 {
 
-// A task is a row of values in this order; names would triple its size. What
-// an older version did not write, or does not read, comes last.
+// A task is an array of values in this order; member names would triple its
+// size. Members that older versions do not write or read are last.
 json row_of(const task_progress& task)
 {
     json row = json::array({task.at.round, task.at.step, task.at.index,
--- a/packages/jobs/src/worker_messages.cpp
+++ b/packages/jobs/src/worker_messages.cpp
@@ -88,7 +88,7 @@
           .closed = from.value("closed", none.closed)};
 }
 
-// Rows in reports are arrays: a report lists dozens, twice a second.
+// Rows in reports are arrays: a report lists dozens, twice per second.
 
 void to_json(json& to, const running_task& from)
 {
