--- a/packages/scheduler/include/springstair/detail/scheduler/crash_suspicion.hpp
+++ b/packages/scheduler/include/springstair/detail/scheduler/crash_suspicion.hpp
@@ -8,96 +8,101 @@
 {
 
 /// @file
-/// @brief What a lost run says of its task.
+/// @brief Attribution of executor crashes to tasks.
 ///
-/// A task can crash each executor that starts it. An executor that crashes
-/// lists no end, and takes along whatever ran beside its culprit. So each task
-/// bears a suspicion, kept with its progress, that grows with each executor
-/// lost under it, by how likely it was the task. A suspect of one crash goes
-/// where fewest others are new; one of two runs where nothing else is started
-/// until it has proved itself: a third crash then names it, and those that were
-/// only beside it go on. To run apart from the first crash on cost 0.02 of all
-/// worth on days with crashes by themselves (32 pairs of days, 11 workers).
-/// A task that crashes executors is given up after three of them, where it ran
-/// apart at the third, and else after four or five. Only crashes of runs that
-/// surely began, which the guard beside the executor lived through, are sure;
-/// others raise the suspicion alone. A lapsed lease or a change of the holder
-/// says nothing of a task.
-
-/// @brief Bounds of suspicion and of the trial of suspects.
+/// A task can crash every executor that starts it. A crashed executor reports
+/// no ends, and all of its runs are lost, not only the one that caused the
+/// crash. So each task has a suspicion, stored with its progress, that grows
+/// with each executor lost under it, by how likely the task was the cause.
+///
+/// After one crash, a suspect is placed where the fewest other runs are
+/// unproven. After two, it is isolated: nothing else is started on its worker
+/// until it is proven. A third crash then identifies it, and tasks that only
+/// ran beside it continue. Isolation from the first crash on cost 0.02 of the
+/// total value of all jobs on days with spontaneous crashes (32 pairs of days,
+/// 11 workers).
+///
+/// A task that crashes executors is blamed after three crashes if it was
+/// isolated at the third, otherwise after four or five. A crash is confirmed
+/// only if the run had surely begun and the guard beside the executor outlived
+/// it; other losses only raise the suspicion. An expired lease or a leader
+/// change is no evidence against a task.
+
+/// @brief Bounds of suspicion and of the isolation of suspects.
 struct suspicion_options
 {
-    /// A run that a report shows at work so long after its order hardly
-    /// crashes its executor any more. Above the time that an order takes.
+    /// A run that a report shows running this long after its start order is
+    /// unlikely to crash its executor. Exceeds the time that an order takes.
     duration proven_after = std::chrono::milliseconds(300);
-    /// The same for sure, and for a suspect. A task that crashes executors
-    /// only after more work than this is not found out.
+    /// The same with certainty, and for suspects. A task that crashes executors
+    /// only after a longer run time is not detected.
     duration surely_proven_after = std::chrono::milliseconds(1000);
-    /// A run at work for so long clears its task: crashes of executors by
-    /// themselves do not add up over the life of what lasts.
+    /// A run that has been running for this long clears its task: spontaneous
+    /// executor crashes must not add up over the life of a long-running task.
     duration sound_after = std::chrono::seconds(3);
-    /// Share of the workers that may be closed for suspects at once; the
-    /// others stay with all other work.
+    /// Maximum share of the workers that are closed for suspects at once; the
+    /// others remain available to all other work.
     double closed_share = 0.2;
-    /// A worker is kept for a suspect no longer than this, until the others
-    /// there have proved themselves or ended.
+    /// Maximum time for which a worker is reserved for a suspect, until the
+    /// other runs there are proven or have ended.
     duration max_isolation_wait = std::chrono::seconds(3);
-    /// A suspect that has waited for so long may close any worker: a job may
-    /// have nothing running for three seconds at most.
+    /// A suspect that has waited this long may close any worker, whatever the
+    /// share: a job may have nothing running for at most three seconds.
     duration share_bound_for = std::chrono::milliseconds(1500);
-    /// Executors of a rack that went within this time of one another went
-    /// for one reason, their own. A look at one that crashed fails at once.
+    /// Executors of a rack that were lost within this time of one another had a
+    /// common cause, and no task is it. A poll of a crashed executor fails at
+    /// once.
     duration same_fault = std::chrono::milliseconds(300);
-    /// Pause of a task with four crashes of which too few are known to have
-    /// been under it. What hides them, lost answers, may pass.
+    /// Backoff of a task with the suspicion of four crashes, too few of them
+    /// confirmed. Their cause is hidden by lost answers, which may be
+    /// temporary.
     duration unnamed_pause = std::chrono::seconds(3);
-    /// A suspect does not return to the worker that it left for so long.
+    /// Minimum time before a suspect returns to the worker that it left.
     duration return_backoff = std::chrono::seconds(10);
 };
 
-/// @brief What else went when an executor crashed.
+/// @brief What else was lost when an executor crashed.
 enum class crash_scope : std::uint8_t
 {
-    executor, ///< others of its rack stand: it may be a task's doing
-    rack      ///< half of the rack or more: hardly
+    executor, ///< others of its rack are up: a task may be the cause
+    rack      ///< half of the rack or more: a task is hardly the cause
 };
 
-/// @brief Suspicion from which on a task is a suspect: one crash right after
-/// its start.
+/// @brief Minimum suspicion of a suspect: one crash right after its start.
 inline constexpr std::int64_t suspect_threshold = 2;
-/// @brief Suspicion from which on a suspect runs apart: two of them.
+/// @brief Minimum suspicion at which a suspect is isolated: two such crashes.
 inline constexpr std::int64_t isolation_threshold = 4;
-/// @brief Suspicion from which on a crash that nothing else there can have
-/// caused gives the task up, if two crashes are known to have been under it:
-/// the third crash, where it ran apart. Executors crash by themselves, too.
+/// @brief Minimum suspicion at which a task is blamed for a crash that nothing
+/// else on the worker can have caused, if at least two crashes are confirmed:
+/// the third crash of an isolated task. Executors also crash spontaneously.
 inline constexpr std::int64_t blame_threshold = 6;
-/// @brief More suspicion than three crashes add: from here on two crashes that
-/// were surely under a task give it up, whatever ran beside it.
+/// @brief More suspicion than three crashes add: from here on two confirmed
+/// crashes are enough to blame a task, whatever ran beside it.
 inline constexpr std::int64_t four_crashes = 7;
-/// @brief Executors that went with a start of a task, from which on one of them
-/// that surely went under it gives it up, with the suspicion of four crashes.
-/// The platform allows two starts more after the third.
+/// @brief Minimum number of executors lost with a start of a task at which one
+/// confirmed crash is enough to blame it, given the suspicion of four crashes.
+/// The platform allows two more starts after the third.
 inline constexpr std::int64_t max_losses = 5;
-/// @brief Crashes that must surely have been under a task before its job may
-/// be told that it failed (platform).
+/// @brief Minimum number of confirmed crashes under a task before its job may
+/// be reported as failed (platform). @ref max_losses is the exception.
 inline constexpr std::int64_t min_crashes = 2;
-/// @brief Crashes surely under a task that give it up, at the suspicion of
-/// three whatever ran beside it, at less if it ran apart: the platform counts
-/// starts from here on, and a verdict can be lost with its holder before it is
-/// written.
+/// @brief Confirmed crashes at which a task is blamed: with the suspicion of
+/// three crashes, whatever ran beside it; with less, if nothing else can have
+/// caused the last one. The platform counts starts from here on, and a verdict
+/// can be lost with its leader before it is written.
 inline constexpr std::int64_t naming_crashes = 3;
 
-/// @brief One run that went with its executor.
+/// @brief One run that was lost with its executor.
 struct lost_run_facts
 {
-    std::int64_t suspicion = 0; ///< of its task, before
-    duration at_work{0};        ///< for how long looks had shown it
+    std::int64_t suspicion = 0; ///< of its task, before this loss
+    duration at_work{0};        ///< how long polls had shown it running
     crash_scope scope = crash_scope::rack;
-    bool beside_suspect = false; ///< a suspect there had not proved itself
+    bool beside_suspect = false; ///< an unproven suspect ran on the worker, too
 };
 
-/// @brief How long the run of a task must have been shown at work for its
-/// worker to take other runs again.
+/// @brief How long a run must have been shown running to be proven. The worker
+/// of an isolated suspect then accepts other runs again.
 [[nodiscard]] constexpr duration
 proof_time(std::int64_t suspicion, const suspicion_options& options) noexcept
 {
@@ -113,14 +118,14 @@
     return of.at_work < options.proven_after;
 }
 
-/// @brief Whether a run may have caused the loss at all.
+/// @brief Whether a run can have caused the loss at all.
 [[nodiscard]] constexpr bool
 is_unproven(const lost_run_facts& of, const suspicion_options& options) noexcept
 {
     return of.at_work < proof_time(of.suspicion, options);
 }
 
-/// @brief Whether a run is that of a suspect that may have caused the loss.
+/// @brief Whether a run belongs to a suspect and can have caused the loss.
 [[nodiscard]] constexpr bool
 is_unproven_suspect(const lost_run_facts& of,
                     const suspicion_options& options) noexcept
@@ -128,8 +133,8 @@
     return of.suspicion >= suspect_threshold && is_unproven(of, options);
 }
 
-/// @brief What a loss adds to the suspicion of the run's task. A crash has one
-/// culprit at most: where a suspect is there, the others are hardly it.
+/// @brief Suspicion that a loss adds to the run's task. A crash has at most one
+/// cause: beside a suspect, other runs are unlikely to be it.
 [[nodiscard]] constexpr std::int64_t
 added_suspicion(const lost_run_facts& of,
                 const suspicion_options& options) noexcept
@@ -151,19 +156,19 @@
 struct crash_verdict
 {
     std::int64_t suspicion = 0;
-    std::int64_t crashes = 0; ///< surely under it
-    std::int64_t losses = 0;  ///< executors that went with a start of it
-    /// All that ran beside it had proved itself; members of a gang, which are
-    /// not run apart, count as if it had.
+    std::int64_t crashes = 0; ///< confirmed ones, under this task
+    std::int64_t losses = 0;  ///< executors lost with a start of it
+    /// Everything that ran beside it was proven. Members of a gang, which are
+    /// not isolated, count as if it was.
     bool is_sole = false;
-    bool is_sure = false; ///< it had surely begun
+    bool is_sure = false; ///< its run had certainly begun
 };
 
-/// @brief Whether a task is given up. A crash beside others does not name it,
-/// nor does a start that may never have begun: with those, tasks that were only
-/// beside crashes were told to have failed. Where answers are lost so often
-/// that only one of five crashes is sure, coincidence is less likely than the
-/// task.
+/// @brief Whether a task is blamed. A crash beside other unproven runs does not
+/// identify it, nor does a start that may never have begun: when those counted,
+/// jobs failed whose tasks had only run beside crashes. If lost answers leave
+/// only one of five crashes confirmed, coincidence is less likely than the task
+/// being the cause.
 [[nodiscard]] constexpr bool is_given_up(const crash_verdict& of) noexcept
 {
     if (of.crashes < min_crashes)
--- a/packages/scheduler/include/springstair/detail/scheduler/end_proof.hpp
+++ b/packages/scheduler/include/springstair/detail/scheduler/end_proof.hpp
@@ -8,59 +8,61 @@
 namespace springstair
 {
 
-/// @brief The certainty that a run is over, or never begins.
+/// @brief Proof that a run has ended or will never begin.
 ///
-/// A task whose run is closed may run again, and an end that is not of its
-/// present run is acknowledged without a look. So a run is closed on certainty
-/// alone, and these are all the ways to have it. That a report is believed and
-/// speaks of the run's own guard and life is asked before.
+/// Once a run is closed, its task may run again, and later ends of the closed
+/// run are acknowledged without a check. So a run is closed only with one of
+/// these proofs; there are no others. The caller has checked before that the
+/// report is admitted and concerns the guard and the executor incarnation of
+/// the run.
 class end_proof
 {
 public:
-    /// @brief Its worker lists its end. A worker begins no run that is not
-    /// above one that has ended there.
+    /// @brief The worker lists its end. A worker does not begin a run whose
+    /// number is not above that of a run of the task which ended there.
     static end_proof listed(const ended_task& end)
     {
         return {end.how, end.checkpoint, {}};
     }
-    /// @brief Its guard gives it back: the worker did not begin it. Where a
-    /// copy of the start may be under way, the worker was told never to begin
-    /// it, and a later look did not show it. Not so if the same report shows
-    /// the run, or another copy of its order.
+    /// @brief The guard refuses it: the worker did not begin it. If a duplicate
+    /// of the start may be in flight, the worker was told never to begin it,
+    /// and a later poll did not show it. Not valid if the same report shows the
+    /// run or a duplicate of its order.
     static end_proof refused_by_worker()
     {
         return {run_end::refused, {}, {}};
     }
-    /// @brief A guard has looked at another life of its executor: what ran in
-    /// the life before died with it. Not so of a run that the next life of the
-    /// same executor shows, and of one whose start may still reach it: starts
-    /// name the executor by its id alone.
+    /// @brief The guard has polled another incarnation of the executor: the
+    /// runs of the past incarnation ended with it. Not valid for runs that the
+    /// next incarnation of the same executor lists, or whose start may still
+    /// reach it: starts name the executor by its id alone.
     static end_proof incarnation_ended()
     {
         return {run_end::lost, {}, "its executor began another life"};
     }
-    /// @brief The same for a run that an earlier holder placed.
+    /// @brief The same for a run that a previous leader placed.
     static end_proof past_incarnation_ended()
     {
         return {run_end::lost,
                 {},
                 "placed by another holder, its executor is gone"};
     }
-    /// @brief A guard says that every lease it asked for has run out. It holds
-    /// for runs that were seen at work only: an order that was not carried out
-    /// yet may wait in the guard.
+    /// @brief The guard reports that every lease it requested has expired.
+    /// Valid only for runs that were seen running: an order that is not carried
+    /// out yet may wait in the guard.
     static end_proof lapsed()
     {
         return {run_end::lost, {}, "it is silent and its lease has run out"};
     }
-    /// @brief The last permit for its worker has run out, with a slow clock and
-    /// delays: leases, and starts of all orders, end with it.
+    /// @brief The last lease grant for the worker has expired, with clock drift
+    /// and delays included. Leases and all starts end with it.
     static end_proof lease_bound_passed()
     {
         return {run_end::lost, {}, "its lease has surely run out"};
     }
-    /// @brief The permits of earlier holders have run out, and this one has
-    /// given none beyond them: its guard has not looked at its worker since.
+    /// @brief The lease grants of previous leaders have expired, and this
+    /// leader has granted nothing beyond them: the guard has not polled its
+    /// worker since.
     static end_proof guard_never_reported()
     {
         return {run_end::lost, {}, "its guard has not come to this holder"};
@@ -70,7 +72,7 @@
     {
         return how_;
     }
-    /// @brief What was saved at its end; empty if nothing was.
+    /// @brief The checkpoint saved at its end; empty if there is none.
     [[nodiscard]] const std::string& checkpoint() const noexcept
     {
         return checkpoint_;
--- a/packages/scheduler/include/springstair/detail/scheduler/entry_list.hpp
+++ b/packages/scheduler/include/springstair/detail/scheduler/entry_list.hpp
@@ -10,58 +10,59 @@
 namespace springstair
 {
 
-/// @brief Bounds of what a holder knows of the other entries.
+/// @brief Bounds of the leader's list of entries.
 struct entry_list_options
 {
-    /// An entry counts as there for so long after its heartbeat: two of them
-    /// and a lost one.
+    /// An entry counts as present for this time after its heartbeat: two
+    /// heartbeat intervals and a lost heartbeat.
     duration heard_within = std::chrono::seconds(7);
-    /// How old the order of the entries may be; each sorts all of them.
+    /// Maximum age of the order of the entries; each update sorts all of them.
     duration order_age = std::chrono::milliseconds(500);
-    /// Entries that a heartbeat is told of: enough that one of them still
-    /// reaches the store when every other VM has lost it.
+    /// Maximum number of peers in the answer to a heartbeat: enough that one of
+    /// them still reaches the store when every other VM has lost it.
     std::size_t max_peers = 6;
-    /// Of them, those of the asking entry's own data centre come first; so
-    /// many are of any other, in case that one is cut off.
+    /// Peers of the asking entry's own data centre come first; this many are
+    /// from others, in case that data centre is cut off.
     std::size_t max_peers_elsewhere = 2;
-    /// An entry with this many times the holder's processors takes its office:
-    /// the holder's work grows with the fleet, and a small VM falls behind.
+    /// Leadership is handed over to an entry with this many times the leader's
+    /// processors: the leader's load grows with the fleet, and a small VM falls
+    /// behind.
     double much_larger = 1.5;
-    /// A new office is left where it is for this long: other entries may start
-    /// just now.
+    /// Minimum time between an election and a handover to a larger VM: other
+    /// entries may be starting.
     duration settling = std::chrono::milliseconds(500);
-    /// A holder that the store has not served for so long gives its office up:
-    /// above the answer of a store that is fifty times slower than usual, well
-    /// below the lease that others would wait for.
+    /// A leader that the store has not served for this long hands over: more
+    /// than the response time of a store that is fifty times slower than usual,
+    /// well below the lease that successors would have to wait for.
     duration store_outage_tolerance = std::chrono::milliseconds(400);
-    /// An entry that could not take the office is passed over for so long.
+    /// Time for which an entry that could not take over is not asked again.
     duration decline_lasts = std::chrono::seconds(2);
-    /// Entries that are asked in that time: where the store serves nobody, each
-    /// of them would ask it in vain.
+    /// Maximum number of entries asked within that time: if the store serves
+    /// nobody, each of them would claim leadership in vain.
     std::size_t most_asked = 4;
 };
 
-/// @brief Why a holder gives its office to another entry.
+/// @brief Why a leader hands over to another entry.
 enum class handover_reason : std::uint8_t
 {
-    stopping,   ///< its process is to stop
+    stopping,   ///< planned stop of its process
     store_away, ///< the store does not serve its VM
     small       ///< another VM is much larger
 };
 
-/// @brief The name of a reason, for the log.
+/// @brief The text of a reason, for the log.
 std::string_view to_string(handover_reason value) noexcept;
 
-/// @brief What decides whether a holder gives its office up.
+/// @brief The inputs of the decision whether a leader hands over.
 struct leader_state
 {
     double processors = 1;    ///< of its VM
-    duration held_for{0};     ///< since the office was taken
+    duration held_for{0};     ///< since its election
     duration store_silent{0}; ///< since the store last served it; 0: it does
     bool stopping = false;
 };
 
-/// @brief Who is to take an office.
+/// @brief The entry that is to take over leadership.
 struct handover_target
 {
     std::string to;
@@ -70,62 +71,66 @@
     bool operator==(const handover_target&) const = default;
 };
 
-/// @brief When an entry claims an office that is free, by its place among the
-/// successors, and how closely it watches for that.
+/// @brief When an entry claims a vacant leadership, by its rank among the
+/// successors, and whether it watches the leader's key closely.
 ///
-/// All entries see at the same moment that the holder's key is gone. With each
-/// of them claiming, 184 took a lease for one office, and a small one was as
-/// likely as any to get it. Now the first four have a turn each; the others
-/// follow in groups that double, so that the loss of many of the largest costs
-/// a fraction of a second and no more claims than a group has.
+/// All entries see at the same moment that the leader's key is gone. When all
+/// of them claimed at once, 184 took a lease for one election, and a small VM
+/// was as likely as any to win. So the first four have a turn each, and the
+/// others follow in groups of doubling size: the loss of many of the largest
+/// VMs costs a fraction of a second, and no more entries claim at once than a
+/// group has.
 struct claim_schedule
 {
-    /// Between two turns: a lease and a claim, each a few milliseconds, and the
-    /// news of it.
+    /// Time between two turns: a lease grant and a claim, each a few
+    /// milliseconds, and the notification of the others.
     static constexpr duration step = std::chrono::milliseconds(60);
-    /// Places that watch closely and have a turn of their own.
+    /// Number of ranks that watch closely and have a turn of their own.
     static constexpr std::int64_t successors = 4;
-    /// Turns of those that the store did not serve when they were heard last.
+    /// Turn of entries that the store did not serve at their last heartbeat.
     static constexpr std::int64_t last_turn = 12;
 
     bool is_successor = true;
     duration delay{0};
 
-    /// @param was_told whether a holder has told this entry its place at all;
-    /// after a loss of everything nobody knows of a better one
-    /// @param rank its place; nothing where the store did not serve it
+    /// @param was_told whether a leader has ever told this entry its rank; if
+    /// not, it claims at once: after the loss of all entries nobody knows a
+    /// better one
+    /// @param rank its rank; nothing if the store did not serve it
     static claim_schedule of(bool was_told, std::optional<std::int64_t> rank);
 
     bool operator==(const claim_schedule&) const = default;
 };
 
-/// @brief The entries that a holder hears, and the order in which they take
-/// the office after it.
+/// @brief The entries that send heartbeats to the leader, and their order as
+/// successors.
 ///
-/// Those that the store serves come first, of them the largest: the holder's
-/// work grows with the fleet. Equals are ordered by a hash of their address,
-/// so that every holder tells about the same order.
+/// Only entries that the store serves can succeed, the largest VMs first: the
+/// leader's load grows with the fleet. Equals are ordered by a hash of their
+/// address, so that every leader has about the same order.
 class entry_list
 {
 public:
     explicit entry_list(entry_list_options options = {}) : options_(options) {}
 
-    /// @brief An entry's heartbeat came.
+    /// @brief Records a received heartbeat.
     void note(const entry_heartbeat& from, time_point now);
-    /// @brief Begins a new office: nobody has been heard.
+    /// @brief Drops all entries, at the start of a term.
     void clear();
 
-    /// @brief Entries that can take the office now, best first.
+    /// @brief Entries that can become leader now, best first.
     const std::vector<entry_heartbeat>& successors(time_point now);
-    /// @brief An entry's place among them, from 0; nothing if it cannot.
+    /// @brief An entry's rank among the successors, from 0; nothing if it is
+    /// none.
     std::optional<std::int64_t> rank(const std::string& address,
                                      time_point now);
-    /// @brief Who is to take the holder's office now; nothing if it keeps it.
+    /// @brief The entry to hand leadership over to now; nothing if there is no
+    /// reason.
     std::optional<handover_target> next_handover(const leader_state& of,
                                                  time_point now);
-    /// @brief An entry could not take the office, or said nothing of it.
+    /// @brief Records that an entry could not take over, or did not answer.
     void note_declined(const std::string& address, time_point now);
-    /// @brief Entries that the store serves, for one that asks.
+    /// @brief Entries that the store serves, as peers of the asking one.
     std::vector<std::string> peers_of(const entry_heartbeat& asking,
                                       time_point now);
 
@@ -140,9 +145,10 @@
 
     entry_list_options options_;
     std::map<std::string, heard_entry> entries_; ///< by address
-    std::map<std::string, time_point> declined_; ///< when, by address
-    std::vector<entry_heartbeat> order_;         ///< as sorted last
-    std::map<std::string, std::int64_t> ranks_;  ///< places in it
+    /// Time of the failure, by address.
+    std::map<std::string, time_point> declined_;
+    std::vector<entry_heartbeat> order_;        ///< successors as last sorted
+    std::map<std::string, std::int64_t> ranks_; ///< by address, in order_
     time_point sorted_at_{};
     bool is_sorted_ = false;
 };
--- a/packages/scheduler/include/springstair/detail/scheduler/fault_detector.hpp
+++ b/packages/scheduler/include/springstair/detail/scheduler/fault_detector.hpp
@@ -6,39 +6,41 @@
 namespace springstair
 {
 
-/// @brief Bounds of the test for executors that fail what they start.
+/// @brief Bounds of the test for faulty executors.
 struct fault_detector_options
 {
-    /// Share of its runs that a sick executor is taken to fail. One that fails
-    /// all is found sooner, one that fails a fifth later or not at all: there,
-    /// to go on costs less than to do without it.
+    /// Assumed share of failed runs on a faulty executor. One that fails all is
+    /// detected sooner; one that fails a fifth later or not at all, as
+    /// continuing to use it costs less than doing without.
     double faulty_share = 0.5;
-    /// Logarithm of how much likelier "sick" than "sound" must have become:
-    /// 3,000 to 1. At 5% of failures by themselves that is four in a row, at
-    /// 0.5% two.
+    /// Log-likelihood ratio of "faulty" to "healthy" at which an executor is
+    /// ejected: 3,000 to 1. With a general failure rate of 5% that is four
+    /// failures in a row, with 0.5% two.
     double fault_threshold = 8;
-    /// An executor that comes back is believed half of that, so that a single
-    /// failure, one run in twenty at 5%, does not put it out again.
+    /// Score of an executor that returns after an ejection: half the threshold,
+    /// so that one failure, which one run in twenty has at 5%, does not eject
+    /// it again.
     double evidence_at_return = 4;
-    /// Of all ends of runs, those that count for the present share of failures:
-    /// the last five hundred, about two seconds of 62 workers.
+    /// Weight decay per end of a run in the general failure rate: about the
+    /// last five hundred count, two seconds of 62 workers.
     double memory = 0.998;
-    /// Assumed before: so many ends with this share of failures.
+    /// Prior of that rate: this many ends with this share of failures.
     double assumed_ends = 20;
     double assumed_share = 0.02;
-    /// Bounds of that share: below, one failure would be evidence enough;
-    /// above, what all executors fail says nothing of one.
+    /// Bounds of that rate: below, one failure would be enough evidence; above,
+    /// failures are common to all executors and no evidence against one.
     double min_share = 0.005;
     double max_share = 0.2;
 };
 
-/// @brief Tells executors that fail what they start from runs that fail by
-/// themselves, by the present share of failures of all executors.
+/// @brief Distinguishes faulty executors from runs that fail by themselves, by
+/// the general failure rate of all executors.
 ///
-/// A sequential test: each end of a run adds to an executor's doubt how much
-/// likelier it is of a sick one than of the fleet, down to zero at least. A
-/// streak of failures, tried before, came up by chance once in 8,000 runs at 5%
-/// of failures, and kept executors out that were long sound again.
+/// A sequential test: each end of a run adds to an executor's fault score the
+/// logarithm of how much likelier it is on a faulty executor than in general;
+/// the score does not fall below zero. Counting failures in a row instead gave
+/// a false alarm in one of 8,000 runs at a 5% failure rate, and kept executors
+/// ejected that had long been healthy again.
 class fault_detector
 {
 public:
@@ -48,14 +50,14 @@
     {
     }
 
-    /// @brief An executor's doubt after one more end of a run there.
+    /// @brief An executor's fault score after one more run ended there.
     [[nodiscard]] double fault_score_after(double fault_score, bool failed)
     {
         const double sound = share();
         const double weight =
             failed ? std::log(options_.faulty_share / sound)
                    : std::log((1 - options_.faulty_share) / (1 - sound));
-        // Whoever is in doubt does not say what is usual: a sick executor is
+        // Suspected executors are left out of the general rate: a faulty one is
         // free again at once and gets more runs than others.
         if (fault_score < options_.evidence_at_return)
         {
@@ -65,19 +67,19 @@
         return std::max(0.0, fault_score + weight);
     }
 
-    /// @brief Whether so much doubt says that an executor is sick.
+    /// @brief Whether an executor with this score is faulty.
     [[nodiscard]] bool is_faulty(double fault_score) const noexcept
     {
         return fault_score >= options_.fault_threshold;
     }
 
-    /// @brief The doubt of one that was put out for a while.
+    /// @brief The score of an executor that returns after an ejection.
     [[nodiscard]] double fault_score_at_return() const noexcept
     {
         return options_.evidence_at_return;
     }
 
-    /// @brief The present share of runs that fail, of all executors.
+    /// @brief The present failure rate of the runs of all executors.
     [[nodiscard]] double share() const noexcept
     {
         return std::clamp(failures_ / ends_, options_.min_share,
--- a/packages/scheduler/include/springstair/detail/scheduler/infeasible_queries.hpp
+++ b/packages/scheduler/include/springstair/detail/scheduler/infeasible_queries.hpp
@@ -11,21 +11,21 @@
 namespace springstair
 {
 
-/// @brief Searches of one pass that found no worker.
+/// @brief Searches of one placement pass that found no worker.
 ///
-/// Within a pass room only shrinks, so a task that asks for as much as one
-/// that found nothing, or more, finds nothing either. Hundreds of waiting
-/// tasks of a few images then cost a few searches.
+/// Within a pass free capacity only shrinks, so a task that demands at least as
+/// much as one without a worker finds none either. Hundreds of waiting tasks of
+/// a few images then need only a few searches.
 class infeasible_queries
 {
 public:
-    /// @brief A pass begins: room may have grown.
+    /// @brief A pass begins: free capacity may have grown.
     void clear()
     {
         known_.clear();
     }
 
-    /// @brief The query found no worker.
+    /// @brief Records that the query found no worker.
     void note(const placement_query& query)
     {
         if (is_comparable(query))
@@ -34,7 +34,7 @@
         }
     }
 
-    /// @brief Whether it surely finds none, by those before it.
+    /// @brief Whether earlier failed searches imply that this one fails.
     [[nodiscard]] bool covers(const placement_query& query) const
     {
         const auto found = known_.find(key_of(query));
@@ -50,8 +50,8 @@
 private:
     using key = std::tuple<std::string, std::string, std::string, bool>;
 
-    // Bounds a worker and tickets depend on the job; who waited too long on
-    // the moment. Suspects are bound by the trials that are under way.
+    // The bound per worker and tickets depend on the job, ignored interference
+    // on the waiting time, and suspects on the isolations in progress.
     static bool is_comparable(const placement_query& query)
     {
         return query.step.most_per_worker == 0 && !query.ignore_interference &&
--- a/packages/scheduler/include/springstair/detail/scheduler/interference_model.hpp
+++ b/packages/scheduler/include/springstair/detail/scheduler/interference_model.hpp
@@ -12,75 +12,78 @@
 namespace springstair
 {
 
-/// @brief How the model learns.
+/// @brief Parameters of the interference model.
 struct interference_model_options
 {
-    /// What an older sample still weighs when one more comes: those of the
-    /// last five thousand count, a minute of 45 tasks of one image.
+    /// Weight decay of older samples per new sample: about the last five
+    /// thousand count, a minute of 45 tasks of one image.
     double memory = 0.9998;
-    /// Harm that is assumed of a pair before anything is seen: the mean of
-    /// both sites' pairs. Fills of an unknown image are spread by it.
+    /// Assumed interference of a pair without samples: the mean of the pairs of
+    /// both sites. It spreads best-effort tasks of an unknown image.
     double assumed = 1.0;
     /// Weight of that assumption: a few changes of use by a tenth of a worker
     /// (trials on both sites).
     double caution = 0.03;
-    /// Two figures further apart say little: the load has changed too.
+    /// Samples of a task further apart are not compared: the load has changed,
+    /// too.
     duration max_gap = std::chrono::milliseconds(900);
-    /// A headroom below this is saturated and no longer falls with harm; two
-    /// such figures in a row say nothing.
+    /// Headroom below this is saturated and no longer falls with interference;
+    /// two such samples are not compared.
     double min_headroom = 0.2;
-    /// Changes of use below this are noise of the figures.
+    /// Changes of use below this are measurement noise.
     double min_change = 0.01;
-    /// Images that are told apart; of any further one nothing is learnt.
+    /// Maximum number of best-effort images; nothing is learnt of further ones.
     std::size_t max_images = 48;
-    /// Weight of what a predecessor knew, as that of @ref caution.
+    /// Weight of what a previous leader learnt; compare @ref caution.
     double inherited = 0.05;
-    /// Harms below this are not worth handing on.
+    /// Interference below this is not handed to a successor.
     double min_interference = 1.2;
-    /// Rounds of the fit at each sample; it starts from the last result.
+    /// Iterations of the fit per sample; it starts from the last result.
     int rounds = 2;
 };
 
-/// @brief A serving task's figure.
+/// @brief A sample of a latency-critical task.
 struct serving_figure
 {
     std::string task;
     std::string job;
     std::string image;
-    double headroom = 0; ///< its target divided by its tail
+    double headroom = 0; ///< latency target divided by tail latency
 };
 
-/// @brief Learns from rough figures which images harm which.
+/// @brief Learns from coarse samples which best-effort images interfere with
+/// which latency-critical ones.
 ///
-/// A serving task's headroom is its target divided by its tail: 1 at the
-/// target, more below it. Queueing makes it fall about linearly with the
-/// task's own load and with what disturbs it. The model fits what a headroom
-/// lacks to the mean of the task's siblings to what fills of each image use
-/// beside it more than beside them; the load, which siblings share, drops out.
-/// Where they say nothing (too few, or all beside the same fills), it fits the
-/// change from the task's last figure. On 71,000 figures of one played day of
-/// 160 workers, the mean error of a pair's harm (0 to 8) after 15, 20 and 30 s
-/// is 0.98, 0.78 and 0.52 by siblings, 1.25, 1.03 and 0.86 by changes alone.
-/// Harms are zero or more. A sample costs O(images^2).
+/// Headroom is a latency-critical task's target latency divided by its tail
+/// latency: 1 at the target, more below it. Because of queueing, it falls about
+/// linearly with the task's own load and with interference. The model fits the
+/// difference between the mean headroom of the task's siblings and its own to
+/// the difference in best-effort use beside it, by image; the load, which
+/// siblings share, cancels out. Where siblings give no information (too few, or
+/// all beside the same best-effort use), it fits the change since the task's
+/// last sample. With 71,000 samples of one simulated day of 160 workers, the
+/// mean error of a pair's interference (0 to 8) after 15, 20 and 30 s is 0.98,
+/// 0.78 and 0.52 with siblings; 1.25, 1.03 and 0.86 with changes alone.
+/// Interference is at least zero. A sample costs O(images^2).
 class interference_model
 {
 public:
     explicit interference_model(interference_model_options options = {});
 
-    /// @brief Takes in a task's figure and what fills used beside it.
+    /// @brief Learns from a task's sample and the best-effort use beside it.
     void observe(const serving_figure& from, const fill_usage& beside,
                  time_point now);
 
-    /// @brief Headroom that a pair costs if the fills took a whole worker;
-    /// what is assumed if nothing is known.
+    /// @brief Headroom that a pair would cost if best-effort tasks of that
+    /// image used a whole worker; the assumed value if nothing is known.
     [[nodiscard]] double harm(const std::string& serving,
                               const std::string& filling) const;
-    /// @brief Every pair that is known to harm, for a successor.
+    /// @brief All pairs with significant interference, for a successor.
     [[nodiscard]] std::vector<pair_interference> known() const;
-    /// @brief Begins with what a predecessor knew.
+    /// @brief Starts from what a previous leader learnt.
     void adopt(const std::vector<pair_interference>& harms);
 
-    /// @brief Headroom that all of these fills cost.
+    /// @brief Headroom that all of this best-effort use costs.
     [[nodiscard]] double interference_of(const std::string& serving,
                                          const fill_usage& beside) const;
 
@@ -91,7 +94,8 @@
         headroom_sample figure;
     };
 
-    /// One serving image's sums and harms, by index of the filling image.
+    /// Sums and result of one latency-critical image, by index of the
+    /// best-effort image.
     struct fit
     {
         std::vector<std::vector<double>> products;
--- a/packages/scheduler/include/springstair/detail/scheduler/job_order.hpp
+++ b/packages/scheduler/include/springstair/detail/scheduler/job_order.hpp
@@ -11,16 +11,16 @@
 /// @brief Bounds of the order in which waiting jobs are served.
 struct order_options
 {
-    /// A job is worth less up to this many times its latency objective, and
-    /// nothing later (platform).
+    /// A job completed late has reduced value, up to this many times its
+    /// latency objective; later it has none (platform).
     std::int64_t late_factor = 3;
-    /// Jobs whose objectives lie in one span of this length are of one
-    /// moment: of these, what lasts goes by size. A longer span would hold up
-    /// work that passes.
+    /// Jobs with objectives in the same span of this length rank equally in
+    /// time; among them, long-running jobs are ordered by size. A longer span
+    /// would delay batch work.
     duration one_moment = std::chrono::milliseconds(500);
 };
 
-/// @brief What a job can still earn, from best to worst.
+/// @brief The value that a job can still have, from best to worst.
 enum class job_prospect : std::uint8_t
 {
     in_time,
@@ -28,24 +28,25 @@
     too_late
 };
 
-/// @brief A job's place among those that wait; the least goes first.
+/// @brief Sort key of a waiting job; the lowest goes first.
 struct job_rank
 {
     std::int64_t priority = 0; ///< of its queue; 0 is the most urgent
     job_prospect prospect = job_prospect::in_time;
-    std::int64_t moment = 0; ///< spans of order_options::one_moment
-    /// Processors that a task of a lasting job reserves, below zero: the
-    /// largest goes first, since it fits in the fewest places. 0 for others.
+    std::int64_t moment = 0; ///< number of the order_options::one_moment span
+    /// Negative processor demand per task of a long-running job: the largest
+    /// goes first, since it fits on the fewest workers. 0 for others.
     std::int64_t smallness = 0;
     time_point objective;   ///< when it should have ended
-    std::int64_t order = 0; ///< in which jobs were accepted
+    std::int64_t order = 0; ///< number in order of acceptance
 
     auto operator<=>(const job_rank&) const = default; // NOLINT: no pointer
 };
 
-/// @brief Priority first. Then jobs that can still meet their objective,
-/// those that are late, and those too late to be worth anything. Among each
-/// the earliest objective; of one moment what lasts, its largest tasks first.
+/// @brief Sort key of a job: by priority, then prospect (objective can be met,
+/// late, too late to have any value), then the span of its objective. Within a
+/// span, long-running jobs with the largest tasks go first, then the earliest
+/// objective.
 /// @param queue of the job, or null if the table has none: it goes last
 job_rank rank_of(const job_record& of, const queue_row* queue, time_point now,
                  const order_options& options);
--- a/packages/scheduler/include/springstair/detail/scheduler/scheduler_core.hpp
+++ b/packages/scheduler/include/springstair/detail/scheduler/scheduler_core.hpp
@@ -24,7 +24,7 @@
 namespace springstair
 {
 
-/// @brief Timings and bounds of a holder.
+/// @brief Timings and bounds of the leader's scheduling.
 struct scheduler_options
 {
     placement_options placement;
@@ -32,99 +32,106 @@
     suspicion_options suspicion;
     closing_options closing;
     fault_detector_options failures;
-    /// How long a worker's lease may last on one answer to its guard. Above
-    /// a guard's restart and a frozen VM; below the platform's most.
+    /// Maximum lease grant in one answer to a guard. Exceeds a guard's restart
+    /// and the time for which a VM may freeze; below the platform's maximum.
     duration lease_grant = std::chrono::seconds(4);
-    /// No permit ends later than this after the office was last verified. A
-    /// successor waits as long for workers it cannot reach. Above the longest
-    /// outage of the store that tasks should survive, plus a permit.
+    /// No lease grant ends later than this after leadership was last verified.
+    /// A successor waits as long for workers that it cannot reach. Exceeds the
+    /// longest store outage that tasks should survive, plus a lease grant.
     duration lease_horizon = std::chrono::seconds(10);
-    /// A state that can still change is shown from memory for so long after
-    /// the office was last verified. A holder that was paused or cut off for
-    /// longer may have a successor that showed a later state, and callers
-    /// would see the job go back. The lease of the office, 2 s, less the time
-    /// between its renewals.
+    /// Time after the last verification of leadership for which a non-final
+    /// state is shown from memory. After a longer pause or partition a
+    /// successor may have shown a later state, and callers would see the job go
+    /// back. The lease of the leader's key, 2 s, less its renewal interval.
     duration max_read_age = std::chrono::milliseconds(1500);
     /// A worker's clock may run slower by this share of a lease (platform).
     double clock_drift = 0.02;
-    /// Delays of messages and timers, on top of a lease.
+    /// Allowance for delays of messages and timers, added to a lease.
     duration lease_slack = std::chrono::milliseconds(300);
-    /// Least time between two writes: bounds the calls to the store.
+    /// Minimum time between two writes: bounds the calls to the store.
     duration min_commit_interval = std::chrono::milliseconds(20);
-    /// Ends that nothing waits for are written with others of their job: each
-    /// write carries the whole record. Their workers hear that they may forget
-    /// them so much later. Writes took 43 ms of processor time a second at 160
-    /// workers and 440 starts a second without it, 20 ms with it.
+    /// Delay of ends that nothing waits for, to batch them with others of their
+    /// job: each write contains the whole record. Acknowledgements to workers
+    /// are delayed as much. At 160 workers and 440 starts per second, writes
+    /// took 43 ms of processor time per second without it, 20 ms with it.
     duration end_batch_delay = std::chrono::milliseconds(60);
-    /// Jobs a write: each takes a condition and a put of the store's 32
-    /// entries, and the office's own condition one.
+    /// Maximum number of jobs per write: each needs a condition and a put of
+    /// the store's 32 entries, and the leader's own condition takes one.
     std::size_t jobs_per_commit = 15;
-    /// A start or stop that shows no effect is repeated after so long: two
-    /// reports of a guard.
+    /// Interval between repetitions of a start or stop without a visible
+    /// effect: two reports of a guard.
     duration order_retry_interval = std::chrono::milliseconds(1000);
-    /// A refused task is tried again after so long; the ledger was wrong and
-    /// a report corrects it in the meantime.
+    /// Backoff of a refused task: the ledger was wrong, and a report corrects
+    /// it in the meantime.
     duration refused_backoff = std::chrono::milliseconds(300);
-    /// Without a change of jobs or room, waiting tasks are looked through so
-    /// often: figures of workers and clocks move slowly beside it.
+    /// Maximum time between two placement passes if neither jobs nor free
+    /// capacity change. Other inputs, worker samples and clocks, change slowly.
     duration placement_interval = std::chrono::milliseconds(100);
-    /// How long a worker that fails what it starts gets nothing at first;
-    /// doubled each time until it is sound, up to the most.
+    /// Time for which a faulty executor is first ejected. Doubles with each
+    /// ejection until it is healthy, up to the maximum.
     duration min_ejection = std::chrono::seconds(2);
     duration max_ejection = std::chrono::seconds(10);
-    /// A run whose progress stands still for so long is moved elsewhere.
+    /// A run without progress for this long is stuck and restarted elsewhere.
     duration stuck_after = std::chrono::milliseconds(2000);
-    /// The same for a run that fills, which may rightly be starved longer.
+    /// The same for best-effort runs, which may be starved for longer.
     duration stuck_fill_after = std::chrono::milliseconds(5000);
-    /// Before a worker leaves, runs are stopped when this little remains.
+    /// Runs on a leaving worker are stopped when this much time remains.
     duration leave_margin = std::chrono::milliseconds(1500);
-    /// Figures of a worker are learnt from so often: each is an average of
-    /// the half second before.
+    /// Interval between samples of a worker: each sample averages the preceding
+    /// half second.
     duration sample_interval = std::chrono::milliseconds(450);
-    /// A fill of a job that has nothing running waits no longer than this for
-    /// a worker whose serving tasks bear it; half of what the platform allows.
+    /// Maximum time for which a best-effort task of a job without runs waits
+    /// for a worker whose latency-critical tasks tolerate it; half of what the
+    /// platform allows.
     duration max_interference_wait = std::chrono::milliseconds(1500);
-    /// Lasting jobs that come within this time of one another are placed
-    /// together, the largest tasks first. With the workers kept free it took
-    /// what the largest tenth of them is without workers to a third (mean of
-    /// 10 played days of 62 workers); a lasting job runs for a minute or more.
+    /// Long-running jobs accepted within this time of one another are placed
+    /// together, the largest tasks first. Together with reservations this
+    /// reduced the time without workers of the largest tenth of them to a third
+    /// (mean of 10 simulated days of 62 workers); a long-running job runs for
+    /// at least a minute.
     duration lasting_batch_window = std::chrono::milliseconds(100);
-    /// A lasting job waits no longer than this for others.
+    /// Maximum time for which a long-running job waits for others.
     duration max_lasting_batch_wait = std::chrono::milliseconds(300);
-    /// Workers that are kept free at once for tasks that wait. A search of
-    /// all workers for each; more would slow a pass at thousands of them.
+    /// Maximum number of workers reserved for waiting tasks at once. Each
+    /// reservation searches all workers; more would slow down a pass with
+    /// thousands of workers.
     std::size_t max_reservations = 32;
-    /// The same as a share of all workers: the others stay with the work that
-    /// passes, which starts within two seconds.
+    /// The same as a share of all workers: the others remain available to short
+    /// work, which starts within two seconds.
     double reserved_share = 0.1;
-    /// A fill that is slowed below this pace, in percent, moves to a worker
-    /// that bears it, if it can be resumed there.
+    /// A best-effort run that is throttled below this pace, in percent, is
+    /// relocated to a worker that tolerates it, if it can resume from a
+    /// checkpoint.
     std::int64_t relocate_below_pace = 50;
-    /// It does not return for so long: what slowed it there, a load that
-    /// swings over some ten seconds, is hardly gone before.
+    /// Minimum time before a relocated task returns: the cause, a load that
+    /// varies over some ten seconds, is unlikely to be gone earlier.
     duration return_backoff = std::chrono::milliseconds(4000);
-    /// A step that only some workers may run, all full of lasting runs, waits
-    /// for so long before one of those moves; half of what the platform allows.
+    /// Time for which a step that only some workers may run waits, with all of
+    /// them full of long-running runs, before one of those is preempted; half
+    /// of what the platform allows.
     duration max_blocked_time = std::chrono::milliseconds(1500);
-    /// How often a way is looked for, for one step, and at how many workers:
-    /// each is a search of all workers.
+    /// Minimum time between two preemption attempts, and the number of workers
+    /// that one attempt considers: each needs a search of all workers.
     duration preemption_interval = std::chrono::milliseconds(500);
     std::size_t max_preemption_searches = 16;
-    /// Runs that move at one report: figures follow only half a second later.
+    /// Maximum relocations per report: samples show their effect only half a
+    /// second later.
     std::size_t max_relocations_per_report = 3;
-    /// A task that waits longer than this has its reason logged: waits below
-    /// are the turns of reports and passes.
+    /// A task that waits longer than this has the reason logged. Shorter waits
+    /// are due to the intervals of reports and placement passes.
     duration wait_log_threshold = std::chrono::milliseconds(500);
-    /// How often lasting tasks are looked at: guards report twice a second.
+    /// Interval between samples of long-running tasks: guards report twice per
+    /// second.
     duration availability_sample_interval = std::chrono::seconds(1);
-    /// The wait of a step, and the service of a lasting job, are told so
-    /// often at most: a line a second for each five that are not served.
+    /// Minimum time between two log lines about the wait of a step or the
+    /// availability of a long-running job: one line per second for every five
+    /// that are not served.
     duration min_log_interval = std::chrono::seconds(5);
-    /// Harm below this is not worth telling a guard.
+    /// Interference below this is not reported to guards.
     double min_reported_interference = 0.8;
 };
 
-/// @brief One job's record to be written.
+/// @brief A job's record to be written.
 struct progress_write
 {
     std::string job;
@@ -139,23 +146,23 @@
 /// @brief Records to be written in one transaction.
 using commit_batch = std::vector<progress_write>;
 
-/// @brief A decision, for the log.
+/// @brief A decision to be logged.
 struct decision
 {
     event_id id;
     std::vector<event_field> fields;
 };
 
-/// @brief A job that reached its last state, for the metrics.
+/// @brief A job that reached its final state, for the metrics.
 struct finished_job
 {
     std::string queue;
     job_state state = job_state::succeeded;
-    duration age{0};      ///< since it was accepted
-    duration to_start{0}; ///< from then to its first start
+    duration age{0};      ///< since its acceptance
+    duration to_start{0}; ///< from acceptance to its first start
 };
 
-/// @brief Orders for one guard and where it takes them.
+/// @brief Orders for one guard, and the address to send them to.
 struct addressed_orders
 {
     std::string guard;
@@ -163,7 +170,7 @@
     guard_orders orders;
 };
 
-/// @brief Figures of a holder, for the metrics.
+/// @brief Figures of the scheduler, for the metrics.
 struct scheduler_figures
 {
     std::int64_t starts = 0;
@@ -173,89 +180,92 @@
     std::int64_t jobs_open = 0;
     std::int64_t workers = 0;
     availability_counts lasting; ///< at the newest sample
-    /// Of it, the tenth of the lasting jobs that reserves most processors.
+    /// The same for the tenth of the long-running jobs that reserve most
+    /// processors.
     availability_counts largest_lasting;
     std::int64_t closed_data_centres = 0;
-    std::int64_t runs_in_closed = 0; ///< that may still be at work there
+    std::int64_t runs_in_closed = 0; ///< that may still be running there
 };
 
-/// @brief All jobs and workers of one holder, and every decision on them.
+/// @brief All jobs and workers, and every decision about them.
 ///
-/// Effects of a change (a start, an acknowledged end, a state shown to
-/// callers) are released only once the store has the change.
+/// Effects of a change (a start, an acknowledged end, a state shown to callers)
+/// are released only after the change is committed.
 class scheduler_core
 {
 public:
     explicit scheduler_core(scheduler_options options = {});
 
-    /// @brief Begins an office. @param epoch grows with each office
+    /// @brief Starts a term. @param epoch increases with each term
     void begin_term(std::int64_t epoch, time_point now);
-    /// @brief Adds a job that an earlier holder kept, before begin().
+    /// @brief Adds a job stored by a previous leader, before begin().
     void adopt(job what, const std::optional<job_progress>& kept,
                std::int64_t revision, time_point now, std::int64_t unix_ms);
-    /// @brief Begins with the harms that an earlier holder knew.
+    /// @brief Starts from the interference that a previous leader learnt.
     void adopt_interference(const std::vector<pair_interference>& harms)
     {
         interference_model_.adopt(harms);
     }
-    /// @brief What is known of harms, for a successor.
+    /// @brief The learnt interference, for a successor.
     [[nodiscard]] std::vector<pair_interference> known_interference() const
     {
         return interference_model_.known();
     }
-    /// @brief All kept jobs are adopted: workers may report.
+    /// @brief All stored jobs are adopted: workers may report.
     void begin(time_point now);
 
-    /// @brief A newer table is in force. Older ones are ignored.
+    /// @brief Uses a newer table. Older ones are ignored.
     void set_table(const queue_table& table);
-    /// @brief What an operator has closed, as newly heard from the store.
+    /// @brief Updates the closed data centres, as read from the store.
     void set_closed(const closed_data_centres& known, time_point now);
-    /// @brief A job was accepted. Known jobs are ignored.
+    /// @brief Adds an accepted job. Known jobs are ignored.
     void accept(job what, time_point now);
-    /// @brief A job was cancelled, and the store has it.
+    /// @brief Cancels a job whose cancellation is committed.
     void cancel(const std::string& id, time_point now);
 
-    /// @brief A guard reports. @param verified when the office was last known
-    /// to be this holder's, by a store call sent then
+    /// @brief Handles a guard's report. @param verified when leadership was
+    /// last known to be held, by a store call sent then
     report_answer report(const worker_report& from, time_point now,
                          time_point verified);
 
-    /// @brief Time passes. @param unix_ms time of day since 1970
+    /// @brief Handles the passing of time: expired leases, then a placement
+    /// pass if one is due. @param unix_ms time of day since 1970
     void tick(time_point now, std::int64_t unix_ms);
 
-    /// @brief What to write next; none while one is under way or it is too
-    /// soon. The caller answers with committed(), and calls tick() before, so
-    /// that the write carries what could be placed.
+    /// @brief The next records to write; nothing while a write is in flight or
+    /// the interval since the last one is too short. The caller reports
+    /// completion with committed(), and calls tick() first, so that the write
+    /// includes all possible placements.
     std::optional<commit_batch> next_commit(time_point now);
-    /// @brief The store has the batch. @param revision of its items
+    /// @brief The batch is committed. @param revision of the written items
     void committed(const commit_batch& batch, std::int64_t revision,
                    time_point now);
 
-    /// @brief What to ask the advice service next; nothing while a question
-    /// is out. The caller answers with advised().
+    /// @brief The next query to the advice service; nothing while one is in
+    /// flight. The caller reports its result with advised().
     std::optional<advice_query> next_question(time_point now)
     {
         return advice_.next_question(now);
     }
-    /// @brief What came of the question; nothing if it got no answer.
+    /// @brief Handles the answer to the query; nothing if there was none.
     void advised(const std::optional<advice_answer>& answer, time_point now);
 
-    /// @brief Orders that became due.
+    /// @brief Takes the orders that are due.
     std::vector<addressed_orders> take_orders();
-    /// @brief Decisions since the last call.
+    /// @brief Takes the decisions made since the last call.
     std::vector<decision> take_decisions();
 
-    /// @brief Jobs that ended since the last call.
+    /// @brief Takes the jobs that ended since the last call.
     std::vector<finished_job> take_finished();
 
-    /// @brief What callers may be shown of a job; nothing if unknown, or if
-    /// another holder may know better by now.
-    /// @param verified when the office was last known to be this holder's
+    /// @brief The state of a job that callers may see; nothing if the job is
+    /// unknown, or if a successor may know a later state.
+    /// @param verified when leadership was last known to be held
     [[nodiscard]] std::optional<job_state>
     shown(const std::string& id, time_point now, time_point verified) const;
-    /// @brief Jobs of a queue of which no task has begun.
+    /// @brief Number of jobs of a queue of which no task has begun.
     [[nodiscard]] std::int64_t waiting(const std::string& queue) const;
-    /// @brief The present epoch.
+    /// @brief The epoch of the present term.
     [[nodiscard]] std::int64_t epoch() const noexcept
     {
         return epoch_;
@@ -270,7 +280,7 @@
 private:
     // Writing (scheduler_writing.cpp).
 
-    // Ends of a job's runs at one worker that the store may not have yet.
+    // Ends of a job's runs at one worker that may not be committed yet.
     struct uncommitted_end
     {
         std::int64_t change = 0; ///< of the job, with the newest of them
@@ -294,11 +304,12 @@
     bool can_be_written(const std::string& id, const job_step& step,
                         const std::vector<worker_record*>& chosen);
 
-    // Placing (scheduler_placing.cpp).
-    // A placement is ordered once it is written, so a pass before the next
-    // write gains nothing: with one for each report, placing took 219 ms of
-    // processor time a second at 160 workers and 440 starts a second, with one
-    // for each write 37 ms (bench/office).
+    // Placement (scheduler_placing.cpp).
+    //
+    // A placement is ordered only after it is written, so passes between two
+    // writes gain nothing. At 160 workers and 440 starts per second, placement
+    // took 219 ms of processor time per second with a pass per report, 37 ms
+    // with a pass per write (bench/office).
     void place_if_due(time_point now, std::int64_t unix_ms);
     void place(time_point now, std::int64_t unix_ms);
     bool place_job(job_record& of, time_point now, std::int64_t unix_ms);
@@ -336,7 +347,7 @@
     [[nodiscard]] std::int64_t starts_until_ms(const worker_record& at) const;
     [[nodiscard]] std::int64_t runs_in(const std::string& data_centre) const;
 
-    // What is told of waits and service (scheduler_sight.cpp).
+    // Log of waits and availability (scheduler_diagnostics.cpp).
     void log_wait(const placement_query& query, const job_record& of,
                   const job_task& first,
                   std::optional<wait_cause> known = std::nullopt);
@@ -344,7 +355,8 @@
     void sample_jobs();
     void log_service();
 
-    // Reports (scheduler_reports.cpp).
+    // Reports (scheduler_reports.cpp), relocation and preemption
+    // (scheduler_moves.cpp), interference (scheduler_learning.cpp).
     worker_record& worker_of(const worker_report& from, time_point now);
     bool is_admitted(worker_record& at, const worker_report& from,
                      report_answer& answer);
@@ -405,29 +417,31 @@
 
     // Lost runs (scheduler_losses.cpp).
 
-    // What one crash says of a task.
+    // Evidence of one crash against a task.
     struct crash_count
     {
         std::int64_t run = 0;
         std::int64_t added = 0; ///< to its suspicion
-        bool is_sole = false;   ///< everything else there had proved itself
-        bool is_sure = false;   ///< the run had surely begun
-        bool is_gang = false;   ///< its members are not run apart
+        bool is_sole = false;   ///< everything else there was proven
+        bool is_sure = false;   ///< the run had certainly begun
+        bool is_gang = false;   ///< members of a gang are not isolated
     };
 
-    // What had not proved itself where an executor crashed.
+    // Runs that were not proven when their executor crashed.
     struct unproven_neighbours
     {
         std::int64_t unproven = 0;
-        std::int64_t suspects = 0; ///< of them
+        std::int64_t suspects = 0; ///< those that belong to suspects
     };
 
-    // Runs of an executor's former life, by what a look at the next one shows.
+    // Runs of a past incarnation of an executor, by a report about the next
+    // one.
     struct runs_after_restart
     {
-        std::set<task_name> over;  ///< they died with the life, or never began
-        std::set<task_name> taken; ///< by the next life; it lists them
-        std::set<task_name> open;  ///< their start may reach the next life
+        std::set<task_name> over;  ///< ended with it, or never begin
+        std::set<task_name> taken; ///< listed by the next incarnation
+        /// Their start may reach the next incarnation.
+        std::set<task_name> open;
     };
 
     void on_executor_restart(worker_record& at, const worker_report& from,
@@ -498,7 +512,7 @@
     void log_decision(event_id id, std::vector<event_field> fields);
 
     job_record* job_of(const std::string& id);
-    // A task by its name, as guards write it; nulls if there is none.
+    // A task by its name in reports; null pointers if there is none.
     struct known_task
     {
         job_record* of = nullptr;
@@ -513,7 +527,8 @@
     queue_table table_;
     closure_tracker data_centres_;
     fault_detector failures_;
-    bool withheld_ = false; ///< starts, for want of news of data centres
+    /// No starts are allowed: the list of closed data centres is stale.
+    bool withheld_ = false;
     std::int64_t epoch_ = 0;
     bool begun_ = false;
     time_point term_started_at_{};
@@ -522,30 +537,32 @@
     std::set<std::string> placeable_jobs_;
     std::vector<std::string> dirty_; ///< jobs to write, oldest change first
     std::set<std::string> is_dirty_;
-    /// By the guard of the worker whose room they free, and by their job.
+    /// By the guard of the worker whose capacity they free, and by job.
     std::map<std::string, std::map<std::string, uncommitted_end>> freed_;
     bool committing_ = false;
     time_point last_commit_{};
     worker_map workers_;
     interference_model interference_model_;
     ticket_cache advice_;
-    /// Of this pass over the waiting tasks.
+    /// Of the present placement pass.
     infeasible_queries infeasible_queries_;
-    time_point last_lasting_{};       ///< when the newest lasting job came
-    time_point next_preemption_at_{}; ///< when lasting runs may give way again
-    std::size_t reservations_ = 0;    ///< workers that this pass keeps free
-    /// Workers up that are closed for suspects.
+    /// When the newest long-running job was accepted.
+    time_point last_lasting_{};
+    time_point next_preemption_at_{}; ///< earliest next preemption attempt
+    std::size_t reservations_ = 0;    ///< workers that this pass reserves
+    /// Reachable workers that are closed for suspects.
     std::size_t isolated_workers_ = 0;
-    bool may_place_ = true; ///< jobs or room changed since the last pass
+    /// Jobs or free capacity changed since the last pass.
+    bool may_place_ = true;
     time_point last_pass_{};
-    std::int64_t next_due_ms_ = 0; ///< time of day of the next round
-    /// Runs that an earlier holder placed, by guard, until it reports.
+    std::int64_t next_due_ms_ = 0; ///< Unix time of the next round
+    /// Runs placed by a previous leader, by guard, until that guard reports.
     std::map<std::string, std::set<task_name>> inherited_runs_;
     std::map<std::string, guard_orders> outbox_;
     std::vector<decision> decisions_;
     std::vector<finished_job> finished_;
     wait_log waits_;
-    /// Of lasting jobs, by their id, since it was last told.
+    /// Of long-running jobs, by job id, since the last log line.
     std::map<std::string, availability_counts> service_;
     time_point next_sample_{};
     time_point next_service_log_{};
--- a/packages/scheduler/include/springstair/detail/scheduler/sibling_headroom.hpp
+++ b/packages/scheduler/include/springstair/detail/scheduler/sibling_headroom.hpp
@@ -9,31 +9,32 @@
 namespace springstair
 {
 
-/// @brief What fills of each image use of a worker, as a share of it.
+/// @brief Processor use of best-effort work by image, as share of the worker.
 using fill_usage = std::map<std::string, double>;
 
-/// @brief A serving task's headroom and what fills used beside it.
+/// @brief Headroom of a latency-critical task and the best-effort use beside
+/// it.
 struct headroom_sample
 {
-    double headroom = 0; ///< its target divided by its tail
+    double headroom = 0; ///< latency target divided by tail latency
     fill_usage beside;
 
     bool operator==(const headroom_sample&) const = default;
 };
 
-/// @brief The newest figures of the serving tasks of one job.
+/// @brief The newest headroom samples of one job's latency-critical tasks.
 ///
-/// The users of a job load its tasks alike, wherever they are: what differs
-/// between their tails at one moment is due to what runs beside them.
+/// Users load all tasks of a job alike, so differences between their tail
+/// latencies at one moment are due to what runs beside them.
 class sibling_headroom
 {
 public:
-    /// @brief A task's newest figure.
+    /// @brief Records a task's newest sample.
     void note(const std::string& task, headroom_sample figure, time_point now);
-    /// @brief The mean of the others' figures; nothing if there are too few.
+    /// @brief Mean sample of the other tasks; nothing if they are too few.
     [[nodiscard]] std::optional<headroom_sample>
     mean_without(const std::string& task) const;
-    /// @brief When a figure was last noted.
+    /// @brief When a sample was last recorded.
     [[nodiscard]] time_point noted() const noexcept
     {
         return noted_;
@@ -50,8 +51,8 @@
     void forget_old(time_point now);
 
     std::map<std::string, entry> of_; ///< by task
-    double headroom_ = 0;             ///< sum over all of them
-    fill_usage beside_;               ///< likewise
+    double headroom_ = 0;             ///< sum over all samples
+    fill_usage beside_;               ///< sum over all samples
     time_point noted_{};
     time_point next_cleaning_{};
 };
--- a/packages/scheduler/include/springstair/detail/scheduler/ticket_cache.hpp
+++ b/packages/scheduler/include/springstair/detail/scheduler/ticket_cache.hpp
@@ -11,42 +11,44 @@
 namespace springstair
 {
 
-/// @brief Timings of asking for advice.
+/// @brief Timings of queries to the advice service.
 struct ticket_options
 {
-    /// Workers in one question; the latency objective allows for so many.
+    /// Maximum number of workers per query; the latency objective allows for
+    /// it.
     std::size_t max_workers = 30;
-    /// A ticket is used no more when this little of its time remains: a start
-    /// waits for the store and travels to its worker.
+    /// Remaining validity below which a ticket is not used: a start waits for
+    /// the store and must travel to its worker.
     duration reserve = std::chrono::milliseconds(400);
-    /// Before a question without an answer is asked again. Workers that were
-    /// not good are not asked about again: the verdict does not change.
+    /// Backoff before an unanswered query is repeated. Workers that were
+    /// rejected are not queried again: the verdict does not change.
     duration pause = std::chrono::milliseconds(300);
 };
 
-/// @brief What the holder knows of who may run steps of queues with advice.
+/// @brief Tickets of steps whose queue has an advice service.
 ///
-/// The service takes one question at a time, so one is out at a time.
+/// The service handles one query at a time, so at most one is in flight.
 class ticket_cache
 {
 public:
     explicit ticket_cache(ticket_options options = {}) : options_(options) {}
 
-    /// @brief The tickets of a step that still hold.
+    /// @brief The tickets of a step that are still valid.
     ticket_map tickets(const std::string& step, time_point now) const;
-    /// @brief A step needs a worker. Notes a question about those that were
-    /// not asked about, unless one for the step waits already.
+    /// @brief Queues a query for a step about the workers without a verdict or
+    /// with an expired ticket, unless one for the step is waiting or in flight.
     void request_tickets(const std::string& step,
                          const std::vector<executor_incarnation>& executors,
                          time_point now);
-    /// @brief The question that has waited longest; nothing while one is out
-    /// or none waits.
+    /// @brief Returns the query that has waited longest, now in flight; nothing
+    /// while one is in flight or none waits.
     std::optional<advice_query> next_question(time_point now);
-    /// @brief What came of the question that is out; nothing if no answer.
+    /// @brief Takes the answer to the query in flight; nothing if there was
+    /// none.
     void answered(const std::optional<advice_answer>& answer, time_point now);
-    /// @brief A worker did not take its ticket: it is asked about again.
+    /// @brief A worker refused its ticket: it may be queried again.
     void refused(const std::string& step, const executor_incarnation& executor);
-    /// @brief The step needs no worker any more.
+    /// @brief Drops everything about a step that needs no worker any more.
     void forget(const std::string& step);
 
 private:
@@ -58,10 +60,11 @@
     struct step_record
     {
         std::map<executor_incarnation, ticket> good;
-        std::set<executor_incarnation> asked; ///< have a verdict, good or not
-        /// To ask about; empty: nothing.
+        /// Incarnations with a verdict, positive or not.
+        std::set<executor_incarnation> asked;
+        /// To be queried; empty: none.
         std::vector<executor_incarnation> wanted;
-        time_point since{}; ///< when wanted was noted
+        time_point since{}; ///< when wanted was filled
         time_point not_before{};
     };
 
--- a/packages/scheduler/include/springstair/detail/scheduler/wait_report.hpp
+++ b/packages/scheduler/include/springstair/detail/scheduler/wait_report.hpp
@@ -10,54 +10,55 @@
 namespace springstair
 {
 
-/// @brief Why a task finds no worker: the last test that any worker failed,
-/// in this order.
+/// @brief Why a task finds no worker: the furthest of these tests that any
+/// worker reached and failed.
 enum class wait_cause : std::uint8_t
 {
-    no_worker, ///< none of the service takes runs now
-    closed,    ///< those that might are in data centres that are closed
-    label,     ///< none of those has the label
-    size,      ///< it is larger than each of those
-    lasting,   ///< nothing is large enough beside what lasts there
-    room,      ///< there will be room once shorter runs have ended
-    bound,     ///< where there is room, its step is at its bound
-    ticket,    ///< where there is room, the advice lets it not run
-    harm,      ///< where there is room, those that serve do not bear it
-    gang,      ///< there is room for a member, not for all of them at once
-    trials     ///< it may crash its executor, and others are tried before it
+    no_worker, ///< no worker of the service accepts runs now
+    closed,    ///< those that might are in closed data centres
+    label,     ///< none that accepts runs has the label
+    size,      ///< its demand exceeds the capacity of each of those
+    lasting,   ///< long-running tasks leave too little capacity
+    room,      ///< capacity is free only once shorter runs have ended
+    bound,     ///< where it fits, its step is at its bound per worker
+    ticket,    ///< where it fits, it has no ticket
+    harm,      ///< where it fits, latency-critical tasks do not tolerate it
+    gang,      ///< one member fits, but not all at the same time
+    trials     ///< it must be isolated, and its reserved worker is not ready
 };
 
-/// @brief The name of a cause, as logs and metrics show it.
+/// @brief The name of a cause, as shown in logs and metrics.
 std::string_view to_string(wait_cause value) noexcept;
 
-/// @brief What keeps a task waiting, for the log.
+/// @brief Why a task waits, for the log.
 struct wait_report
 {
     wait_cause cause = wait_cause::no_worker;
-    std::int64_t workers = 0; ///< that take runs of its service
-    /// Most processors that are free at one of them, in thousandths.
+    std::int64_t workers = 0; ///< that accept runs of its service
+    /// Most free processors on one of them, in thousandths.
     std::int64_t free_millis = 0;
-    /// The same once all runs but lasting ones have ended.
+    /// The same once all runs but the long-running ones have ended.
     std::int64_t free_in_time_millis = 0;
 
     bool operator==(const wait_report&) const = default;
 };
 
-/// @brief Looks through all workers for what keeps a task waiting.
+/// @brief Searches all workers for the reason why a task waits.
 wait_report explain_wait(const worker_map& workers,
                          const placement_query& query,
                          const placement_options& options);
 
-/// @brief Bounds how often the wait of one step is told.
+/// @brief Limits the rate at which the wait of a step is logged.
 class wait_log
 {
 public:
-    /// @brief Whether to tell of a step's wait now; true once a @p gap.
+    /// @brief Whether to log a step's wait now: at most once per @p gap.
     bool is_due(const std::string& group, time_point now, duration gap);
 
 private:
     std::map<std::string, time_point> told_;
-    time_point next_cleaning_{}; ///< of steps that were told long ago
+    /// When entries of steps logged long ago are dropped.
+    time_point next_cleaning_{};
 };
 
 } // namespace springstair
--- a/packages/scheduler/include/springstair/detail/scheduler/worker_ledger.hpp
+++ b/packages/scheduler/include/springstair/detail/scheduler/worker_ledger.hpp
@@ -11,106 +11,113 @@
 namespace springstair
 {
 
-/// @brief An end that is applied but may not be kept in the store yet.
+/// @brief An end that is applied but may not be committed to the store yet.
 struct noted_end
 {
     std::int64_t number = 0;
     std::string job;
-    std::int64_t change = 0; ///< the job's change that holds it
+    std::int64_t change = 0; ///< the job's change that contains it
 
     bool operator==(const noted_end&) const = default;
 };
 
-/// @brief What the holder knows of one worker.
+/// @brief The leader's view of one worker.
 struct worker_record
 {
     std::string guard;
-    std::string address; ///< of its guard
+    std::string address; ///< of the guard
     worker_description description;
-    resources used;             ///< by runs that may be there
-    resources lasting_used;     ///< the part of it that lasting runs have
-    resources claimed;          ///< kept free for a task that waits
-    std::int64_t fill_cpu = 0;  ///< asked for by runs that fill
-    std::int64_t fill_runs = 0; ///< their number
+    resources used;                     ///< by runs that may be there
+    resources lasting_used;             ///< share of long-running tasks in it
+    resources claimed;                  ///< reserved for a waiting task
+    std::int64_t fill_cpu = 0;          ///< demand of its best-effort runs
+    std::int64_t fill_runs = 0;         ///< number of best-effort runs
     std::set<task_name> assigned_tasks; ///< tasks whose newest run may be there
-    /// Of those, the ones not yet seen at work for a while.
+    /// Those of them whose run is not proven yet.
     std::set<task_name> unproven;
-    /// Of the unproven, those that are suspected of crashing executors.
+    /// Those of the unproven that are suspected of crashing executors.
     std::set<task_name> suspects;
-    /// Of those, the suspect for which nothing else is started there.
+    /// The isolated one of the suspects: nothing else is started there.
     std::optional<task_name> isolated_suspect;
-    /// The suspect that waits for the others there to prove themselves, and
-    /// until when: nothing else is started meanwhile.
+    /// A suspect for which the worker is reserved until the other runs there
+    /// are proven, and until when. Nothing else is started meanwhile.
     std::optional<task_name> reserved_for;
     time_point reserved_until{};
-    /// Former lives that its guard still tells of and that were judged.
+    /// Past incarnations that its guard still reports and that are judged
+    /// already.
     std::set<executor_incarnation> judged_incarnations;
-    /// The guard process that told of its executor's life last: of what goes
-    /// with that life, it knows.
+    /// The guard process that last reported the executor's current incarnation.
+    /// It witnesses the end of that incarnation.
     std::string witness;
-    /// When its executor's life was first reported.
+    /// When the executor's current incarnation was first reported.
     time_point incarnation_since{};
-    /// When looks at its executor began to fail, or its guard fell silent.
+    /// When polls of its executor began to fail, or its guard became
+    /// unresponsive.
     time_point lost_at{};
-    time_point previously_lost_at{}; ///< the same of its executor's former life
+    time_point previously_lost_at{}; ///< same, of the past incarnation
     std::string incarnation;         ///< of its guard
     std::int64_t sequence = 0;       ///< of the newest report
     std::int64_t offered = 0;        ///< newest admission number
-    std::string offered_to;          ///< incarnation that it was given to
-    bool answering = true;           ///< its guard hears from it
-    bool closed = false;             ///< its data centre takes no new runs
-    /// Its lease has to run out before anything listed there is acknowledged.
+    std::string offered_to;          ///< guard incarnation that it was given to
+    bool answering = true;           ///< its executor answers the guard
+    bool closed = false;             ///< its data centre accepts no new runs
+    /// Its lease must expire before any end listed there is acknowledged.
     bool lease_must_expire = false;
-    /// Its guard's clock reads at least so much more than ours.
+    /// Reading of its guard's clock at the newest report minus the leader's at
+    /// its receipt: a lower bound of the difference of the clocks.
     std::int64_t clock_ahead_ms = 0;
-    time_point reported{}; ///< when its last report came
-    /// Starts for it are void from then on, by its guard's clock: no later
-    /// than its runs are given up by ours.
+    time_point reported{}; ///< when its last report was received
+    /// Starts for it are void from this time on, by its guard's clock. The
+    /// leader does not give up its runs earlier.
     std::int64_t starts_until_ms = 0;
-    time_point lease_ends{};       ///< by then its lease has surely run out
-    std::int64_t noted = 0;        ///< ends up to here are applied
-    std::int64_t acknowledged = 0; ///< ends up to here are kept
+    time_point lease_ends{};       ///< its lease has certainly expired by then
+    std::int64_t noted = 0;        ///< ends up to this number are applied
+    std::int64_t acknowledged = 0; ///< ends up to this number are committed
     std::deque<noted_end> uncommitted_ends;
-    double fault_score = 0; ///< that it is sound; see fault_detector
+    double fault_score = 0; ///< evidence that it is faulty; see fault_detector
     std::string failed_job; ///< the last job that failed here
     time_point ejected_until{};
     std::int64_t ejections = 0;
-    std::map<std::string, std::int64_t> of_step; ///< runs by job and step
-    /// Tasks that serve, by image, by the ledger.
+    /// Runs by job, round and step.
+    std::map<std::string, std::int64_t> of_step;
+    /// Reserved runs of latency-critical tasks, by image.
     std::map<std::string, std::int64_t> serving_runs;
-    std::int64_t serving_cpu = 0; ///< reserved by tasks that serve
-    /// Processors that fills ask for, by image, by the ledger.
+    std::int64_t serving_cpu = 0; ///< reserved by latency-critical tasks
+    /// Processors demanded by best-effort runs, by image.
     std::map<std::string, std::int64_t> fill_cpu_of;
-    std::map<std::string, std::int64_t> paces; ///< of images slowed there
-    time_point learnt{}; ///< when its figures were last learnt from
-    /// Least headroom (target by tail) that serving tasks of an image would
-    /// have without fills, by the newest figures.
+    /// Paces of images that are throttled there.
+    std::map<std::string, std::int64_t> paces;
+    time_point learnt{}; ///< when the model last learnt from its samples
+    /// Lowest headroom (latency target divided by tail latency) that
+    /// latency-critical tasks of an image would have without best-effort work,
+    /// by the newest samples.
     std::map<std::string, double> headroom_alone;
-    std::map<std::string, double> filling; ///< newest use, share of capacity
+    /// Newest processor use by best-effort image, share of capacity.
+    std::map<std::string, double> filling;
 
-    /// @brief What is left, by the ledger.
+    /// @brief Capacity that no run reserves.
     [[nodiscard]] resources free_capacity() const noexcept;
-    /// @brief What is left for others than the task that has a claim.
+    /// @brief Free capacity for tasks other than the one with a reservation.
     [[nodiscard]] resources unreserved_capacity() const noexcept;
-    /// @brief What would be left if all runs but lasting ones had ended.
+    /// @brief Free capacity once all runs but the long-running ones have ended.
     [[nodiscard]] resources eventual_capacity() const noexcept;
 };
 
-/// @brief What a run takes from a worker's room: a run that fills reserves
-/// no processors.
+/// @brief Capacity that a run of a step reserves. Best-effort runs reserve no
+/// processors.
 resources reserved_by(const job_step& step) noexcept;
 
-/// @brief Enters a run into a worker's ledger.
+/// @brief Reserves a worker's capacity for a run.
 void reserve(worker_record& at, const job_step& step, const task_name& task);
 
-/// @brief Takes a run out of a worker's ledger, if it is in there.
+/// @brief Releases the capacity reserved for a run, if there is any.
 void release(worker_record& at, const job_step& step, const task_name& task);
 
-/// @brief A run has shown that it does not crash its executor at its start,
-/// or is gone: what was closed for it is open again.
+/// @brief Ends the isolation of a task whose run is proven or gone: its worker
+/// accepts other runs again.
 void end_isolation(worker_record& at, const task_name& task);
 
-/// @brief The text that groups the runs of one step of one round.
+/// @brief The key that groups the runs of one step of one round.
 std::string step_group(const std::string& job, const task_position& at);
 
 } // namespace springstair
--- a/packages/scheduler/include/springstair/scheduler.hpp
+++ b/packages/scheduler/include/springstair/scheduler.hpp
@@ -1,9 +1,9 @@
 #pragma once
 
 /// @file
-/// @brief The decisions about jobs: what runs where, and what became of it.
+/// @brief Scheduling of jobs: placement, leases, lost runs and ends.
 ///
-/// Nothing here does I/O or reads a clock; every call is given the time.
+/// Nothing here does I/O or reads a clock; the caller passes the time.
 
 #include <springstair/detail/scheduler/availability_counts.hpp>
 #include <springstair/detail/scheduler/closure_tracker.hpp>
