--- a/packages/scheduler/include/springstair/detail/scheduler/end_proof.hpp
+++ b/packages/scheduler/include/springstair/detail/scheduler/end_proof.hpp
@@ -38,34 +38,38 @@
     /// reach it: starts name the executor by its id alone.
     static end_proof incarnation_ended()
     {
-        return {run_end::lost, {}, "its executor began another life"};
+        return {
+            run_end::lost, {}, "its executor has restarted or been replaced"};
     }
     /// @brief The same for a run that a previous leader placed.
     static end_proof past_incarnation_ended()
     {
         return {run_end::lost,
                 {},
-                "placed by another holder, its executor is gone"};
+                "placed by a previous leader, its executor is gone"};
     }
     /// @brief The guard reports that every lease it requested has expired.
     /// Valid only for runs that were seen running: an order that is not carried
     /// out yet may wait in the guard.
     static end_proof lapsed()
     {
-        return {run_end::lost, {}, "it is silent and its lease has run out"};
+        return {run_end::lost,
+                {},
+                "its executor is unresponsive and its lease has expired"};
     }
     /// @brief The last lease grant for the worker has expired, with clock drift
     /// and delays included. Leases and all starts end with it.
     static end_proof lease_bound_passed()
     {
-        return {run_end::lost, {}, "its lease has surely run out"};
+        return {run_end::lost, {}, "its last lease grant has expired"};
     }
     /// @brief The lease grants of previous leaders have expired, and this
     /// leader has granted nothing beyond them: the guard has not polled its
     /// worker since.
     static end_proof guard_never_reported()
     {
-        return {run_end::lost, {}, "its guard has not come to this holder"};
+        return {
+            run_end::lost, {}, "its guard has never reported to this leader"};
     }
 
     [[nodiscard]] run_end how() const noexcept
