--- a/packages/jobs/include/springstair/detail/jobs/executor_incarnation.hpp
+++ b/packages/jobs/include/springstair/detail/jobs/executor_incarnation.hpp
@@ -58,20 +58,20 @@
 
 /// @brief Writes an incarnation as two members of a message. Older versions
 /// read only the first one.
-inline void put_incarnation(json& to, const executor_incarnation& executor)
+inline void put_incarnation(json& message, const executor_incarnation& executor)
 {
-    to["life"] = executor.id;
+    message["life"] = executor.id;
     if (executor.born_ms != 0)
     {
-        to["born_ms"] = executor.born_ms;
+        message["born_ms"] = executor.born_ms;
     }
 }
 
 /// @brief Reads what put_incarnation() or an older version wrote.
-inline executor_incarnation incarnation_in(const json& from)
+inline executor_incarnation incarnation_in(const json& message)
 {
-    return {from.value("life", std::string()),
-            from.value("born_ms", std::int64_t{0})};
+    return {message.value("life", std::string()),
+            message.value("born_ms", std::int64_t{0})};
 }
 
 } // namespace springstair
--- a/packages/jobs/include/springstair/detail/jobs/job.hpp
+++ b/packages/jobs/include/springstair/detail/jobs/job.hpp
@@ -91,7 +91,7 @@
 };
 
 /// @brief All errors in a job; empty if it is valid.
-findings check_job(const job& what, const job_bounds& bounds = {});
+findings check_job(const job& definition, const job_bounds& bounds = {});
 
 /// @brief Position of a task in its job.
 struct task_position
--- a/packages/jobs/include/springstair/detail/jobs/progress.hpp
+++ b/packages/jobs/include/springstair/detail/jobs/progress.hpp
@@ -36,7 +36,7 @@
 };
 
 /// @brief The stored form of a record; short, as it is written frequently.
-std::string encode(const job_progress& from);
+std::string encode(const job_progress& progress);
 
 /// @brief Reads a stored record.
 /// @throw document_error 102 if the text is not a valid record
--- a/packages/jobs/src/job.cpp
+++ b/packages/jobs/src/job.cpp
@@ -10,70 +10,70 @@
 namespace
 {
 
-std::string place(std::size_t step, std::string_view member)
+std::string field_path(std::size_t step, std::string_view member)
 {
     return "/steps/" + std::to_string(step) + "/" + std::string(member);
 }
 
-void check_step(const job& what, std::size_t number, findings& out)
+void check_step(const job& definition, std::size_t number, findings& out)
 {
-    const job_step& step = what.steps[number];
+    const job_step& step = definition.steps[number];
     if (step.count < 1)
     {
-        out.push_back({place(number, "count"), "must be 1 or more"});
+        out.push_back({field_path(number, "count"), "must be 1 or more"});
     }
     const resources& demand = step.demand;
     if (demand.cpu_millis < 0 || demand.memory_mb < 0 ||
         demand.accelerators < 0)
     {
-        out.push_back({place(number, "demand"), "must not be negative"});
+        out.push_back({field_path(number, "demand"), "must not be negative"});
     }
-    for (const std::size_t before : step.after)
+    for (const std::size_t dependency : step.after)
     {
-        if (before >= number)
+        if (dependency >= number)
         {
-            out.push_back({place(number, "after"),
-                           "names step " + std::to_string(before) +
+            out.push_back({field_path(number, "after"),
+                           "names step " + std::to_string(dependency) +
                                ", which is not an earlier one"});
         }
     }
 }
 
-std::int64_t tasks_of(const job& what)
+std::int64_t task_count(const job& definition)
 {
     std::int64_t tasks = 0;
-    for (const job_step& step : what.steps)
+    for (const job_step& step : definition.steps)
     {
         tasks += std::max<std::int64_t>(0, step.count);
     }
-    return tasks * what.rounds();
+    return tasks * definition.rounds();
 }
 
 } // namespace
 
-findings check_job(const job& what, const job_bounds& bounds)
+findings check_job(const job& definition, const job_bounds& bounds)
 {
     findings out;
-    if (what.id.empty())
+    if (definition.id.empty())
     {
         out.push_back({"/id", "is required"});
     }
-    if (what.payload.size() > bounds.payload_bytes)
+    if (definition.payload.size() > bounds.payload_bytes)
     {
         out.push_back({"/payload", "is longer than " +
                                        std::to_string(bounds.payload_bytes) +
                                        " bytes"});
     }
-    if (what.steps.empty() || what.steps.size() > bounds.steps)
+    if (definition.steps.empty() || definition.steps.size() > bounds.steps)
     {
         out.push_back({"/steps", "must be 1 to " +
                                      std::to_string(bounds.steps) + " steps"});
     }
-    for (std::size_t number = 0; number < what.steps.size(); ++number)
+    for (std::size_t number = 0; number < definition.steps.size(); ++number)
     {
-        check_step(what, number, out);
+        check_step(definition, number, out);
     }
-    if (tasks_of(what) > bounds.tasks)
+    if (task_count(definition) > bounds.tasks)
     {
         out.push_back({"/steps", "make more than " +
                                      std::to_string(bounds.tasks) + " tasks"});
@@ -83,18 +83,19 @@
 
 std::int64_t job::critical_path_ms() const
 {
-    std::vector<std::int64_t> ends; // finish time of each step
+    std::vector<std::int64_t> finish_ms; // finish time of each step
     std::int64_t longest = 0;
     for (const job_step& step : steps)
     {
-        std::int64_t begin = 0;
-        for (const std::size_t before : step.after)
+        std::int64_t start = 0;
+        for (const std::size_t dependency : step.after)
         {
-            const bool known = before < ends.size();
-            begin = std::max(begin, known ? ends[before] : std::int64_t{0});
+            const bool known = dependency < finish_ms.size();
+            start = std::max(start,
+                             known ? finish_ms[dependency] : std::int64_t{0});
         }
-        ends.push_back(begin + step.estimate_ms);
-        longest = std::max(longest, ends.back());
+        finish_ms.push_back(start + step.estimate_ms);
+        longest = std::max(longest, finish_ms.back());
     }
     return longest;
 }
--- a/packages/jobs/src/progress.cpp
+++ b/packages/jobs/src/progress.cpp
@@ -8,20 +8,20 @@
 
 // A task is an array of values in this order; member names would triple its
 // size. Members that older versions do not write or read are last.
-json row_of(const task_progress& task)
+json encode_task(const task_progress& task)
 {
     json row = json::array({task.at.round, task.at.step, task.at.index,
                             task.done ? 1 : 0, task.runs, task.failures,
                             task.guard, task.executor.id, task.checkpoint});
     const bool has_losses = task.losses > 0;
-    const bool has_birth = task.executor.born_ms != 0 || has_losses;
-    if (task.suspicion > 0 || has_birth)
+    const bool has_start_time = task.executor.born_ms != 0 || has_losses;
+    if (task.suspicion > 0 || has_start_time)
     {
         row.push_back(task.suspicion);
         row.push_back(task.crashes);
         row.push_back(task.judged_run);
     }
-    if (has_birth)
+    if (has_start_time)
     {
         row.push_back(task.executor.born_ms);
     }
@@ -32,10 +32,10 @@
     return row;
 }
 
-task_progress task_of(const json& row)
+task_progress decode_task(const json& row)
 {
     const bool has_suspicion = row.size() > 11;
-    const bool has_birth = row.size() > 12;
+    const bool has_start_time = row.size() > 12;
     const bool has_losses = row.size() > 13;
     return {.at = {.round = row.at(0), .step = row.at(1), .index = row.at(2)},
             .done = row.at(3).get<int>() != 0,
@@ -43,7 +43,7 @@
             .failures = row.at(5),
             .guard = row.at(6),
             .executor = {row.at(7).get<std::string>(),
-                         has_birth ? row.at(12).get<std::int64_t>() : 0},
+                         has_start_time ? row.at(12).get<std::int64_t>() : 0},
             .checkpoint = row.at(8),
             .suspicion = has_suspicion ? row.at(9).get<std::int64_t>() : 0,
             .crashes = has_suspicion ? row.at(10).get<std::int64_t>() : 0,
@@ -53,14 +53,14 @@
 
 } // namespace
 
-std::string encode(const job_progress& from)
+std::string encode(const job_progress& progress)
 {
     json tasks = json::array();
-    for (const task_progress& task : from.tasks)
+    for (const task_progress& task : progress.tasks)
     {
-        tasks.push_back(row_of(task));
+        tasks.push_back(encode_task(task));
     }
-    return json{{"state", static_cast<int>(from.state)}, {"tasks", tasks}}
+    return json{{"state", static_cast<int>(progress.state)}, {"tasks", tasks}}
         .dump();
 }
 
@@ -69,13 +69,14 @@
     try
     {
         const json document = json::parse(text);
-        job_progress to;
-        to.state = static_cast<job_state>(document.at("state").get<int>());
+        job_progress progress;
+        progress.state =
+            static_cast<job_state>(document.at("state").get<int>());
         for (const json& row : document.at("tasks"))
         {
-            to.tasks.push_back(task_of(row));
+            progress.tasks.push_back(decode_task(row));
         }
-        return to;
+        return progress;
     }
     catch (const json::exception& error)
     {
--- a/packages/scheduler/include/springstair/detail/scheduler/crash_suspicion.hpp
+++ b/packages/scheduler/include/springstair/detail/scheduler/crash_suspicion.hpp
@@ -112,42 +112,44 @@
 
 /// @brief Whether a run is among the likely causes of the loss.
 [[nodiscard]] constexpr bool
-is_likely_cause(const lost_run_facts& of,
+is_likely_cause(const lost_run_facts& facts,
                 const suspicion_options& options) noexcept
 {
-    return of.at_work < options.proven_after;
+    return facts.at_work < options.proven_after;
 }
 
 /// @brief Whether a run can have caused the loss at all.
 [[nodiscard]] constexpr bool
-is_unproven(const lost_run_facts& of, const suspicion_options& options) noexcept
+is_unproven(const lost_run_facts& facts,
+            const suspicion_options& options) noexcept
 {
-    return of.at_work < proof_time(of.suspicion, options);
+    return facts.at_work < proof_time(facts.suspicion, options);
 }
 
 /// @brief Whether a run belongs to a suspect and can have caused the loss.
 [[nodiscard]] constexpr bool
-is_unproven_suspect(const lost_run_facts& of,
+is_unproven_suspect(const lost_run_facts& facts,
                     const suspicion_options& options) noexcept
 {
-    return of.suspicion >= suspect_threshold && is_unproven(of, options);
+    return facts.suspicion >= suspect_threshold && is_unproven(facts, options);
 }
 
 /// @brief Suspicion that a loss adds to the run's task. A crash has at most one
 /// cause: beside a suspect, other runs are unlikely to be it.
 [[nodiscard]] constexpr std::int64_t
-added_suspicion(const lost_run_facts& of,
+added_suspicion(const lost_run_facts& facts,
                 const suspicion_options& options) noexcept
 {
-    const bool suspect = of.suspicion >= suspect_threshold;
-    const bool alone = of.scope == crash_scope::executor && !of.beside_suspect;
-    if (is_likely_cause(of, options))
+    const bool suspect = facts.suspicion >= suspect_threshold;
+    const bool is_strong =
+        facts.scope == crash_scope::executor && !facts.beside_suspect;
+    if (is_likely_cause(facts, options))
     {
-        return alone || suspect ? 2 : 1;
+        return is_strong || suspect ? 2 : 1;
     }
-    if (of.at_work < options.surely_proven_after)
+    if (facts.at_work < options.surely_proven_after)
     {
-        return (alone ? 1 : 0) + (suspect ? 1 : 0);
+        return (is_strong ? 1 : 0) + (suspect ? 1 : 0);
     }
     return 0;
 }
@@ -169,17 +171,19 @@
 /// jobs failed whose tasks had only run beside crashes. If lost answers leave
 /// only one of five crashes confirmed, coincidence is less likely than the task
 /// being the cause.
-[[nodiscard]] constexpr bool is_given_up(const crash_verdict& of) noexcept
+[[nodiscard]] constexpr bool is_given_up(const crash_verdict& verdict) noexcept
 {
-    if (of.crashes < min_crashes)
+    if (verdict.crashes < min_crashes)
     {
-        return of.crashes > 0 && of.losses >= max_losses &&
-               of.suspicion >= four_crashes;
+        return verdict.crashes > 0 && verdict.losses >= max_losses &&
+               verdict.suspicion >= four_crashes;
     }
-    const bool alone = of.is_sole && of.is_sure;
-    const bool thrice = of.crashes >= naming_crashes;
-    const bool named = of.suspicion >= blame_threshold && (alone || thrice);
-    return named || (alone && thrice) || of.suspicion >= four_crashes;
+    const bool is_only_cause = verdict.is_sole && verdict.is_sure;
+    const bool has_enough_crashes = verdict.crashes >= naming_crashes;
+    const bool is_identified = verdict.suspicion >= blame_threshold &&
+                               (is_only_cause || has_enough_crashes);
+    return is_identified || (is_only_cause && has_enough_crashes) ||
+           verdict.suspicion >= four_crashes;
 }
 
 } // namespace springstair
--- a/packages/scheduler/include/springstair/detail/scheduler/entry_list.hpp
+++ b/packages/scheduler/include/springstair/detail/scheduler/entry_list.hpp
@@ -114,7 +114,7 @@
     explicit entry_list(entry_list_options options = {}) : options_(options) {}
 
     /// @brief Records a received heartbeat.
-    void note(const entry_heartbeat& from, time_point now);
+    void note(const entry_heartbeat& heartbeat, time_point now);
     /// @brief Drops all entries, at the start of a term.
     void clear();
 
@@ -126,7 +126,7 @@
                                      time_point now);
     /// @brief The entry to hand leadership over to now; nothing if there is no
     /// reason.
-    std::optional<handover_target> next_handover(const leader_state& of,
+    std::optional<handover_target> next_handover(const leader_state& state,
                                                  time_point now);
     /// @brief Records that an entry could not take over, or did not answer.
     void note_declined(const std::string& address, time_point now);
--- a/packages/scheduler/include/springstair/detail/scheduler/infeasible_queries.hpp
+++ b/packages/scheduler/include/springstair/detail/scheduler/infeasible_queries.hpp
@@ -43,8 +43,8 @@
             return false;
         }
         return std::any_of(found->second.begin(), found->second.end(),
-                           [&](const resources& less)
-                           { return less.fits(query.step.demand); });
+                           [&](const resources& demand)
+                           { return demand.fits(query.step.demand); });
     }
 
 private:
--- a/packages/scheduler/include/springstair/detail/scheduler/interference_model.hpp
+++ b/packages/scheduler/include/springstair/detail/scheduler/interference_model.hpp
@@ -71,7 +71,7 @@
     explicit interference_model(interference_model_options options = {});
 
     /// @brief Learns from a task's sample and the best-effort use beside it.
-    void observe(const serving_figure& from, const fill_usage& beside,
+    void observe(const serving_figure& figure, const fill_usage& beside,
                  time_point now);
 
     /// @brief Headroom that a pair would cost if best-effort tasks of that
@@ -104,14 +104,14 @@
     };
 
     std::optional<std::size_t> index_of(const std::string& filling);
-    std::vector<std::pair<std::size_t, double>> changes(const fill_usage& from,
-                                                        const fill_usage& to);
+    std::vector<std::pair<std::size_t, double>>
+    changes(const fill_usage& before, const fill_usage& after);
     bool compare(const std::string& serving, const headroom_sample& with,
                  const headroom_sample& seen);
-    void learn(fit& of, double loss,
+    void learn(fit& model, double loss,
                const std::vector<std::pair<std::size_t, double>>& changes);
-    void resize(fit& of) const;
-    void solve(fit& of) const;
+    void resize(fit& model) const;
+    void solve(fit& model) const;
     void forget_old(time_point now);
 
     interference_model_options options_;
--- a/packages/scheduler/include/springstair/detail/scheduler/job_order.hpp
+++ b/packages/scheduler/include/springstair/detail/scheduler/job_order.hpp
@@ -48,7 +48,7 @@
 /// span, long-running jobs with the largest tasks go first, then the earliest
 /// objective.
 /// @param queue of the job, or null if the table has none: it goes last
-job_rank rank_of(const job_record& of, const queue_row* queue, time_point now,
-                 const order_options& options);
+job_rank rank_of(const job_record& record, const queue_row* queue,
+                 time_point now, const order_options& options);
 
 } // namespace springstair
--- a/packages/scheduler/include/springstair/detail/scheduler/job_record.hpp
+++ b/packages/scheduler/include/springstair/detail/scheduler/job_record.hpp
@@ -76,7 +76,7 @@
 {
 public:
     /// @brief A job without any runs yet.
-    explicit job_record(job what);
+    explicit job_record(job definition);
 
     [[nodiscard]] const job& definition() const noexcept
     {
@@ -91,7 +91,7 @@
     void enter(job_state next) noexcept;
 
     /// @brief The task at a position, or null if the job has none there.
-    job_task* find(const task_position& at);
+    job_task* find(const task_position& position);
     /// @brief The tasks of one step of one round.
     std::span<job_task> tasks_of(std::int64_t round, std::int64_t step);
     [[nodiscard]] std::span<const job_task> tasks_of(std::int64_t round,
@@ -107,7 +107,7 @@
     /// @brief The position of a task of this record.
     [[nodiscard]] task_position position_of(const job_task& task) const;
     /// @brief The step of a task.
-    [[nodiscard]] const job_step& step_at(const task_position& at) const;
+    [[nodiscard]] const job_step& step_at(const task_position& position) const;
 
     /// @brief Whether every step that this one depends on is done in that
     /// round.
@@ -120,7 +120,7 @@
     /// this is its state alone, so that a successor has little to read.
     [[nodiscard]] job_progress progress() const;
     /// @brief Restores what a previous leader stored.
-    void restore(const job_progress& kept);
+    void restore(const job_progress& stored);
 
     // State of the record in the store.
 
--- a/packages/scheduler/include/springstair/detail/scheduler/placement.hpp
+++ b/packages/scheduler/include/springstair/detail/scheduler/placement.hpp
@@ -74,21 +74,22 @@
 };
 
 /// @brief Whether a worker accepts new runs at all.
-bool takes_runs(const worker_record& at, const std::string& service,
+bool takes_runs(const worker_record& worker, const std::string& service,
                 time_point now, const placement_options& options);
 
 /// @brief Whether a worker may run a task, apart from its free capacity.
-bool may_run(const worker_record& at, const placement_query& query,
+bool may_run(const worker_record& worker, const placement_query& query,
              const placement_options& options);
 
 /// @brief Whether a worker has a label; all have the empty one.
-bool has_label(const worker_record& at, const std::string& label);
+bool has_label(const worker_record& worker, const std::string& label);
 
 /// @brief Whether a worker may run one more task of the query's step.
-bool is_below_step_bound(const worker_record& at, const placement_query& query);
+bool is_below_step_bound(const worker_record& worker,
+                         const placement_query& query);
 
 /// @brief Whether a worker can run a task now.
-bool can_take(const worker_record& at, const placement_query& query,
+bool can_take(const worker_record& worker, const placement_query& query,
               const placement_options& options);
 
 /// @brief The best worker for a task, or null if none can run it now. Workers
--- a/packages/scheduler/include/springstair/detail/scheduler/scheduler_core.hpp
+++ b/packages/scheduler/include/springstair/detail/scheduler/scheduler_core.hpp
@@ -199,7 +199,7 @@
     /// @brief Starts a term. @param epoch increases with each term
     void begin_term(std::int64_t epoch, time_point now);
     /// @brief Adds a job stored by a previous leader, before begin().
-    void adopt(job what, const std::optional<job_progress>& kept,
+    void adopt(job definition, const std::optional<job_progress>& progress,
                std::int64_t revision, time_point now, std::int64_t unix_ms);
     /// @brief Starts from the interference that a previous leader learnt.
     void adopt_interference(const std::vector<pair_interference>& harms)
@@ -219,13 +219,13 @@
     /// @brief Updates the closed data centres, as read from the store.
     void set_closed(const closed_data_centres& known, time_point now);
     /// @brief Adds an accepted job. Known jobs are ignored.
-    void accept(job what, time_point now);
+    void accept(job definition, time_point now);
     /// @brief Cancels a job whose cancellation is committed.
     void cancel(const std::string& id, time_point now);
 
     /// @brief Handles a guard's report. @param verified when leadership was
     /// last known to be held, by a store call sent then
-    report_answer report(const worker_report& from, time_point now,
+    report_answer report(const worker_report& report, time_point now,
                          time_point verified);
 
     /// @brief Handles the passing of time: expired leases, then a placement
@@ -288,18 +288,18 @@
     };
 
     [[nodiscard]] bool may_write(time_point now) const noexcept;
-    [[nodiscard]] bool is_due(const job_record& of, time_point now) const;
+    [[nodiscard]] bool is_due(const job_record& record, time_point now) const;
     std::set<std::string> jobs_to_write(time_point now);
     [[nodiscard]] bool is_kept(const std::string& job,
                                std::int64_t change) const;
-    void note_freed(const std::string& guard, const job_record& of,
+    void note_freed(const std::string& guard, const job_record& record,
                     const job_step& step);
     const std::map<std::string, uncommitted_end>&
     find_uncommitted_ends(const std::string& guard);
     const std::map<std::string, uncommitted_end>&
-    ends_needed(const worker_record& at, const job_step& step);
-    void use_room(job_record& of, const job_step& step,
-                  const worker_record& at);
+    ends_needed(const worker_record& worker, const job_step& step);
+    void use_room(job_record& record, const job_step& step,
+                  const worker_record& worker);
     std::set<std::string> written_with(const std::string& id);
     bool can_be_written(const std::string& id, const job_step& step,
                         const std::vector<worker_record*>& chosen);
@@ -312,43 +312,44 @@
     // with a pass per write (bench/office).
     void place_if_due(time_point now, std::int64_t unix_ms);
     void place(time_point now, std::int64_t unix_ms);
-    bool place_job(job_record& of, time_point now, std::int64_t unix_ms);
-    bool place_step(job_record& of, const queue_row& queue, std::int64_t round,
-                    std::int64_t step, time_point now);
-    bool place_gang(job_record& of, const queue_row& queue, std::int64_t round,
-                    std::int64_t step, time_point now);
-    std::vector<worker_record*> gang_workers(job_record& of,
+    bool place_job(job_record& record, time_point now, std::int64_t unix_ms);
+    bool place_step(job_record& record, const queue_row& queue,
+                    std::int64_t round, std::int64_t step, time_point now);
+    bool place_gang(job_record& record, const queue_row& queue,
+                    std::int64_t round, std::int64_t step, time_point now);
+    std::vector<worker_record*> gang_workers(job_record& record,
                                              const queue_row& queue,
                                              const task_position& first,
                                              const ticket_map* tickets,
                                              time_point now);
-    void log_gang_wait(job_record& of, const queue_row& queue,
+    void log_gang_wait(job_record& record, const queue_row& queue,
                        const task_position& first, const ticket_map* tickets,
                        time_point now);
     ticket_map tickets_for(const job_step& step, const std::string& group,
                            const queue_row& queue, time_point now);
-    void record_placement(job_record& of, job_task& task, worker_record& at,
-                          std::int64_t number, const ticket_map& tickets,
-                          time_point now);
-
-    [[nodiscard]] bool is_batching(const job_record& of, const job_step& step,
-                                   time_point now) const;
-    bool place_isolated(placement_query query, job_record& of, job_task& task,
-                        const ticket_map& tickets);
+    void record_placement(job_record& record, job_task& task,
+                          worker_record& worker, std::int64_t number,
+                          const ticket_map& tickets, time_point now);
+
+    [[nodiscard]] bool is_batching(const job_record& record,
+                                   const job_step& step, time_point now) const;
+    bool place_isolated(placement_query query, job_record& record,
+                        job_task& task, const ticket_map& tickets);
     worker_record* isolation_worker(const placement_query& query,
                                     time_point ready_since);
-    bool is_isolation_valid(const worker_record& at, time_point now);
+    bool is_isolation_valid(const worker_record& worker, time_point now);
     void reserve_workers(const placement_query& query, std::int64_t tasks);
     void begin_pass();
 
     // Closed data centres (scheduler_closing.cpp).
     void log_closure(const std::string& data_centre, time_point now);
     bool may_start(time_point now);
-    [[nodiscard]] std::int64_t starts_until_ms(const worker_record& at) const;
+    [[nodiscard]] std::int64_t
+    starts_until_ms(const worker_record& worker) const;
     [[nodiscard]] std::int64_t runs_in(const std::string& data_centre) const;
 
     // Log of waits and availability (scheduler_diagnostics.cpp).
-    void log_wait(const placement_query& query, const job_record& of,
+    void log_wait(const placement_query& query, const job_record& record,
                   const job_task& first,
                   std::optional<wait_cause> known = std::nullopt);
     void watch_service(time_point now);
@@ -357,61 +358,64 @@
 
     // Reports (scheduler_reports.cpp), relocation and preemption
     // (scheduler_moves.cpp), interference (scheduler_learning.cpp).
-    worker_record& worker_of(const worker_report& from, time_point now);
-    bool is_admitted(worker_record& at, const worker_report& from,
+    worker_record& worker_of(const worker_report& report, time_point now);
+    bool is_admitted(worker_record& worker, const worker_report& report,
                      report_answer& answer);
-    [[nodiscard]] static bool lists_running(const worker_report& from,
+    [[nodiscard]] static bool lists_running(const worker_report& report,
                                             const std::string& task,
                                             std::int64_t run);
-    static bool lists_end(const worker_report& from, const std::string& task,
+    static bool lists_end(const worker_report& report, const std::string& task,
                           std::int64_t run);
-    [[nodiscard]] static bool report_shows(const worker_report& from,
+    [[nodiscard]] static bool report_shows(const worker_report& report,
                                            const refused_run& refusal);
-    void note_ends(worker_record& at, const worker_report& from,
+    void note_ends(worker_record& worker, const worker_report& report,
                    time_point now);
-    void note_refusals(worker_record& at, const worker_report& from,
+    void note_refusals(worker_record& worker, const worker_report& report,
                        time_point now);
-    void note_running(worker_record& at, const worker_report& from,
+    void note_running(worker_record& worker, const worker_report& report,
                       guard_orders& out, time_point now);
-    void note_unwanted(const worker_record& at, const running_task& row,
+    void note_unwanted(const worker_record& worker, const running_task& row,
                        const job_task* task);
-    void stop_unwanted_starts(const worker_record& at,
-                              const worker_report& from, guard_orders& out);
-    void note_progress(worker_record& at, task_run& run, const job_step& step,
-                       const running_task& row, time_point now);
-    void log_missing_run(const worker_record& at, const worker_report& from,
-                         task_run& run, const std::string& task);
-    void repeat_missing(worker_record& at, const worker_report& from,
+    void stop_unwanted_starts(const worker_record& worker,
+                              const worker_report& report, guard_orders& out);
+    void note_progress(worker_record& worker, task_run& run,
+                       const job_step& step, const running_task& row,
+                       time_point now);
+    void log_missing_run(const worker_record& worker,
+                         const worker_report& report, task_run& run,
+                         const std::string& task);
+    void repeat_missing(worker_record& worker, const worker_report& report,
                         guard_orders& out, time_point now);
-    void relocate_slowed(worker_record& at, const worker_report& from,
+    void relocate_slowed(worker_record& worker, const worker_report& report,
                          guard_orders& out, time_point now);
     bool may_move(const task_name& name, const std::string& image);
-    bool is_welcome_elsewhere(const task_name& name, const worker_record& at,
-                              time_point now);
-    void relocate(const task_name& name, const worker_record& at,
+    bool is_welcome_elsewhere(const task_name& name,
+                              const worker_record& worker, time_point now);
+    void relocate(const task_name& name, const worker_record& worker,
                   std::int64_t pace, guard_orders& out, time_point now);
-    void preempt_lasting(const placement_query& query, const job_record& of,
+    void preempt_lasting(const placement_query& query, const job_record& record,
                          const job_task& task);
-    resources room_after_stops(const worker_record& at);
+    resources room_after_stops(const worker_record& worker);
     bool is_preemptible(const task_name& name);
-    void drain_leaving_worker(worker_record& at, guard_orders& out,
+    void drain_leaving_worker(worker_record& worker, guard_orders& out,
                               time_point now);
-    void learn_interference(worker_record& at, const worker_report& from,
+    void learn_interference(worker_record& worker, const worker_report& report,
                             time_point now);
     [[nodiscard]] std::vector<pair_interference>
-    interference_at(const worker_record& at) const;
-    std::int64_t acknowledge(worker_record& at);
-    [[nodiscard]] start_order order_for(const job_record& of,
+    interference_at(const worker_record& worker) const;
+    std::int64_t acknowledge(worker_record& worker);
+    [[nodiscard]] start_order order_for(const job_record& record,
                                         const job_task& task) const;
 
     // Leases (scheduler_leases.cpp).
-    [[nodiscard]] bool is_end_given_up(const worker_record& at,
+    [[nodiscard]] bool is_end_given_up(const worker_record& worker,
                                        const ended_task& end);
-    void check_lease_must_expire(worker_record& at, const worker_report& from,
+    void check_lease_must_expire(worker_record& worker,
+                                 const worker_report& report,
                                  bool knows_incarnation);
-    void extend_lease(worker_record& at, const worker_report& from,
+    void extend_lease(worker_record& worker, const worker_report& report,
                       duration lease_grant, time_point now) const;
-    [[nodiscard]] duration lease_grant_for(const worker_report& from,
+    [[nodiscard]] duration lease_grant_for(const worker_report& report,
                                            time_point now,
                                            time_point verified) const;
 
@@ -444,71 +448,74 @@
         std::set<task_name> open;
     };
 
-    void on_executor_restart(worker_record& at, const worker_report& from,
+    void on_executor_restart(worker_record& worker, const worker_report& report,
                              time_point now);
     runs_after_restart after_restart(const std::set<task_name>& runs,
-                                     const worker_report& from);
-    void follow_restart(worker_record& at, const runs_after_restart& runs,
+                                     const worker_report& report);
+    void follow_restart(worker_record& worker, const runs_after_restart& runs,
                         const executor_incarnation& next, time_point now);
     void rebind_run(const task_name& name, const executor_incarnation& executor,
                     time_point now);
-    [[nodiscard]] static bool is_judged(const job_record& of,
+    [[nodiscard]] static bool is_judged(const job_record& record,
                                         const job_task& task, std::int64_t run);
-    std::map<task_name, std::int64_t> unproven_runs(const worker_record& at);
-    void suspect_unwitnessed(const worker_record& at,
+    std::map<task_name, std::int64_t>
+    unproven_runs(const worker_record& worker);
+    void suspect_unwitnessed(const worker_record& worker,
                              const std::map<task_name, std::int64_t>& runs,
                              time_point now);
     std::map<task_name, std::int64_t>
-    unwitnessed_runs(const runs_after_restart& runs, const worker_report& from);
-    void adopt_inherited(worker_record& at, const worker_report& from,
+    unwitnessed_runs(const runs_after_restart& runs,
+                     const worker_report& report);
+    void adopt_inherited(worker_record& worker, const worker_report& report,
                          time_point now);
-    void adopt_run(worker_record& at, const task_name& name, time_point now);
-    static void watch_suspect(worker_record& at, const job_task& task,
+    void adopt_run(worker_record& worker, const task_name& name,
+                   time_point now);
+    static void watch_suspect(worker_record& worker, const job_task& task,
                               const task_name& name);
-    void lose_lapsed(worker_record& at, const worker_report& from,
+    void lose_lapsed(worker_record& worker, const worker_report& report,
                      time_point now);
-    void lose_worker(worker_record& at, const std::set<task_name>& runs,
-                     const end_proof& over, time_point now);
-    void lose_runs(const std::set<task_name>& lost, const end_proof& over,
+    void lose_worker(worker_record& worker, const std::set<task_name>& runs,
+                     const end_proof& proof, time_point now);
+    void lose_runs(const std::set<task_name>& lost, const end_proof& proof,
                    time_point now);
     [[nodiscard]] static duration shown_at_work(const task_run& run);
-    void judge_crashes(worker_record& at, const worker_report& from,
+    void judge_crashes(worker_record& worker, const worker_report& report,
                        time_point now);
-    void judge_crash(worker_record& at, const past_incarnation& over,
+    void judge_crash(worker_record& worker, const past_incarnation& past,
                      time_point now);
-    unproven_neighbours unproven_neighbours_in(const past_incarnation& over);
-    static time_point end_of(const past_incarnation& over,
-                             const worker_record& at, const worker_report& from,
-                             time_point now);
-    [[nodiscard]] bool went_with_its_rack(const worker_record& at,
+    unproven_neighbours unproven_neighbours_in(const past_incarnation& past);
+    static time_point end_of(const past_incarnation& past,
+                             const worker_record& worker,
+                             const worker_report& report, time_point now);
+    [[nodiscard]] bool went_with_its_rack(const worker_record& worker,
                                           time_point now) const;
-    void suspect(const worker_record& at, const task_name& name,
+    void suspect(const worker_record& worker, const task_name& name,
                  const crash_count& count, crash_scope scope, time_point now);
-    void note_soundness(worker_record& at, job_task& task,
+    void note_soundness(worker_record& worker, job_task& task,
                         const task_name& name);
 
     // Ends (scheduler_ends.cpp).
-    void close_run(job_record& of, job_task& task, const end_proof& over,
+    void close_run(job_record& record, job_task& task, const end_proof& proof,
                    time_point now);
-    void close_gang(job_record& of, const task_position& at, run_end how,
-                    time_point now);
-    void count_failure(job_record& of, job_task& task, const task_run& run,
+    void close_gang(job_record& record, const task_position& position,
+                    run_end how, time_point now);
+    void count_failure(job_record& record, job_task& task, const task_run& run,
                        time_point now);
-    static bool is_evidence_of_fault(const worker_record& at,
-                                     const job_record& of, const task_run& run,
-                                     run_end how);
-    void update_fault_score(worker_record& at, const job_record& of,
+    static bool is_evidence_of_fault(const worker_record& worker,
+                                     const job_record& record,
+                                     const task_run& run, run_end how);
+    void update_fault_score(worker_record& worker, const job_record& record,
                             const task_run& run, run_end how, time_point now);
-    void finish(job_record& of, job_state state, time_point now,
+    void finish(job_record& record, job_state state, time_point now,
                 std::vector<event_field> why);
-    void fail(job_record& of, const job_task& task, time_point now,
+    void fail(job_record& record, const job_task& task, time_point now,
               std::vector<event_field> why);
-    void finish_if_done(job_record& of, time_point now);
-    void forget_advice(const job_record& of);
-    void stop_all(job_record& of);
+    void finish_if_done(job_record& record, time_point now);
+    void forget_advice(const job_record& record);
+    void stop_all(job_record& record);
     static void order_stop(task_run& run, const std::string& task,
                            guard_orders& out);
-    void mark_changed(job_record& of, time_point now);
+    void mark_changed(job_record& record, time_point now);
     void log_decision(event_id id, std::vector<event_field> fields);
 
     job_record* job_of(const std::string& id);
@@ -521,7 +528,7 @@
     known_task known(const std::string& name);
     [[nodiscard]] static bool is_current_run(const job_task* task,
                                              std::int64_t run,
-                                             const worker_record& at);
+                                             const worker_record& worker);
 
     scheduler_options options_;
     queue_table table_;
--- a/packages/scheduler/include/springstair/detail/scheduler/worker_ledger.hpp
+++ b/packages/scheduler/include/springstair/detail/scheduler/worker_ledger.hpp
@@ -108,16 +108,18 @@
 resources reserved_by(const job_step& step) noexcept;
 
 /// @brief Reserves a worker's capacity for a run.
-void reserve(worker_record& at, const job_step& step, const task_name& task);
+void reserve(worker_record& worker, const job_step& step,
+             const task_name& task);
 
 /// @brief Releases the capacity reserved for a run, if there is any.
-void release(worker_record& at, const job_step& step, const task_name& task);
+void release(worker_record& worker, const job_step& step,
+             const task_name& task);
 
 /// @brief Ends the isolation of a task whose run is proven or gone: its worker
 /// accepts other runs again.
-void end_isolation(worker_record& at, const task_name& task);
+void end_isolation(worker_record& worker, const task_name& task);
 
 /// @brief The key that groups the runs of one step of one round.
-std::string step_group(const std::string& job, const task_position& at);
+std::string step_group(const std::string& job, const task_position& position);
 
 } // namespace springstair
