--- a/packages/entry/include/springstair/detail/entry/request_core.hpp
+++ b/packages/entry/include/springstair/detail/entry/request_core.hpp
@@ -132,9 +132,9 @@
     /// @brief The platform's list of leaving VMs.
     void on_leaving_list(const std::set<std::string>& addresses);
     /// @brief Another entry's exchange came in, as call or as answer.
-    void on_exchange(time_point now, const entry_summary& from);
+    void on_exchange(time_point now, const entry_summary& summary);
     /// @brief Another entry answered what was offered to it.
-    void on_exchange_answer(time_point now, const entry_summary& from);
+    void on_exchange_answer(time_point now, const entry_summary& summary);
     /// @brief A newer table; an older one is passed over.
     bool on_table(const table& rows);
     /// @brief Time passes: gives up requests whose deadline has come.
@@ -142,7 +142,7 @@
 
     /// @brief What this entry tells another one about limits.
     /// @param offer whether to lend: true in calls, false in answers
-    void fill_summary(time_point now, entry_summary& to,
+    void fill_summary(time_point now, entry_summary& summary,
                       const std::string& peer, bool offer);
 
     /// @brief The table in force.
@@ -191,27 +191,30 @@
     };
 
     [[nodiscard]] std::vector<route_candidate>
-    candidates(time_point now, const open_request& of) const;
-    [[nodiscard]] outstanding_attempts out_at(const guard_name& guard) const;
-    void count_out(const open_request& of, const guard_name& guard, int change);
-    bool route(time_point now, open_request& of, request_actions& actions);
-    void send_to(time_point now, open_request& of, const guard_name& guard,
+    candidates(time_point now, const open_request& pending) const;
+    [[nodiscard]] outstanding_attempts
+    outstanding_at(const guard_name& guard) const;
+    void adjust_outstanding(const open_request& pending,
+                            const guard_name& guard, int change);
+    bool route(time_point now, open_request& pending, request_actions& actions);
+    void send_to(time_point now, open_request& pending, const guard_name& guard,
                  bool may_wait, request_actions& actions);
-    void refuse(request_number number, problem_report why,
+    void refuse(request_number number, problem_report problem,
                 request_actions& actions);
-    void retry_or_refuse(time_point now, open_request& of, problem_report why,
-                         bool from_budget, request_actions& actions);
+    void retry_or_refuse(time_point now, open_request& pending,
+                         problem_report problem, bool from_budget,
+                         request_actions& actions);
     void record_result(time_point now, const attempt_result& result,
                        const sent_attempt& sent, request_actions& actions);
-    void after_refusal(time_point now, open_request& of, problem_report why,
-                       request_actions& actions);
-    void record_silence(time_point now, const open_request& of,
+    void handle_refusal(time_point now, open_request& pending,
+                        problem_report problem, request_actions& actions);
+    void record_timeout(time_point now, const open_request& pending,
                         request_actions& actions);
     void retry_from_lost_guards(time_point now,
                                 const std::vector<guard_name>& lost,
                                 request_actions& actions);
     void close(request_number number);
-    void detach(open_request& of);
+    void abandon_attempt(open_request& pending);
 
     request_options options_;
     table table_;
@@ -224,7 +227,8 @@
     std::map<request_number, open_request> requests_;
     std::map<attempt_name, sent_attempt> attempts_;
     std::set<std::pair<time_point, request_number>> deadlines_;
-    std::map<guard_name, outstanding_attempts> out_; ///< not yet answered
+    std::map<guard_name, outstanding_attempts>
+        outstanding_; ///< not yet answered
     std::uint64_t next_attempt_ = 0;
 };
 
--- a/packages/entry/include/springstair/detail/entry/table_synchronizer.hpp
+++ b/packages/entry/include/springstair/detail/entry/table_synchronizer.hpp
@@ -119,7 +119,7 @@
         edit_number number = 0;
         std::vector<cell_edit> edits;
         time_point deadline;
-        stage at = stage::waiting;
+        stage state = stage::waiting;
         time_point retry_at;
         store_token token = 0;
         std::string nonce;
@@ -127,18 +127,19 @@
         bool in_doubt = false; ///< a write is out whose end is not known
     };
 
-    store_call ask(kv_operation operation);
-    void begin_next(time_point now, table_actions& actions);
-    void read_again(table_actions& actions);
-    void take_document(const kv_item& item, table_actions& actions);
-    void after_read(time_point now, const kv_answer& answer,
-                    table_actions& actions);
-    void after_write(time_point now, const kv_answer& answer,
+    store_call make_call(kv_operation operation);
+    void start_next_edit(time_point now, table_actions& actions);
+    void send_read(table_actions& actions);
+    void load_document(const kv_item& item, table_actions& actions);
+    void handle_read(time_point now, const kv_answer& answer,
                      table_actions& actions);
+    void handle_write(time_point now, const kv_answer& answer,
+                      table_actions& actions);
     void write(const edit_result& edited, std::int64_t mod_revision,
                table_actions& actions);
-    void end(edit_outcome how, time_point now, table_actions& actions);
-    void note_store(const kv_answer& answer, table_actions& actions);
+    void finish_edit(edit_outcome result, time_point now,
+                     table_actions& actions);
+    void update_availability(const kv_answer& answer, table_actions& actions);
 
     table_synchronizer_options options_;
     std::deque<pending_edit> edits_;
--- a/packages/entry/include/springstair/detail/entry/task_core.hpp
+++ b/packages/entry/include/springstair/detail/entry/task_core.hpp
@@ -123,9 +123,9 @@
                                        const guard_report& report,
                                        task_actions& actions);
     /// @brief A guard's reply to a start.
-    void on_start_reply(const start_task& what, const task_reply& reply);
+    void on_start_reply(const start_task& start, const task_reply& reply);
     /// @brief A guard's reply to a stop.
-    void on_stop_reply(const stop_task& what, const task_reply& reply);
+    void on_stop_reply(const stop_task& stop, const task_reply& reply);
     /// @brief VMs that the platform's list held once and holds no more.
     void on_gone(time_point now, const std::set<std::string>& names,
                  const guard_views& guards);
@@ -166,10 +166,10 @@
 private:
     enum class phase : std::uint8_t
     {
-        foreign,
+        unowned,
         acquiring,
         loading,
-        held
+        owned
     };
 
     struct waiting_call
@@ -180,89 +180,96 @@
         bool sent = false;
     };
 
-    struct shard
+    struct shard_state
     {
-        phase at = phase::foreign;
+        phase state = phase::unowned;
         std::int64_t epoch = 0; ///< creation of the holder's key
-        shard_tasks book;
+        shard_tasks tasks;
         std::int64_t next_segment = 1;
-        std::int64_t since_snapshot = 0;
+        std::int64_t segments_since_snapshot = 0;
         std::vector<task_transition> pending;
         std::vector<task_transition> committing;
         std::string nonce; ///< of the segment that is on its way
         std::optional<store_token> token;
         kv_operation in_flight;
-        std::optional<kv_operation> again; ///< to send when retry_at comes
-        bool too_large = false; ///< the book nears what the store can hold
+        std::optional<kv_operation>
+            retry_operation; ///< to send when retry_at comes
+        bool near_size_limit =
+            false; ///< the book nears what the store can hold
         bool snapshotting = false;
         std::int64_t snapshot_revision = 0; ///< of the last one; 0: none
-        bool checking = false;              ///< reading back a refused segment
+        bool verifying = false;             ///< reading back a refused segment
         time_point retry_at;
         time_point next_commit{};
-        time_point free_since{};
-        time_point confirmed{};     ///< when the store was asked who holds it
-        std::set<std::string> busy; ///< tasks with steps not yet on record
+        time_point unowned_since{};
+        time_point confirmed_at{}; ///< when the store was asked who holds it
+        std::set<std::string>
+            uncommitted_tasks; ///< tasks with steps not yet on record
         std::vector<waiting_call> calls;
     };
 
     struct sent_start
     {
         std::int64_t attempt = 0;
-        time_point at;
+        time_point sent_at;
     };
 
     // The store and the shards.
-    store_call ask(kv_operation operation);
-    void keep_lease(time_point now, task_actions& actions);
-    void poll_shard_holders(time_point now, task_actions& actions);
-    void take_shards(time_point now, const kv_answer& answer,
-                     const std::set<std::string>& entries,
-                     task_actions& actions);
-    void acquire(std::int64_t number, task_actions& actions);
+    store_call make_call(kv_operation operation);
+    void renew_lease(time_point now, task_actions& actions);
+    void poll_shard_owners(time_point now, task_actions& actions);
+    void update_ownership(time_point now, const kv_answer& answer,
+                          const std::set<std::string>& entries,
+                          task_actions& actions);
+    void acquire_shard(std::int64_t number, task_actions& actions);
     void after_acquire(std::int64_t number, const kv_answer& answer,
                        task_actions& actions);
-    void load(std::int64_t number, task_actions& actions);
+    void load_shard(std::int64_t number, task_actions& actions);
     void after_load(time_point now, std::int64_t number,
                     const kv_answer& answer, task_actions& actions);
-    void give_up(std::int64_t number, task_actions& actions);
-    void drop(std::int64_t number, bool may_be_written, task_actions& actions);
-    void drop_all(task_actions& actions);
+    void release_shard(std::int64_t number, task_actions& actions);
+    void drop_shard(std::int64_t number, bool may_be_written,
+                    task_actions& actions);
+    void drop_all_shards(task_actions& actions);
 
     // The journal.
-    static void recount_busy(shard& of);
-    static void add(shard& to, task_transition step);
+    static void rebuild_uncommitted_tasks(shard_state& shard);
+    static void append_step(shard_state& shard, task_transition step);
     void commit(time_point now, std::int64_t number, task_actions& actions);
     void snapshot(std::int64_t number, task_actions& actions);
-    void send_for(shard& of, kv_operation operation, task_actions& actions);
+    void send_for(shard_state& shard, kv_operation operation,
+                  task_actions& actions);
     void after_commit(time_point now, std::int64_t number,
                       const kv_answer& answer, task_actions& actions);
     void after_write(time_point now, std::int64_t number, std::int64_t revision,
                      task_actions& actions);
     std::string next_nonce();
-    void committed(time_point now, std::int64_t number, task_actions& actions);
+    void on_committed(time_point now, std::int64_t number,
+                      task_actions& actions);
     void answer_calls(std::int64_t number, task_actions& actions);
-    static void refuse_calls(shard& of, bool may_be_written,
+    static void refuse_calls(shard_state& shard, bool may_be_written,
                              task_actions& actions);
-    static void queue_step(shard& to, task_call call, time_point deadline,
-                           task_transition step);
-    void expire_calls(time_point now, shard& of, task_actions& actions);
+    static void queue_step(shard_state& shard, task_call call,
+                           time_point deadline, task_transition step);
+    void expire_calls(time_point now, shard_state& shard,
+                      task_actions& actions);
 
     // Placement.
     using waiting_tasks =
         std::map<std::string, std::vector<const task_record*>>;
 
     void drop_stale_reservations();
-    void recount();
-    void place_all(time_point now, const guard_views& guards);
+    void update_usage();
+    void run_placement_pass(time_point now, const guard_views& guards);
     [[nodiscard]] waiting_tasks waiting() const;
-    bool place_one(time_point now, const task_record& record,
-                   const guard_views& guards);
+    bool place_task(time_point now, const task_record& record,
+                    const guard_views& guards);
     using loaded_guards = std::vector<std::pair<double, guard_name>>;
 
-    [[nodiscard]] loaded_guards fitting(time_point now,
-                                        const task_record& record,
-                                        const guard_views& guards,
-                                        bool also_failed) const;
+    [[nodiscard]] loaded_guards fitting_guards(time_point now,
+                                               const task_record& record,
+                                               const guard_views& guards,
+                                               bool include_failed) const;
     [[nodiscard]] std::optional<guard_name>
     choose_guard(time_point now, const task_record& record,
                  const guard_views& guards);
@@ -279,24 +286,26 @@
                       bool keep_checkpoint, task_actions& actions);
 
     // Reports of guards.
-    bool is_orphan(time_point now, const shard& of,
+    bool is_orphan(time_point now, const shard_state& shard,
                    const attempt_report& attempt);
-    void take_ended(const std::string& guard, const task_record& record,
-                    const attempt_report& report);
-    void take_failure(const std::string& guard, const task_record& record,
-                      const attempt_report& report);
-    void check_missing(time_point now, const guard_report& report,
-                       task_actions& actions);
-    void lose(const std::string& task, std::int64_t attempt,
-              const std::string& why);
+    void record_ended_attempt(const std::string& guard,
+                              const task_record& record,
+                              const attempt_report& report);
+    void record_failed_attempt(const std::string& guard,
+                               const task_record& record,
+                               const attempt_report& report);
+    void handle_missing_attempts(time_point now, const guard_report& report,
+                                 task_actions& actions);
+    void record_lost(const std::string& task, std::int64_t attempt,
+                     const std::string& why);
 
     std::string new_id(std::int64_t number);
-    shard* held_shard(const std::string& task);
-    [[nodiscard]] const shard* held_shard(const std::string& task) const;
+    shard_state* owned_shard(const std::string& task);
+    [[nodiscard]] const shard_state* owned_shard(const std::string& task) const;
 
     task_core_options options_;
     table table_;
-    std::map<std::int64_t, shard> shards_;
+    std::map<std::int64_t, shard_state> shards_;
     std::map<store_token, std::int64_t> shard_of_token_;
     std::map<std::string, std::map<std::string, resources>> peer_usage_;
     std::map<std::string, resources> usage_;
@@ -310,10 +319,11 @@
     std::optional<store_token> lease_token_;
     time_point next_renewal_{};
     std::optional<store_token> shard_poll_token_;
-    time_point next_look_{};
+    time_point next_shard_poll_{};
     time_point shard_poll_sent_at_{};
-    std::optional<kv_answer> seen_shards_;
-    std::map<std::pair<std::string, std::int64_t>, time_point> unknown_since_;
+    std::optional<kv_answer> last_shard_poll_;
+    std::map<std::pair<std::string, std::int64_t>, time_point>
+        unknown_attempts_since_;
     store_token next_token_ = 1;
     std::uint64_t next_nonce_ = 1;
     random_source random_;
--- a/packages/entry/src/request_core.cpp
+++ b/packages/entry/src/request_core.cpp
@@ -9,8 +9,8 @@
 namespace
 {
 
-constexpr duration retry_soon = std::chrono::milliseconds(200);
-constexpr duration retry_later = std::chrono::seconds(1);
+constexpr duration short_retry_after = std::chrono::milliseconds(200);
+constexpr duration long_retry_after = std::chrono::seconds(1);
 
 problem_report unknown(refusal reason)
 {
@@ -22,7 +22,7 @@
 
 // A guard that refuses for these reasons is not short of slots: trying the
 // next one adds no load to a loaded fleet.
-bool free_to_retry(refusal reason)
+bool is_exempt_from_retry_budget(refusal reason)
 {
     return reason == refusal::draining || reason == refusal::starting ||
            reason == refusal::wrong_incarnation || reason == refusal::busy;
@@ -66,7 +66,7 @@
     }
     if (requests_.size() >= options_.max_open_requests)
     {
-        reject(refusal::queue_full, retry_later);
+        reject(refusal::queue_full, long_retry_after);
         return actions;
     }
     if (const auto wait = limits_.admit(now, request.of.workspace))
@@ -74,14 +74,14 @@
         reject(refusal::over_limit, *wait);
         return actions;
     }
-    open_request& of = requests_[request.number];
-    of.request = request;
-    of.repeatable = request.repeatable.value_or(row->repeatable);
-    of.kind = row->kind;
+    open_request& pending = requests_[request.number];
+    pending.request = request;
+    pending.repeatable = request.repeatable.value_or(row->repeatable);
+    pending.kind = row->kind;
     deadlines_.emplace(request.deadline, request.number);
-    if (!route(now, of, actions))
+    if (!route(now, pending, actions))
     {
-        refuse(request.number, not_run(refusal::no_executor, retry_later),
+        refuse(request.number, not_run(refusal::no_executor, long_retry_after),
                actions);
     }
     return actions;
@@ -92,50 +92,51 @@
     const auto found = requests_.find(number);
     limits_.release(found->second.request.of.workspace);
     deadlines_.erase({found->second.request.deadline, number});
-    detach(found->second);
+    abandon_attempt(found->second);
     requests_.erase(found);
 }
 
 // The attempt that is out may still come back; nobody waits for it now.
-void request_core::detach(open_request& of)
+void request_core::abandon_attempt(open_request& pending)
 {
-    if (!of.current.value.empty())
+    if (!pending.current.value.empty())
     {
-        attempts_.erase(of.current);
-        of.current = {};
-        count_out(of, of.current_guard, -1);
+        attempts_.erase(pending.current);
+        pending.current = {};
+        adjust_outstanding(pending, pending.current_guard, -1);
     }
 }
 
-void request_core::count_out(const open_request& of, const guard_name& guard,
-                             int change)
+void request_core::adjust_outstanding(const open_request& pending,
+                                      const guard_name& guard, int change)
 {
-    outstanding_attempts& out = out_[guard];
-    (of.kind == class_kind::latency_critical ? out.critical : out.other) +=
-        change;
+    outstanding_attempts& counts = outstanding_[guard];
+    (pending.kind == class_kind::latency_critical ? counts.critical
+                                                  : counts.other) += change;
 }
 
-outstanding_attempts request_core::out_at(const guard_name& guard) const
+outstanding_attempts request_core::outstanding_at(const guard_name& guard) const
 {
-    const auto found = out_.find(guard);
-    return found == out_.end() ? outstanding_attempts{} : found->second;
+    const auto found = outstanding_.find(guard);
+    return found == outstanding_.end() ? outstanding_attempts{} : found->second;
 }
 
-void request_core::refuse(request_number number, problem_report why,
+void request_core::refuse(request_number number, problem_report problem,
                           request_actions& actions)
 {
-    const open_request& of = requests_.at(number);
-    if (of.may_have_run)
+    const open_request& pending = requests_.at(number);
+    if (pending.may_have_run)
     {
-        why.result = outcome::unknown;
-        why.retry_after = duration{0};
+        problem.result = outcome::unknown;
+        problem.retry_after = duration{0};
     }
-    if (why.retry_after.count() > 0)
+    if (problem.retry_after.count() > 0)
     {
-        why.retry_after = jittered(why.retry_after, random_);
+        problem.retry_after = jittered(problem.retry_after, random_);
     }
-    actions.emplace_back(answer_problem{
-        .number = number, .of = of.request.of, .what = std::move(why)});
+    actions.emplace_back(answer_problem{.number = number,
+                                        .of = pending.request.of,
+                                        .what = std::move(problem)});
     close(number);
 }
 
@@ -144,18 +145,20 @@
 // ---------------------------------------------------------------------------
 
 std::vector<route_candidate>
-request_core::candidates(time_point now, const open_request& of) const
+request_core::candidates(time_point now, const open_request& pending) const
 {
     std::vector<route_candidate> all;
     for (const auto& [name, view] : guards_.all())
     {
-        if (!view.usable(now, guards_.options()) || of.tried.contains(name) ||
-            !outliers_.may_send(now, name, of.repeatable))
+        if (!view.usable(now, guards_.options()) ||
+            pending.tried.contains(name) ||
+            !outliers_.may_send(now, name, pending.repeatable))
         {
             continue;
         }
-        route_candidate candidate = make_candidate(
-            view.report.load, out_at(name), of.kind, table_.reserved_slots());
+        route_candidate candidate =
+            make_candidate(view.report.load, outstanding_at(name), pending.kind,
+                           table_.reserved_slots());
         candidate.guard = name;
         candidate.local = view.report.data_centre == options_.data_centre;
         all.push_back(std::move(candidate));
@@ -163,10 +166,10 @@
     return all;
 }
 
-bool request_core::route(time_point now, open_request& of,
+bool request_core::route(time_point now, open_request& pending,
                          request_actions& actions)
 {
-    const std::vector<route_candidate> all = candidates(now, of);
+    const std::vector<route_candidate> all = candidates(now, pending);
     const auto index = std::visit([&](const auto& router)
                                   { return router.pick(all, random_); },
                                   options_.router);
@@ -176,15 +179,15 @@
     }
     // Where another guard may have a slot at once, this one is to say so
     // rather than let the request wait.
-    const bool critical = of.kind == class_kind::latency_critical;
+    const bool critical = pending.kind == class_kind::latency_critical;
     const bool may_wait = !critical ||
-                          of.busy_replies >= options_.max_busy_replies ||
+                          pending.busy_replies >= options_.max_busy_replies ||
                           all.size() == 1;
-    send_to(now, of, all[*index].guard, may_wait, actions);
+    send_to(now, pending, all[*index].guard, may_wait, actions);
     return true;
 }
 
-void request_core::send_to(time_point now, open_request& of,
+void request_core::send_to(time_point now, open_request& pending,
                            const guard_name& guard, bool may_wait,
                            request_actions& actions)
 {
@@ -192,38 +195,39 @@
     const attempt_name attempt{options_.name.value + "." +
                                options_.incarnation + "." +
                                std::to_string(++next_attempt_)};
-    ++of.attempts;
-    of.current = attempt;
-    of.current_guard = guard;
-    of.tried.insert(guard);
-    attempts_[attempt] = {.number = of.request.number, .guard = guard};
+    ++pending.attempts;
+    pending.current = attempt;
+    pending.current_guard = guard;
+    pending.tried.insert(guard);
+    attempts_[attempt] = {.number = pending.request.number, .guard = guard};
     outliers_.sent(now, guard);
-    count_out(of, guard, 1);
-    actions.emplace_back(send_attempt{.number = of.request.number,
-                                      .attempt = attempt,
-                                      .guard = guard,
-                                      .address = view.report.address,
-                                      .incarnation = view.report.incarnation,
-                                      .remaining = of.request.deadline - now,
-                                      .repeatable = of.repeatable,
-                                      .may_wait = may_wait});
+    adjust_outstanding(pending, guard, 1);
+    actions.emplace_back(
+        send_attempt{.number = pending.request.number,
+                     .attempt = attempt,
+                     .guard = guard,
+                     .address = view.report.address,
+                     .incarnation = view.report.incarnation,
+                     .remaining = pending.request.deadline - now,
+                     .repeatable = pending.repeatable,
+                     .may_wait = may_wait});
 }
 
-void request_core::retry_or_refuse(time_point now, open_request& of,
-                                   problem_report why, bool from_budget,
+void request_core::retry_or_refuse(time_point now, open_request& pending,
+                                   problem_report problem, bool from_budget,
                                    request_actions& actions)
 {
-    const request_number number = of.request.number;
-    const bool worth_it =
-        of.attempts < options_.most_attempts && now < of.request.deadline;
-    if (!worth_it || (from_budget && !retries_.take()))
+    const request_number number = pending.request.number;
+    const bool may_retry = pending.attempts < options_.most_attempts &&
+                           now < pending.request.deadline;
+    if (!may_retry || (from_budget && !retries_.take()))
     {
-        refuse(number, std::move(why), actions);
+        refuse(number, std::move(problem), actions);
         return;
     }
-    if (!route(now, of, actions))
+    if (!route(now, pending, actions))
     {
-        refuse(number, std::move(why), actions);
+        refuse(number, std::move(problem), actions);
     }
 }
 
@@ -236,12 +240,12 @@
                                  request_actions& actions)
 {
     using ending = attempt_result::ending;
-    const class_name& of = requests_.at(sent.number).request.of;
+    const class_name& request_class = requests_.at(sent.number).request.of;
     const bool success = result.how == ending::answered;
-    const bool refused_by_load =
+    const bool refused_by_guard =
         result.how == ending::refused &&
         result.refused_with.reason != refusal::connection_lost;
-    if (refused_by_load)
+    if (refused_by_guard)
     {
         outliers_.returned(sent.guard);
         return;
@@ -250,8 +254,8 @@
     {
         retries_.succeeded();
     }
-    const outlier_change change =
-        outliers_.record(now, sent.guard, of, success, guards_.all().size());
+    const outlier_change change = outliers_.record(
+        now, sent.guard, request_class, success, guards_.all().size());
     if (change != outlier_change::none)
     {
         const event_id event = change == outlier_change::ejected
@@ -263,43 +267,45 @@
 
 // An attempt that outlives its request counts as a failure: a guard refuses
 // what only its queue would delay, so this one waits for the executor.
-void request_core::record_silence(time_point now, const open_request& of,
+void request_core::record_timeout(time_point now, const open_request& pending,
                                   request_actions& actions)
 {
-    record_result(now,
-                  {.attempt = of.current,
-                   .how = attempt_result::ending::unknown,
-                   .refused_with = {},
-                   .load = {}},
-                  {.number = of.request.number, .guard = of.current_guard},
-                  actions);
+    record_result(
+        now,
+        {.attempt = pending.current,
+         .how = attempt_result::ending::unknown,
+         .refused_with = {},
+         .load = {}},
+        {.number = pending.request.number, .guard = pending.current_guard},
+        actions);
 }
 
-void request_core::after_refusal(time_point now, open_request& of,
-                                 problem_report why, request_actions& actions)
+void request_core::handle_refusal(time_point now, open_request& pending,
+                                  problem_report problem,
+                                  request_actions& actions)
 {
     // Sent once, over one connection, which the new process answered: the
     // process that was there before never saw it.
-    if (!of.repeatable && why.reason == refusal::wrong_incarnation)
+    if (!pending.repeatable && problem.reason == refusal::wrong_incarnation)
     {
-        why.result = outcome::not_run;
+        problem.result = outcome::not_run;
     }
-    if (why.result != outcome::not_run)
+    if (problem.result != outcome::not_run)
     {
-        of.may_have_run = true;
-        if (!of.repeatable)
+        pending.may_have_run = true;
+        if (!pending.repeatable)
         {
-            refuse(of.request.number, std::move(why), actions);
+            refuse(pending.request.number, std::move(problem), actions);
             return;
         }
     }
-    if (why.reason == refusal::busy)
+    if (problem.reason == refusal::busy)
     {
-        ++of.busy_replies;
-        --of.attempts; // it only asked; no queue and no slot was used
+        ++pending.busy_replies;
+        --pending.attempts; // it only asked; no queue and no slot was used
     }
-    const bool from_budget = !free_to_retry(why.reason);
-    retry_or_refuse(now, of, std::move(why), from_budget, actions);
+    const bool from_budget = !is_exempt_from_retry_budget(problem.reason);
+    retry_or_refuse(now, pending, std::move(problem), from_budget, actions);
 }
 
 request_actions request_core::on_attempt(time_point now,
@@ -314,9 +320,9 @@
     }
     const sent_attempt sent = found->second;
     attempts_.erase(found);
-    open_request& of = requests_.at(sent.number);
-    of.current = {};
-    count_out(of, sent.guard, -1);
+    open_request& pending = requests_.at(sent.number);
+    pending.current = {};
+    adjust_outstanding(pending, sent.guard, -1);
     if (result.load)
     {
         guards_.hear_load(sent.guard, *result.load);
@@ -330,10 +336,10 @@
         close(sent.number);
         break;
     case ending::failed:
-        of.may_have_run = true;
-        if (of.repeatable && of.attempts < options_.most_attempts &&
-            now < of.request.deadline && retries_.take() &&
-            route(now, of, actions))
+        pending.may_have_run = true;
+        if (pending.repeatable && pending.attempts < options_.most_attempts &&
+            now < pending.request.deadline && retries_.take() &&
+            route(now, pending, actions))
         {
             break;
         }
@@ -342,21 +348,22 @@
         close(sent.number);
         break;
     case ending::refused:
-        after_refusal(now, of, result.refused_with, actions);
+        handle_refusal(now, pending, result.refused_with, actions);
         break;
     case ending::not_sent:
         guards_.refused(sent.guard);
-        retry_or_refuse(now, of, not_run(refusal::connection_lost, retry_soon),
+        retry_or_refuse(now, pending,
+                        not_run(refusal::connection_lost, short_retry_after),
                         true, actions);
         break;
     case ending::unknown:
-        of.may_have_run = true;
-        if (!of.repeatable)
+        pending.may_have_run = true;
+        if (!pending.repeatable)
         {
             refuse(sent.number, unknown(refusal::connection_lost), actions);
             break;
         }
-        retry_or_refuse(now, of, unknown(refusal::connection_lost), true,
+        retry_or_refuse(now, pending, unknown(refusal::connection_lost), true,
                         actions);
         break;
     }
@@ -399,16 +406,17 @@
     guards_.list_leaving(addresses);
 }
 
-void request_core::on_exchange(time_point now, const entry_summary& from)
+void request_core::on_exchange(time_point now, const entry_summary& summary)
 {
-    entries_.hear(now, from);
-    limits_.borrow(now, from.entry.value, from.lends);
+    entries_.hear(now, summary);
+    limits_.borrow(now, summary.entry.value, summary.lends);
 }
 
-void request_core::on_exchange_answer(time_point now, const entry_summary& from)
+void request_core::on_exchange_answer(time_point now,
+                                      const entry_summary& summary)
 {
-    entries_.hear(now, from);
-    limits_.settled(from.entry.value, from.holds);
+    entries_.hear(now, summary);
+    limits_.settled(summary.entry.value, summary.holds);
 }
 
 bool request_core::on_table(const table& rows)
@@ -426,29 +434,30 @@
                                           const std::vector<guard_name>& lost,
                                           request_actions& actions)
 {
-    std::vector<request_number> stranded;
-    for (const auto& [number, of] : requests_)
+    std::vector<request_number> to_retry;
+    for (const auto& [number, pending] : requests_)
     {
-        if (of.repeatable && !of.current.value.empty() &&
-            std::find(lost.begin(), lost.end(), of.current_guard) != lost.end())
+        if (pending.repeatable && !pending.current.value.empty() &&
+            std::find(lost.begin(), lost.end(), pending.current_guard) !=
+                lost.end())
         {
-            stranded.push_back(number);
+            to_retry.push_back(number);
         }
     }
-    for (const request_number number : stranded)
+    for (const request_number number : to_retry)
     {
-        open_request& of = requests_.at(number);
-        if (of.attempts >= options_.most_attempts || !retries_.take())
+        open_request& pending = requests_.at(number);
+        if (pending.attempts >= options_.most_attempts || !retries_.take())
         {
             continue;
         }
-        const attempt_name silent = of.current;
-        of.may_have_run = true;
-        const guard_name from = of.current_guard;
-        if (route(now, of, actions))
+        const attempt_name lost_attempt = pending.current;
+        pending.may_have_run = true;
+        const guard_name lost_guard = pending.current_guard;
+        if (route(now, pending, actions))
         {
-            attempts_.erase(silent);
-            count_out(of, from, -1);
+            attempts_.erase(lost_attempt);
+            adjust_outstanding(pending, lost_guard, -1);
         }
     }
 }
@@ -459,13 +468,13 @@
     while (!deadlines_.empty() && deadlines_.begin()->first <= now)
     {
         const request_number number = deadlines_.begin()->second;
-        open_request& of = requests_.at(number);
-        if (!of.current.value.empty())
+        open_request& pending = requests_.at(number);
+        if (!pending.current.value.empty())
         {
-            of.may_have_run = true;
-            record_silence(now, of, actions);
+            pending.may_have_run = true;
+            record_timeout(now, pending, actions);
         }
-        refuse(number, not_run(refusal::deadline, retry_soon), actions);
+        refuse(number, not_run(refusal::deadline, short_retry_after), actions);
     }
     const std::vector<guard_name> lost = guards_.expire(now);
     for (const guard_name& guard : lost)
@@ -482,20 +491,20 @@
     return actions;
 }
 
-void request_core::fill_summary(time_point now, entry_summary& to,
+void request_core::fill_summary(time_point now, entry_summary& summary,
                                 const std::string& peer, bool offer)
 {
-    to.wants = limits_.wants(now);
-    to.holds = limits_.holds();
+    summary.wants = limits_.wants(now);
+    summary.holds = limits_.holds();
     if (!offer)
     {
         return;
     }
-    const auto& known = entries_.summaries();
-    const auto found = known.find(peer);
-    const unit_map wanted =
-        found == known.end() ? unit_map{} : found->second.wants;
-    to.lends = limits_.offer(now, peer, wanted);
+    const auto& summaries = entries_.summaries();
+    const auto found = summaries.find(peer);
+    const unit_map peer_wants =
+        found == summaries.end() ? unit_map{} : found->second.wants;
+    summary.lends = limits_.offer(now, peer, peer_wants);
 }
 
 } // namespace springstair
--- a/packages/entry/src/table_synchronizer.cpp
+++ b/packages/entry/src/table_synchronizer.cpp
@@ -44,13 +44,13 @@
 {
 }
 
-store_call table_synchronizer::ask(kv_operation operation)
+store_call table_synchronizer::make_call(kv_operation operation)
 {
     return {.token = next_token_++, .operation = std::move(operation)};
 }
 
-void table_synchronizer::note_store(const kv_answer& answer,
-                                    table_actions& actions)
+void table_synchronizer::update_availability(const kv_answer& answer,
+                                             table_actions& actions)
 {
     const bool answered = answer.how == kv_answer::state::done;
     if (answered != available_)
@@ -64,7 +64,7 @@
 // Reading
 // ---------------------------------------------------------------------------
 
-void table_synchronizer::take_document(const kv_item& item,
+void table_synchronizer::load_document(const kv_item& item,
                                        table_actions& actions)
 {
     if (item.mod_revision <= seen_mod_revision_)
@@ -99,30 +99,30 @@
     if (!poll_ && now >= next_poll_)
     {
         store_call call =
-            ask(kv_range{.key = store_keys::table,
-                         .prefix = false,
-                         .min_mod_revision = seen_mod_revision_ + 1});
+            make_call(kv_range{.key = store_keys::table,
+                               .prefix = false,
+                               .min_mod_revision = seen_mod_revision_ + 1});
         poll_ = call.token;
         next_poll_ = now + options_.poll;
         actions.emplace_back(std::move(call));
     }
     while (!edits_.empty() && now >= edits_.front().deadline)
     {
-        const pending_edit& late = edits_.front();
-        const auto how = late.in_doubt || late.at == stage::writing
+        const pending_edit& expired = edits_.front();
+        const auto how = expired.in_doubt || expired.state == stage::writing
                              ? edit_outcome::ending::unknown
                              : edit_outcome::ending::unavailable;
-        end({.number = late.number,
-             .how = how,
-             .revision = 0,
-             .conflicts = {},
-             .wrong = {}},
-            now, actions);
+        finish_edit({.number = expired.number,
+                     .how = how,
+                     .revision = 0,
+                     .conflicts = {},
+                     .wrong = {}},
+                    now, actions);
     }
-    if (!edits_.empty() && edits_.front().at == stage::waiting &&
+    if (!edits_.empty() && edits_.front().state == stage::waiting &&
         now >= edits_.front().retry_at)
     {
-        read_again(actions);
+        send_read(actions);
     }
     return actions;
 }
@@ -135,43 +135,43 @@
                                           std::vector<cell_edit> edits)
 {
     table_actions actions;
-    pending_edit fresh;
-    fresh.number = number;
-    fresh.edits = std::move(edits);
-    fresh.deadline = now + options_.edit_deadline;
-    fresh.retry_at = now;
-    fresh.nonce = options_.writer + "." + std::to_string(next_nonce_++);
-    edits_.push_back(std::move(fresh));
+    pending_edit edit;
+    edit.number = number;
+    edit.edits = std::move(edits);
+    edit.deadline = now + options_.edit_deadline;
+    edit.retry_at = now;
+    edit.nonce = options_.writer + "." + std::to_string(next_nonce_++);
+    edits_.push_back(std::move(edit));
     if (edits_.size() == 1)
     {
-        begin_next(now, actions);
+        start_next_edit(now, actions);
     }
     return actions;
 }
 
-void table_synchronizer::begin_next(time_point now, table_actions& actions)
+void table_synchronizer::start_next_edit(time_point now, table_actions& actions)
 {
     if (!edits_.empty() && now < edits_.front().deadline)
     {
-        read_again(actions);
+        send_read(actions);
     }
 }
 
-void table_synchronizer::read_again(table_actions& actions)
+void table_synchronizer::send_read(table_actions& actions)
 {
     pending_edit& edit = edits_.front();
-    store_call call = ask(kv_range{.key = store_keys::table});
+    store_call call = make_call(kv_range{.key = store_keys::table});
     edit.token = call.token;
-    edit.at = stage::reading;
+    edit.state = stage::reading;
     actions.emplace_back(std::move(call));
 }
 
-void table_synchronizer::end(edit_outcome how, time_point now,
-                             table_actions& actions)
+void table_synchronizer::finish_edit(edit_outcome result, time_point now,
+                                     table_actions& actions)
 {
     edits_.pop_front();
-    actions.emplace_back(std::move(how));
-    begin_next(now, actions);
+    actions.emplace_back(std::move(result));
+    start_next_edit(now, actions);
 }
 
 void table_synchronizer::write(const edit_result& edited,
@@ -193,20 +193,20 @@
         transaction.deletes.push_back(
             {.key = history_key(revision - options_.kept_history)});
     }
-    store_call call = ask(std::move(transaction));
+    store_call call = make_call(std::move(transaction));
     edit.token = call.token;
-    edit.at = stage::writing;
+    edit.state = stage::writing;
     edit.written_revision = revision;
     actions.emplace_back(std::move(call));
 }
 
-void table_synchronizer::after_read(time_point now, const kv_answer& answer,
-                                    table_actions& actions)
+void table_synchronizer::handle_read(time_point now, const kv_answer& answer,
+                                     table_actions& actions)
 {
     pending_edit& edit = edits_.front();
     if (answer.how != kv_answer::state::done)
     {
-        edit.at = stage::waiting;
+        edit.state = stage::waiting;
         edit.retry_at = now + options_.retry;
         return;
     }
@@ -214,7 +214,7 @@
     std::int64_t mod_revision = 0;
     if (!answer.items.empty())
     {
-        take_document(answer.items.front(), actions);
+        load_document(answer.items.front(), actions);
         document = json::parse(answer.items.front().value, nullptr, false);
         mod_revision = answer.items.front().mod_revision;
     }
@@ -224,23 +224,23 @@
     }
     if (contains(writers_of(document), edit.nonce))
     {
-        end({.number = edit.number,
-             .how = edit_outcome::ending::committed,
-             .revision = edit.written_revision,
-             .conflicts = {},
-             .wrong = {}},
-            now, actions);
+        finish_edit({.number = edit.number,
+                     .how = edit_outcome::ending::committed,
+                     .revision = edit.written_revision,
+                     .conflicts = {},
+                     .wrong = {}},
+                    now, actions);
         return;
     }
     edit_result edited = apply_edits(document, edit.edits);
     if (!edited.conflicts.empty())
     {
-        end({.number = edit.number,
-             .how = edit_outcome::ending::conflict,
-             .revision = 0,
-             .conflicts = std::move(edited.conflicts),
-             .wrong = {}},
-            now, actions);
+        finish_edit({.number = edit.number,
+                     .how = edit_outcome::ending::conflict,
+                     .revision = 0,
+                     .conflicts = std::move(edited.conflicts),
+                     .wrong = {}},
+                    now, actions);
         return;
     }
     sign_document(edited.document, edit.nonce);
@@ -250,19 +250,19 @@
     }
     catch (const document_error& error)
     {
-        end({.number = edit.number,
-             .how = edit_outcome::ending::refused,
-             .revision = 0,
-             .conflicts = {},
-             .wrong = error.all()},
-            now, actions);
+        finish_edit({.number = edit.number,
+                     .how = edit_outcome::ending::refused,
+                     .revision = 0,
+                     .conflicts = {},
+                     .wrong = error.all()},
+                    now, actions);
         return;
     }
     write(edited, mod_revision, actions);
 }
 
-void table_synchronizer::after_write(time_point now, const kv_answer& answer,
-                                     table_actions& actions)
+void table_synchronizer::handle_write(time_point now, const kv_answer& answer,
+                                      table_actions& actions)
 {
     pending_edit& edit = edits_.front();
     if (answer.how == kv_answer::state::unknown)
@@ -271,25 +271,25 @@
     }
     if (answer.how != kv_answer::state::done)
     {
-        edit.at = stage::waiting;
+        edit.state = stage::waiting;
         edit.retry_at = now + options_.retry;
         return;
     }
     // Committed or overtaken: reading again tells, and finds the table.
-    read_again(actions);
+    send_read(actions);
 }
 
 table_actions table_synchronizer::on_store(time_point now, store_token token,
                                            const kv_answer& answer)
 {
     table_actions actions;
-    note_store(answer, actions);
+    update_availability(answer, actions);
     if (poll_ == token)
     {
         poll_.reset();
         for (const kv_item& item : answer.items)
         {
-            take_document(item, actions);
+            load_document(item, actions);
         }
         return actions;
     }
@@ -297,13 +297,13 @@
     {
         return actions; // of an edit that was given up
     }
-    if (edits_.front().at == stage::reading)
+    if (edits_.front().state == stage::reading)
     {
-        after_read(now, answer, actions);
+        handle_read(now, answer, actions);
     }
-    else if (edits_.front().at == stage::writing)
+    else if (edits_.front().state == stage::writing)
     {
-        after_write(now, answer, actions);
+        handle_write(now, answer, actions);
     }
     return actions;
 }
--- a/packages/entry/src/task_core.cpp
+++ b/packages/entry/src/task_core.cpp
@@ -15,7 +15,7 @@
 constexpr std::size_t max_pending = 2000;
 constexpr std::size_t max_detail = 4096;
 constexpr std::size_t max_payload = 4096;
-constexpr duration retry_soon = std::chrono::seconds(1);
+constexpr duration short_retry_after = std::chrono::seconds(1);
 
 std::string bounded(std::string text)
 {
@@ -34,32 +34,34 @@
     }
 }
 
-task_core::shard* task_core::held_shard(const std::string& task)
+task_core::shard_state* task_core::owned_shard(const std::string& task)
 {
     const auto number = shard_of(task);
     const auto found = number ? shards_.find(*number) : shards_.end();
-    const bool held = found != shards_.end() && found->second.at == phase::held;
-    return held ? &found->second : nullptr;
+    const bool owned =
+        found != shards_.end() && found->second.state == phase::owned;
+    return owned ? &found->second : nullptr;
 }
 
-const task_core::shard* task_core::held_shard(const std::string& task) const
+const task_core::shard_state*
+task_core::owned_shard(const std::string& task) const
 {
     return const_cast<task_core*>(this)->held_shard(task); // NOLINT
 }
 
 const task_record* task_core::find(const std::string& task) const
 {
-    const shard* const of = held_shard(task);
-    return of == nullptr ? nullptr : of->book.find(task);
+    const shard_state* const shard = owned_shard(task);
+    return shard == nullptr ? nullptr : shard->tasks.find(task);
 }
 
 std::vector<task_record>
 task_core::records_of(const std::string& workspace) const
 {
     std::vector<task_record> records;
-    for (const auto& [number, of] : shards_)
+    for (const auto& [number, shard] : shards_)
     {
-        for (const auto& [id, record] : of.book.all())
+        for (const auto& [id, record] : shard.tasks.all())
         {
             if (record.spec.of.workspace == workspace)
             {
@@ -73,9 +75,9 @@
 std::vector<std::int64_t> task_core::held() const
 {
     std::vector<std::int64_t> numbers;
-    for (const auto& [number, of] : shards_)
+    for (const auto& [number, shard] : shards_)
     {
-        if (of.at == phase::held)
+        if (shard.state == phase::owned)
         {
             numbers.push_back(number);
         }
@@ -103,12 +105,12 @@
 // Callers
 // ---------------------------------------------------------------------------
 
-void task_core::queue_step(shard& to, task_call call, time_point deadline,
-                           task_transition step)
+void task_core::queue_step(shard_state& shard, task_call call,
+                           time_point deadline, task_transition step)
 {
-    to.calls.push_back(
+    shard.calls.push_back(
         {.call = call, .task = step.task, .deadline = deadline, .sent = false});
-    add(to, std::move(step));
+    append_step(shard, std::move(step));
 }
 
 std::string task_core::new_id(std::int64_t number)
@@ -147,7 +149,7 @@
     }
     if (!store_available_)
     {
-        reject(refusal::store_unavailable, retry_soon, "");
+        reject(refusal::store_unavailable, short_retry_after, "");
         return;
     }
     if (!guards.empty() && !fits_somewhere(spec, guards))
@@ -156,43 +158,45 @@
                "no worker is large enough for what the task needs");
         return;
     }
-    shard* emptiest = nullptr;
+    shard_state* least_loaded = nullptr;
     std::int64_t number = 0;
-    for (auto& [candidate, of] : shards_)
+    for (auto& [candidate, shard] : shards_)
     {
-        if (of.at == phase::held &&
-            (emptiest == nullptr ||
-             of.book.all().size() + of.pending.size() <
-                 emptiest->book.all().size() + emptiest->pending.size()))
+        if (shard.state == phase::owned &&
+            (least_loaded == nullptr ||
+             shard.tasks.all().size() + shard.pending.size() <
+                 least_loaded->tasks.all().size() +
+                     least_loaded->pending.size()))
         {
-            emptiest = &of;
+            least_loaded = &shard;
             number = candidate;
         }
     }
-    if (emptiest == nullptr || draining_)
+    if (least_loaded == nullptr || draining_)
     {
-        reject(refusal::starting, retry_soon, "no shard is held here");
+        reject(refusal::starting, short_retry_after, "no shard is held here");
         return;
     }
-    if (emptiest->pending.size() >= max_pending || emptiest->too_large)
+    if (least_loaded->pending.size() >= max_pending ||
+        least_loaded->near_size_limit)
     {
-        reject(refusal::queue_full, retry_soon, "too many tasks wait");
+        reject(refusal::queue_full, short_retry_after, "too many tasks wait");
         return;
     }
     spec.id = new_id(number);
     task_transition step;
     step.task = spec.id;
     step.spec = std::move(spec);
-    queue_step(*emptiest, call, deadline, std::move(step));
+    queue_step(*least_loaded, call, deadline, std::move(step));
 }
 
 void task_core::on_cancel(task_call call, time_point deadline,
                           const std::string& workspace, const std::string& task,
                           task_actions& actions)
 {
-    shard* const of = held_shard(task);
+    shard_state* const shard = owned_shard(task);
     const task_record* const record =
-        of == nullptr ? nullptr : of->book.find(task);
+        shard == nullptr ? nullptr : shard->tasks.find(task);
     if (record == nullptr || record->spec.of.workspace != workspace)
     {
         actions.emplace_back(
@@ -212,13 +216,13 @@
         actions.emplace_back(task_answer{
             .call = call,
             .record = {},
-            .wrong = not_run(refusal::store_unavailable, retry_soon)});
+            .wrong = not_run(refusal::store_unavailable, short_retry_after)});
         return;
     }
     task_transition step;
     step.what = task_transition::step::cancel;
     step.task = task;
-    queue_step(*of, call, deadline, std::move(step));
+    queue_step(*shard, call, deadline, std::move(step));
 }
 
 // ---------------------------------------------------------------------------
@@ -245,32 +249,33 @@
                            .keep_checkpoint = keep_checkpoint}});
 }
 
-void task_core::take_failure(const std::string& guard,
-                             const task_record& record,
-                             const attempt_report& report)
+void task_core::record_failed_attempt(const std::string& guard,
+                                      const task_record& record,
+                                      const attempt_report& report)
 {
     failed_on_[record.spec.id].insert({guard});
-    const bool for_good = record.failures + 1 >= options_.max_failures;
+    const bool is_final_failure = record.failures + 1 >= options_.max_failures;
     task_transition step;
-    step.what =
-        for_good ? task_transition::step::fail : task_transition::step::retry;
+    step.what = is_final_failure ? task_transition::step::fail
+                                 : task_transition::step::retry;
     step.task = report.task;
     step.attempt = report.attempt;
     step.detail = bounded(report.detail);
-    add(*held_shard(report.task), std::move(step));
+    append_step(*owned_shard(report.task), std::move(step));
 }
 
-void task_core::take_ended(const std::string& guard, const task_record& record,
-                           const attempt_report& report)
+void task_core::record_ended_attempt(const std::string& guard,
+                                     const task_record& record,
+                                     const attempt_report& report)
 {
     if (report.state == "failed")
     {
-        take_failure(guard, record, report);
+        record_failed_attempt(guard, record, report);
         return;
     }
     if (report.state == "lost")
     {
-        lose(report.task, report.attempt, bounded(report.detail));
+        record_lost(report.task, report.attempt, bounded(report.detail));
         return;
     }
     task_transition step;
@@ -279,17 +284,17 @@
     step.task = report.task;
     step.attempt = report.attempt;
     step.detail = bounded(report.detail);
-    add(*held_shard(report.task), std::move(step));
+    append_step(*owned_shard(report.task), std::move(step));
 }
 
-void task_core::lose(const std::string& task, std::int64_t attempt,
-                     const std::string& why)
+void task_core::record_lost(const std::string& task, std::int64_t attempt,
+                            const std::string& why)
 {
-    shard* const of = held_shard(task);
+    shard_state* const shard = owned_shard(task);
     const task_record* const record =
-        of == nullptr ? nullptr : of->book.find(task);
+        shard == nullptr ? nullptr : shard->tasks.find(task);
     if (record == nullptr || record->state != task_state::placed ||
-        record->attempt != attempt || of->busy.contains(task))
+        record->attempt != attempt || shard->uncommitted_tasks.contains(task))
     {
         return;
     }
@@ -299,14 +304,15 @@
     step.task = task;
     step.attempt = attempt;
     step.detail = why;
-    add(*of, std::move(step));
+    append_step(*shard, std::move(step));
 }
 
 // A placed attempt that its guard does not list: the start is on its way,
 // or was lost, or the guard is a new process. A stop tells which, and closes
 // the attempt there, so that no late start can follow.
-void task_core::check_missing(time_point now, const guard_report& report,
-                              task_actions& actions)
+void task_core::handle_missing_attempts(time_point now,
+                                        const guard_report& report,
+                                        task_actions& actions)
 {
     const auto placed = placed_on_.find(report.guard.value);
     if (placed == placed_on_.end() || !report.tasks_ready)
@@ -325,7 +331,7 @@
                           record->state == task_state::placed &&
                           record->guard == report.guard.value;
         if (!here || listed.contains(task) ||
-            held_shard(task)->busy.contains(task))
+            owned_shard(task)->uncommitted_tasks.contains(task))
         {
             continue;
         }
@@ -339,7 +345,7 @@
         const auto sent = starts_.find(task);
         const bool due = sent == starts_.end() ||
                          sent->second.attempt != record->attempt ||
-                         now - sent->second.at > options_.resend_start;
+                         now - sent->second.sent_at > options_.resend_start;
         if (due)
         {
             start_placed(now, *record, actions);
@@ -350,12 +356,12 @@
 // A task that is not in the book may be a later holder's, if this entry was
 // overtaken and does not know it yet. It is a stranger only once the store
 // has named this entry the holder after the attempt was seen.
-bool task_core::is_orphan(time_point now, const shard& of,
+bool task_core::is_orphan(time_point now, const shard_state& shard,
                           const attempt_report& attempt)
 {
-    const auto [seen, fresh] =
-        unknown_since_.try_emplace({attempt.task, attempt.attempt}, now);
-    return !fresh && of.confirmed > seen->second;
+    const auto [seen, fresh] = unknown_attempts_since_.try_emplace(
+        {attempt.task, attempt.attempt}, now);
+    return !fresh && shard.confirmed_at > seen->second;
 }
 
 std::vector<attempt_ack> task_core::on_report(time_point now,
@@ -367,13 +373,13 @@
     addresses_[guard] = report.address;
     for (const attempt_report& attempt : report.attempts)
     {
-        const shard* const of = held_shard(attempt.task);
-        if (of == nullptr)
+        const shard_state* const shard = owned_shard(attempt.task);
+        if (shard == nullptr)
         {
             continue;
         }
         reservations_[report.guard].erase(attempt.task);
-        const task_record* const record = of->book.find(attempt.task);
+        const task_record* const record = shard->tasks.find(attempt.task);
         const bool runs =
             attempt.state == "running" || attempt.state == "starting";
         const bool current = record != nullptr &&
@@ -381,7 +387,7 @@
                              record->attempt == attempt.attempt;
         if (current)
         {
-            if (!runs && !of->busy.contains(attempt.task))
+            if (!runs && !shard->uncommitted_tasks.contains(attempt.task))
             {
                 const bool failed = attempt.state == "failed";
                 const bool ran = failed || attempt.state == "finished";
@@ -394,7 +400,7 @@
                 {
                     workers_.returned(report.guard);
                 }
-                take_ended(guard, *record, attempt);
+                record_ended_attempt(guard, *record, attempt);
             }
             continue;
         }
@@ -402,7 +408,7 @@
         {
             continue; // a later holder placed it; this one was overtaken
         }
-        if (record == nullptr && !is_orphan(now, *of, attempt))
+        if (record == nullptr && !is_orphan(now, *shard, attempt))
         {
             continue;
         }
@@ -416,29 +422,29 @@
         acked.push_back({.task = attempt.task,
                          .attempt = attempt.attempt,
                          .shard = *shard_of(attempt.task),
-                         .epoch = of->epoch});
+                         .epoch = shard->epoch});
     }
-    check_missing(now, report, actions);
+    handle_missing_attempts(now, report, actions);
     return acked;
 }
 
-void task_core::on_start_reply(const start_task& what, const task_reply& reply)
+void task_core::on_start_reply(const start_task& start, const task_reply& reply)
 {
-    const bool closed_there =
+    const bool will_not_start =
         !reply.accepted &&
         (reply.reason == "no_room" || reply.reason == "draining" ||
          reply.reason == "other_attempt" || reply.reason == "closed");
-    if (closed_there)
+    if (will_not_start)
     {
-        lose(what.spec.id, what.attempt, reply.reason);
+        record_lost(start.spec.id, start.attempt, reply.reason);
     }
 }
 
-void task_core::on_stop_reply(const stop_task& what, const task_reply& reply)
+void task_core::on_stop_reply(const stop_task& stop, const task_reply& reply)
 {
     if (reply.accepted && reply.reason == "not_here")
     {
-        lose(what.task, what.attempt, "its guard is a new process");
+        record_lost(stop.task, stop.attempt, "its guard is a new process");
     }
 }
 
@@ -448,10 +454,11 @@
     for (const std::string& name : names)
     {
         const auto view = guards.find({name});
-        const bool silent = view == guards.end() ||
-                            now - view->second.heard > options_.gone_after;
+        const bool unresponsive =
+            view == guards.end() ||
+            now - view->second.heard > options_.gone_after;
         const auto placed = placed_on_.find(name);
-        if (!silent || placed == placed_on_.end())
+        if (!unresponsive || placed == placed_on_.end())
         {
             continue;
         }
@@ -460,7 +467,7 @@
             const task_record* const record = find(task);
             if (record != nullptr && record->guard == name)
             {
-                lose(task, record->attempt, "its worker is gone");
+                record_lost(task, record->attempt, "its worker is gone");
             }
         }
     }
@@ -474,25 +481,25 @@
                         const std::set<std::string>& entries,
                         task_actions& actions)
 {
-    keep_lease(now, actions);
-    poll_shard_holders(now, actions);
-    if (seen_shards_)
+    renew_lease(now, actions);
+    poll_shard_owners(now, actions);
+    if (last_shard_poll_)
     {
-        const kv_answer seen = *std::exchange(seen_shards_, std::nullopt);
-        take_shards(now, seen, entries, actions);
+        const kv_answer seen = *std::exchange(last_shard_poll_, std::nullopt);
+        update_ownership(now, seen, entries, actions);
     }
-    std::erase_if(unknown_since_, [&](const auto& item)
+    std::erase_if(unknown_attempts_since_, [&](const auto& item)
                   { return now - item.second > options_.forget_unknown; });
-    recount();
-    place_all(now, guards);
-    for (auto& [number, of] : shards_)
+    update_usage();
+    run_placement_pass(now, guards);
+    for (auto& [number, shard] : shards_)
     {
-        expire_calls(now, of, actions);
-        if (of.again && now >= of.retry_at)
+        expire_calls(now, shard, actions);
+        if (shard.retry_operation && now >= shard.retry_at)
         {
             const kv_operation operation =
-                *std::exchange(of.again, std::nullopt);
-            send_for(of, operation, actions);
+                *std::exchange(shard.retry_operation, std::nullopt);
+            send_for(shard, operation, actions);
         }
         commit(now, number, actions);
     }
--- a/packages/entry/src/task_journal.cpp
+++ b/packages/entry/src/task_journal.cpp
@@ -14,11 +14,11 @@
 namespace
 {
 
-constexpr duration retry_soon = std::chrono::seconds(1);
+constexpr duration short_retry_after = std::chrono::seconds(1);
 
-kv_compare still_holder(std::int64_t shard, std::int64_t epoch)
+kv_compare still_owner(std::int64_t shard, std::int64_t epoch)
 {
-    return {.key = task_keys::holder(shard),
+    return {.key = task_keys::owner(shard),
             .of = kv_compare::number::create_revision,
             .equals = epoch};
 }
@@ -37,20 +37,20 @@
 
 } // namespace
 
-void task_core::add(shard& to, task_transition step)
+void task_core::append_step(shard_state& shard, task_transition step)
 {
-    to.busy.insert(step.task);
-    to.pending.push_back(std::move(step));
+    shard.uncommitted_tasks.insert(step.task);
+    shard.pending.push_back(std::move(step));
 }
 
-void task_core::recount_busy(shard& of)
+void task_core::rebuild_uncommitted_tasks(shard_state& shard)
 {
-    of.busy.clear();
-    for (const auto* steps : {&of.pending, &of.committing})
+    shard.uncommitted_tasks.clear();
+    for (const auto* steps : {&shard.pending, &shard.committing})
     {
         for (const task_transition& step : *steps)
         {
-            of.busy.insert(step.task);
+            shard.uncommitted_tasks.insert(step.task);
         }
     }
 }
@@ -58,34 +58,35 @@
 void task_core::commit(time_point now, std::int64_t number,
                        task_actions& actions)
 {
-    shard& of = shards_.at(number);
-    const bool free = of.at == phase::held && !of.token && !of.again;
-    if (!free || of.pending.empty() || now < of.next_commit)
+    shard_state& shard = shards_.at(number);
+    const bool free =
+        shard.state == phase::owned && !shard.token && !shard.retry_operation;
+    if (!free || shard.pending.empty() || now < shard.next_commit)
     {
         return;
     }
-    of.next_commit = now + options_.commit_interval;
-    of.committing = std::exchange(of.pending, {});
-    for (waiting_call& call : of.calls)
+    shard.next_commit = now + options_.commit_interval;
+    shard.committing = std::exchange(shard.pending, {});
+    for (waiting_call& call : shard.calls)
     {
         call.sent = true;
     }
-    of.nonce = next_nonce();
-    const json segment{{"nonce", of.nonce}, {"steps", of.committing}};
-    const std::string key = task_keys::segment(number, of.next_segment);
+    shard.nonce = next_nonce();
+    const json segment{{"nonce", shard.nonce}, {"steps", shard.committing}};
+    const std::string key = task_keys::segment(number, shard.next_segment);
     std::string value = segment.dump();
     ++cost_.commits;
-    cost_.transitions += of.committing.size();
+    cost_.transitions += shard.committing.size();
     cost_.bytes += value.size();
-    send_for(of,
-             kv_transaction{.compares = {still_holder(number, of.epoch),
+    send_for(shard,
+             kv_transaction{.compares = {still_owner(number, shard.epoch),
                                          {.key = key,
                                           .of = kv_compare::number::version,
                                           .equals = 0}},
                             .puts = {{.key = key, .value = std::move(value)}},
                             .deletes = {}},
              actions);
-    of.in_flight = std::get<store_call>(actions.back()).operation;
+    shard.in_flight = std::get<store_call>(actions.back()).operation;
 }
 
 std::string task_core::next_nonce()
@@ -98,44 +99,44 @@
 // back and take newer segments away.
 void task_core::snapshot(std::int64_t number, task_actions& actions)
 {
-    shard& of = shards_.at(number);
-    of.nonce = next_nonce();
-    const json document{{"nonce", of.nonce},
-                        {"book", of.book.to_document()},
-                        {"next_segment", of.next_segment}};
+    shard_state& shard = shards_.at(number);
+    shard.nonce = next_nonce();
+    const json document{{"nonce", shard.nonce},
+                        {"book", shard.tasks.to_document()},
+                        {"next_segment", shard.next_segment}};
     std::string value = document.dump();
-    of.too_large = value.size() > options_.max_snapshot_bytes;
-    of.snapshotting = true;
+    shard.near_size_limit = value.size() > options_.max_snapshot_bytes;
+    shard.snapshotting = true;
     ++cost_.commits;
     cost_.bytes += value.size();
     send_for(
-        of,
+        shard,
         kv_transaction{
-            .compares = {still_holder(number, of.epoch),
+            .compares = {still_owner(number, shard.epoch),
                          {.key = task_keys::snapshot(number),
                           .of = kv_compare::number::mod_revision,
-                          .equals = of.snapshot_revision}},
+                          .equals = shard.snapshot_revision}},
             .puts = {{.key = task_keys::snapshot(number),
                       .value = std::move(value)}},
             .deletes = {{.key = task_keys::segments(number), .prefix = true}}},
         actions);
-    of.in_flight = std::get<store_call>(actions.back()).operation;
+    shard.in_flight = std::get<store_call>(actions.back()).operation;
 }
 
 void task_core::after_commit(time_point now, std::int64_t number,
                              const kv_answer& answer, task_actions& actions)
 {
-    shard& of = shards_.at(number);
+    shard_state& shard = shards_.at(number);
     if (answer.how != kv_answer::state::done)
     {
         // The same write again: it can take effect once only.
-        of.again = of.in_flight;
-        of.retry_at = now + options_.retry;
+        shard.retry_operation = shard.in_flight;
+        shard.retry_at = now + options_.retry;
         return;
     }
-    const bool checked = std::exchange(of.checking, false);
+    const bool checked = std::exchange(shard.verifying, false);
     const bool written =
-        checked ? has_nonce(answer, of.nonce) : answer.succeeded;
+        checked ? has_nonce(answer, shard.nonce) : answer.succeeded;
     if (written)
     {
         const std::int64_t revision =
@@ -145,51 +146,53 @@
     }
     if (checked)
     {
-        drop(number, false, actions);
+        drop_shard(number, false, actions);
         return;
     }
     // Refused: an earlier copy of this write took effect, or there is
     // another holder.
-    of.checking = true;
-    of.in_flight = kv_range{
-        .key = of.snapshotting ? task_keys::snapshot(number)
-                               : task_keys::segment(number, of.next_segment)};
-    send_for(of, of.in_flight, actions);
+    shard.verifying = true;
+    shard.in_flight =
+        kv_range{.key = shard.snapshotting
+                            ? task_keys::snapshot(number)
+                            : task_keys::segment(number, shard.next_segment)};
+    send_for(shard, shard.in_flight, actions);
 }
 
 void task_core::after_write(time_point now, std::int64_t number,
                             std::int64_t revision, task_actions& actions)
 {
-    shard& of = shards_.at(number);
-    if (!std::exchange(of.snapshotting, false))
+    shard_state& shard = shards_.at(number);
+    if (!std::exchange(shard.snapshotting, false))
     {
-        committed(now, number, actions);
+        on_committed(now, number, actions);
         return;
     }
-    of.since_snapshot = 0;
-    of.snapshot_revision = revision;
+    shard.segments_since_snapshot = 0;
+    shard.snapshot_revision = revision;
 }
 
-void task_core::committed(time_point now, std::int64_t number,
-                          task_actions& actions)
+void task_core::on_committed(time_point now, std::int64_t number,
+                             task_actions& actions)
 {
     using what = task_transition::step;
-    shard& of = shards_.at(number);
-    const std::vector<task_transition> steps = std::exchange(of.committing, {});
-    recount_busy(of);
-    ++of.next_segment;
-    ++of.since_snapshot;
+    shard_state& shard = shards_.at(number);
+    const std::vector<task_transition> steps =
+        std::exchange(shard.committing, {});
+    rebuild_uncommitted_tasks(shard);
+    ++shard.next_segment;
+    ++shard.segments_since_snapshot;
     for (const task_transition& step : steps)
     {
-        const task_record* const before = of.book.find(step.task);
+        const task_record* const before = shard.tasks.find(step.task);
         const bool was_placed =
             before != nullptr && before->state == task_state::placed;
         const std::string guard = before == nullptr ? "" : before->guard;
-        if (!of.book.apply(step))
+        if (!shard.tasks.apply(step))
         {
             continue;
         }
-        const task_record& record = *of.book.find(step.task);
+        const task_record& record = *shard.tasks.find(step.task);
         if (step.what == what::place)
         {
             start_placed(now, record, actions);
@@ -212,7 +215,7 @@
         }
     }
     answer_calls(number, actions);
-    if (of.since_snapshot >= options_.snapshot_interval)
+    if (shard.segments_since_snapshot >= options_.snapshot_interval)
     {
         snapshot(number, actions);
     }
@@ -224,11 +227,11 @@
 
 void task_core::answer_calls(std::int64_t number, task_actions& actions)
 {
-    shard& of = shards_.at(number);
+    shard_state& shard = shards_.at(number);
     std::vector<waiting_call> later;
-    for (waiting_call& call : of.calls)
+    for (waiting_call& call : shard.calls)
     {
-        const task_record* const record = of.book.find(call.task);
+        const task_record* const record = shard.tasks.find(call.task);
         if (!call.sent || record == nullptr)
         {
             later.push_back(std::move(call));
@@ -237,13 +240,13 @@
         actions.emplace_back(
             task_answer{.call = call.call, .record = *record, .wrong = {}});
     }
-    of.calls = std::move(later);
+    shard.calls = std::move(later);
 }
 
-void task_core::refuse_calls(shard& of, bool may_be_written,
+void task_core::refuse_calls(shard_state& shard, bool may_be_written,
                              task_actions& actions)
 {
-    for (const waiting_call& call : of.calls)
+    for (const waiting_call& call : shard.calls)
     {
         const bool in_doubt = call.sent && may_be_written;
         actions.emplace_back(task_answer{
@@ -252,24 +255,25 @@
             .wrong = problem_report{
                 .result = in_doubt ? outcome::unknown : outcome::not_run,
                 .reason = refusal::store_unavailable,
-                .retry_after = in_doubt ? duration{0} : retry_soon,
+                .retry_after = in_doubt ? duration{0} : short_retry_after,
                 .detail = in_doubt ? call.task : std::string()}});
     }
-    of.calls.clear();
+    shard.calls.clear();
 }
 
-void task_core::expire_calls(time_point now, shard& of, task_actions& actions)
+void task_core::expire_calls(time_point now, shard_state& shard,
+                             task_actions& actions)
 {
     const bool any_late =
-        std::any_of(of.calls.begin(), of.calls.end(),
+        std::any_of(shard.calls.begin(), shard.calls.end(),
                     [&](const auto& call) { return now >= call.deadline; });
     if (!any_late)
     {
         return;
     }
     std::vector<waiting_call> left;
-    shard late;
-    for (waiting_call& call : of.calls)
+    shard_state late;
+    for (waiting_call& call : shard.calls)
     {
         if (now < call.deadline)
         {
@@ -278,13 +282,13 @@
         }
         if (!call.sent)
         {
-            std::erase_if(of.pending, [&](const task_transition& step)
+            std::erase_if(shard.pending, [&](const task_transition& step)
                           { return step.task == call.task; });
         }
         late.calls.push_back(std::move(call));
     }
-    of.calls = std::move(left);
-    recount_busy(of);
+    shard.calls = std::move(left);
+    rebuild_uncommitted_tasks(shard);
     refuse_calls(late, true, actions);
 }
 
--- a/packages/entry/src/task_keys.hpp
+++ b/packages/entry/src/task_keys.hpp
@@ -9,7 +9,7 @@
 namespace springstair::task_keys
 {
 
-inline constexpr const char* holders = "springstair/shards/";
+inline constexpr const char* owners = "springstair/shards/";
 
 inline std::string padded(std::int64_t number)
 {
@@ -19,9 +19,9 @@
     return digits.data();
 }
 
-inline std::string holder(std::int64_t shard)
+inline std::string owner(std::int64_t shard)
 {
-    return holders + padded(shard);
+    return owners + padded(shard);
 }
 
 inline std::string all_of(std::int64_t shard)
--- a/packages/entry/src/task_placement.cpp
+++ b/packages/entry/src/task_placement.cpp
@@ -38,34 +38,36 @@
 // What became of it otherwise (another holder, another guard) frees it.
 void task_core::drop_stale_reservations()
 {
-    for (auto& promised : reservations_)
+    for (auto& reserved : reservations_)
     {
-        const std::string& guard = promised.first.value;
-        auto& tasks = promised.second;
+        const std::string& guard = reserved.first.value;
+        auto& tasks = reserved.second;
         std::erase_if(tasks,
                       [&](const auto& item)
                       {
-                          const shard* const of = held_shard(item.first);
+                          const shard_state* const shard =
+                              owned_shard(item.first);
                           const task_record* const record = find(item.first);
                           const bool placed_there =
                               record != nullptr &&
                               record->state == task_state::placed &&
                               record->guard == guard;
                           const bool on_its_way =
-                              of != nullptr && of->busy.contains(item.first);
+                              shard != nullptr &&
+                              shard->uncommitted_tasks.contains(item.first);
                           return !placed_there && !on_its_way;
                       });
     }
 }
 
-void task_core::recount()
+void task_core::update_usage()
 {
     drop_stale_reservations();
     usage_.clear();
     placed_on_.clear();
-    for (const auto& [number, of] : shards_)
+    for (const auto& [number, shard] : shards_)
     {
-        for (const auto& [id, record] : of.book.all())
+        for (const auto& [id, record] : shard.tasks.all())
         {
             if (record.state == task_state::placed)
             {
@@ -73,17 +75,17 @@
                 placed_on_[record.guard].insert(id);
             }
         }
-        for (const task_transition& step : of.pending)
+        for (const task_transition& step : shard.pending)
         {
-            const task_record* const record = of.book.find(step.task);
+            const task_record* const record = shard.tasks.find(step.task);
             if (step.what == task_transition::step::place && record != nullptr)
             {
                 usage_[record->spec.of.workspace] += record->spec.needs;
             }
         }
-        for (const task_transition& step : of.committing)
+        for (const task_transition& step : shard.committing)
         {
-            const task_record* const record = of.book.find(step.task);
+            const task_record* const record = shard.tasks.find(step.task);
             if (step.what == task_transition::step::place && record != nullptr)
             {
                 usage_[record->spec.of.workspace] += record->spec.needs;
@@ -101,9 +103,9 @@
     }
     for (const auto& [peer, usage] : peer_usage_)
     {
-        if (const auto of = usage.find(workspace); of != usage.end())
+        if (const auto found = usage.find(workspace); found != usage.end())
         {
-            used += of->second;
+            used += found->second;
         }
     }
     return used;
@@ -146,10 +148,10 @@
 resources task_core::free_of(const guard_view& view) const
 {
     resources free = view.report.free;
-    const auto promised = reservations_.find(view.report.guard);
-    if (promised != reservations_.end())
+    const auto reserved = reservations_.find(view.report.guard);
+    if (reserved != reservations_.end())
     {
-        for (const auto& [task, needs] : promised->second)
+        for (const auto& [task, needs] : reserved->second)
         {
             free -= needs;
         }
@@ -157,10 +159,10 @@
     return free;
 }
 
-task_core::loaded_guards task_core::fitting(time_point now,
-                                            const task_record& record,
-                                            const guard_views& guards,
-                                            bool also_failed) const
+task_core::loaded_guards task_core::fitting_guards(time_point now,
+                                                   const task_record& record,
+                                                   const guard_views& guards,
+                                                   bool include_failed) const
 {
     const directory_options liveness;
     const auto failed = failed_on_.find(record.spec.id);
@@ -170,7 +172,7 @@
         const bool failed_here =
             failed != failed_on_.end() && failed->second.contains(name);
         if (!view.usable(now, liveness) || !view.report.tasks_ready ||
-            (failed_here && !also_failed) ||
+            (failed_here && !include_failed) ||
             !workers_.may_send(now, name, true) ||
             !record.spec.needs.fits(free_of(view)))
         {
@@ -189,24 +191,25 @@
                                                   const task_record& record,
                                                   const guard_views& guards)
 {
-    loaded_guards found = fitting(now, record, guards, false);
+    loaded_guards found = fitting_guards(now, record, guards, false);
     if (found.empty() && failed_on_.contains(record.spec.id))
     {
-        found = fitting(now, record, guards, true);
+        found = fitting_guards(now, record, guards, true);
     }
     if (found.empty())
     {
         return std::nullopt;
     }
-    const std::size_t few = std::min(sample_size, found.size());
-    for (std::size_t index = 0; index < few; ++index)
+    const std::size_t sample_count = std::min(sample_size, found.size());
+    for (std::size_t index = 0; index < sample_count; ++index)
     {
         std::uniform_int_distribution<std::size_t> rest(index,
                                                         found.size() - 1);
         std::swap(found[index], found[rest(random_)]);
     }
     return std::min_element(found.begin(),
-                            found.begin() + static_cast<std::ptrdiff_t>(few))
+                            found.begin() +
+                                static_cast<std::ptrdiff_t>(sample_count))
         ->second;
 }
 
@@ -217,15 +220,16 @@
 task_core::waiting_tasks task_core::waiting() const
 {
     waiting_tasks all;
-    for (const auto& [number, of] : shards_)
+    for (const auto& [number, shard] : shards_)
     {
-        if (of.at != phase::held)
+        if (shard.state != phase::owned)
         {
             continue;
         }
-        for (const auto& [id, record] : of.book.all())
+        for (const auto& [id, record] : shard.tasks.all())
         {
-            if (record.state == task_state::queued && !of.busy.contains(id))
+            if (record.state == task_state::queued &&
+                !shard.uncommitted_tasks.contains(id))
             {
                 all[record.spec.of.workspace].push_back(&record);
             }
@@ -241,8 +245,8 @@
     return all;
 }
 
-bool task_core::place_one(time_point now, const task_record& record,
-                          const guard_views& guards)
+bool task_core::place_task(time_point now, const task_record& record,
+                           const guard_views& guards)
 {
     if (!within_quota(record.spec))
     {
@@ -263,11 +267,11 @@
     reservations_[*chosen][record.spec.id] = record.spec.needs;
     usage_[record.spec.of.workspace] += record.spec.needs;
     workers_.sent(now, *chosen);
-    add(*held_shard(record.spec.id), std::move(step));
+    append_step(*owned_shard(record.spec.id), std::move(step));
     return true;
 }
 
-void task_core::place_all(time_point now, const guard_views& guards)
+void task_core::run_placement_pass(time_point now, const guard_views& guards)
 {
     if (!store_available_ || draining_)
     {
@@ -291,10 +295,10 @@
                              });
         const task_record* const record = next->second.back();
         next->second.pop_back();
-        const bool placed = place_one(now, *record, guards);
+        const bool placed = place_task(now, *record, guards);
         places += placed ? 1 : 0;
-        const bool tired = !placed && ++tries[next->first] >= max_tries;
-        if (next->second.empty() || tired)
+        const bool exhausted = !placed && ++tries[next->first] >= max_tries;
+        if (next->second.empty() || exhausted)
         {
             queues.erase(next);
         }
@@ -306,7 +310,7 @@
 {
     const auto address = addresses_.find(record.guard);
     const std::int64_t number = *shard_of(record.spec.id);
-    starts_[record.spec.id] = {.attempt = record.attempt, .at = now};
+    starts_[record.spec.id] = {.attempt = record.attempt, .sent_at = now};
     if (address == addresses_.end())
     {
         return;
--- a/packages/entry/src/task_shards.cpp
+++ b/packages/entry/src/task_shards.cpp
@@ -15,8 +15,8 @@
 {
 
 // Every entry ranks the others alike, without a word between them.
-std::string preferred_holder(std::int64_t shard,
-                             const std::set<std::string>& entries)
+std::string preferred_owner(std::int64_t shard,
+                            const std::set<std::string>& entries)
 {
     std::string best;
     std::string best_rank;
@@ -35,20 +35,20 @@
 
 } // namespace
 
-store_call task_core::ask(kv_operation operation)
+store_call task_core::make_call(kv_operation operation)
 {
     return {.token = next_token_++, .operation = std::move(operation)};
 }
 
-void task_core::send_for(shard& of, kv_operation operation,
+void task_core::send_for(shard_state& shard, kv_operation operation,
                          task_actions& actions)
 {
     const auto number =
         std::find_if(shards_.begin(), shards_.end(),
-                     [&](const auto& item) { return &item.second == &of; })
+                     [&](const auto& item) { return &item.second == &shard; })
             ->first;
-    store_call call = ask(std::move(operation));
-    of.token = call.token;
+    store_call call = make_call(std::move(operation));
+    shard.token = call.token;
     shard_of_token_[call.token] = number;
     actions.emplace_back(std::move(call));
 }
@@ -57,27 +57,27 @@
 // The lease
 // ---------------------------------------------------------------------------
 
-void task_core::keep_lease(time_point now, task_actions& actions)
+void task_core::renew_lease(time_point now, task_actions& actions)
 {
     if (lease_token_ || now < next_renewal_)
     {
         return;
     }
     next_renewal_ = now + options_.renew_interval;
-    store_call call = lease_ == 0
-                          ? ask(kv_grant{.ttl_seconds = options_.lease_seconds})
-                          : ask(kv_keep_alive{.lease = lease_});
+    store_call call =
+        lease_ == 0 ? make_call(kv_grant{.ttl_seconds = options_.lease_seconds})
+                    : make_call(kv_keep_alive{.lease = lease_});
     lease_token_ = call.token;
     actions.emplace_back(std::move(call));
 }
 
-void task_core::drop_all(task_actions& actions)
+void task_core::drop_all_shards(task_actions& actions)
 {
-    for (auto& [number, of] : shards_)
+    for (auto& [number, shard] : shards_)
     {
-        if (of.at != phase::foreign)
+        if (shard.state != phase::unowned)
         {
-            drop(number, true, actions);
+            drop_shard(number, true, actions);
         }
     }
 }
@@ -86,89 +86,91 @@
 // Holders' keys
 // ---------------------------------------------------------------------------
 
-void task_core::poll_shard_holders(time_point now, task_actions& actions)
+void task_core::poll_shard_owners(time_point now, task_actions& actions)
 {
-    if (shard_poll_token_ || now < next_look_)
+    if (shard_poll_token_ || now < next_shard_poll_)
     {
         return;
     }
-    next_look_ = now + options_.shard_poll_interval;
-    store_call call = ask(kv_range{.key = task_keys::holders, .prefix = true});
+    next_shard_poll_ = now + options_.shard_poll_interval;
+    store_call call =
+        make_call(kv_range{.key = task_keys::owners, .prefix = true});
     shard_poll_token_ = call.token;
     shard_poll_sent_at_ = now;
     actions.emplace_back(std::move(call));
 }
 
-void task_core::take_shards(time_point now, const kv_answer& answer,
-                            const std::set<std::string>& entries,
-                            task_actions& actions)
+void task_core::update_ownership(time_point now, const kv_answer& answer,
+                                 const std::set<std::string>& entries,
+                                 task_actions& actions)
 {
     const std::string self = options_.name.value + "." + options_.incarnation;
-    std::map<std::string, const kv_item*> holders;
+    std::map<std::string, const kv_item*> owners;
     for (const kv_item& item : answer.items)
     {
-        holders[item.key] = &item;
+        owners[item.key] = &item;
     }
-    for (auto& [number, of] : shards_)
+    for (auto& [number, shard] : shards_)
     {
-        const auto found = holders.find(task_keys::holder(number));
-        const kv_item* const holder =
-            found == holders.end() ? nullptr : found->second;
-        const bool quiet = of.pending.empty() && of.committing.empty() &&
-                           of.calls.empty() && !of.token && !of.again;
-        const std::string preferred = preferred_holder(number, entries);
-        if (holder != nullptr)
+        const auto found = owners.find(task_keys::owner(number));
+        const kv_item* const owner =
+            found == owners.end() ? nullptr : found->second;
+        const bool idle = shard.pending.empty() && shard.committing.empty() &&
+                          shard.calls.empty() && !shard.token &&
+                          !shard.retry_operation;
+        const std::string preferred = preferred_owner(number, entries);
+        if (owner != nullptr)
         {
-            of.free_since = time_point{};
+            shard.unowned_since = time_point{};
         }
-        if (of.at == phase::held)
+        if (shard.state == phase::owned)
         {
-            const bool overtaken =
-                holder != nullptr && holder->create_revision > of.epoch;
-            if (holder != nullptr && holder->create_revision == of.epoch)
+            const bool superseded =
+                owner != nullptr && owner->create_revision > shard.epoch;
+            if (owner != nullptr && owner->create_revision == shard.epoch)
             {
-                of.confirmed = shard_poll_sent_at_;
+                shard.confirmed_at = shard_poll_sent_at_;
             }
-            if (overtaken)
+            if (superseded)
             {
-                drop(number, false, actions);
+                drop_shard(number, false, actions);
             }
-            else if (quiet && (draining_ || preferred != options_.name.value))
+            else if (idle && (draining_ || preferred != options_.name.value))
             {
-                give_up(number, actions);
+                release_shard(number, actions);
             }
             continue;
         }
-        if (of.at != phase::foreign || draining_ || lease_ == 0)
+        if (shard.state != phase::unowned || draining_ || lease_ == 0)
         {
             continue;
         }
-        if (holder != nullptr && holder->value == self)
+        if (owner != nullptr && owner->value == self)
         {
-            of.epoch = holder->create_revision; // the answer had been lost
-            load(number, actions);
+            shard.epoch = owner->create_revision; // the answer had been lost
+            load_shard(number, actions);
         }
-        else if (holder == nullptr)
+        else if (owner == nullptr)
         {
-            if (of.free_since == time_point{})
+            if (shard.unowned_since == time_point{})
             {
-                of.free_since = now;
+                shard.unowned_since = now;
             }
             if (preferred == options_.name.value ||
-                now - of.free_since > options_.takeover_delay)
+                now - shard.unowned_since > options_.takeover_delay)
             {
-                acquire(number, actions);
+                acquire_shard(number, actions);
             }
         }
     }
 }
 
-void task_core::acquire(std::int64_t number, task_actions& actions)
+void task_core::acquire_shard(std::int64_t number, task_actions& actions)
 {
-    shard& of = shards_.at(number);
-    of.at = phase::acquiring;
-    const std::string key = task_keys::holder(number);
-    send_for(of,
+    shard_state& shard = shards_.at(number);
+    shard.state = phase::acquiring;
+    const std::string key = task_keys::owner(number);
+    send_for(shard,
              kv_transaction{.compares = {{.key = key,
                                           .of = kv_compare::number::version,
                                           .equals = 0}},
@@ -183,45 +185,47 @@
 void task_core::after_acquire(std::int64_t number, const kv_answer& answer,
                               task_actions& actions)
 {
-    shard& of = shards_.at(number);
-    of.at = phase::foreign;
+    shard_state& shard = shards_.at(number);
+    shard.state = phase::unowned;
     if (answer.how == kv_answer::state::done && answer.succeeded)
     {
-        of.epoch = answer.revision;
-        load(number, actions);
+        shard.epoch = answer.revision;
+        load_shard(number, actions);
     }
 }
 
-void task_core::load(std::int64_t number, task_actions& actions)
+void task_core::load_shard(std::int64_t number, task_actions& actions)
 {
-    shard& of = shards_.at(number);
-    of.at = phase::loading;
-    send_for(of, kv_range{.key = task_keys::all_of(number), .prefix = true},
+    shard_state& shard = shards_.at(number);
+    shard.state = phase::loading;
+    send_for(shard, kv_range{.key = task_keys::all_of(number), .prefix = true},
              actions);
 }
 
 void task_core::after_load(time_point now, std::int64_t number,
                            const kv_answer& answer, task_actions& actions)
 {
-    shard& of = shards_.at(number);
+    shard_state& shard = shards_.at(number);
     if (answer.how != kv_answer::state::done)
     {
-        of.again = kv_range{.key = task_keys::all_of(number), .prefix = true};
-        of.retry_at = now + options_.retry;
+        shard.retry_operation =
+            kv_range{.key = task_keys::all_of(number), .prefix = true};
+        shard.retry_at = now + options_.retry;
         return;
     }
-    of.book = shard_tasks{};
-    of.next_segment = 1;
-    of.since_snapshot = 0;
-    of.snapshot_revision = 0;
+    shard.tasks = shard_tasks{};
+    shard.next_segment = 1;
+    shard.segments_since_snapshot = 0;
+    shard.snapshot_revision = 0;
     for (const kv_item& item : answer.items)
     {
         if (item.key == task_keys::snapshot(number))
         {
             const json document = json::parse(item.value);
-            of.snapshot_revision = item.mod_revision;
-            of.book = shard_tasks::parse(document.at("book"));
-            of.next_segment = document.at("next_segment").get<std::int64_t>();
+            shard.snapshot_revision = item.mod_revision;
+            shard.tasks = shard_tasks::parse(document.at("book"));
+            shard.next_segment =
+                document.at("next_segment").get<std::int64_t>();
         }
     }
     for (const kv_item& item : answer.items)
@@ -233,48 +237,48 @@
         }
         const std::int64_t sequence =
             std::stoll(item.key.substr(prefix.size()));
-        if (sequence < of.next_segment)
+        if (sequence < shard.next_segment)
         {
             continue; // in the snapshot already
         }
         const json segment = json::parse(item.value);
         for (const json& step : segment.at("steps"))
         {
-            of.book.apply(step.get<task_transition>());
+            shard.tasks.apply(step.get<task_transition>());
         }
-        of.next_segment = sequence + 1;
-        ++of.since_snapshot;
+        shard.next_segment = sequence + 1;
+        ++shard.segments_since_snapshot;
     }
-    of.at = phase::held;
+    shard.state = phase::owned;
     actions.emplace_back(
         log_shard{.event = event_id::shard_taken, .shard = number});
 }
 
-void task_core::give_up(std::int64_t number, task_actions& actions)
+void task_core::release_shard(std::int64_t number, task_actions& actions)
 {
-    shard& of = shards_.at(number);
-    const std::string key = task_keys::holder(number);
-    actions.emplace_back(ask(
+    shard_state& shard = shards_.at(number);
+    const std::string key = task_keys::owner(number);
+    actions.emplace_back(make_call(
         kv_transaction{.compares = {{.key = key,
                                      .of = kv_compare::number::create_revision,
-                                     .equals = of.epoch}},
+                                     .equals = shard.epoch}},
                        .puts = {},
                        .deletes = {{.key = key}}}));
-    drop(number, false, actions);
+    drop_shard(number, false, actions);
 }
 
-void task_core::drop(std::int64_t number, bool may_be_written,
-                     task_actions& actions)
+void task_core::drop_shard(std::int64_t number, bool may_be_written,
+                           task_actions& actions)
 {
-    shard& of = shards_.at(number);
-    refuse_calls(of, may_be_written, actions);
-    if (of.token)
+    shard_state& shard = shards_.at(number);
+    refuse_calls(shard, may_be_written, actions);
+    if (shard.token)
     {
-        shard_of_token_.erase(*of.token);
+        shard_of_token_.erase(*shard.token);
     }
-    const bool was_held = of.at == phase::held;
-    of = shard{};
-    if (was_held)
+    const bool was_owned = shard.state == phase::owned;
+    shard = shard_state{};
+    if (was_owned)
     {
         actions.emplace_back(
             log_shard{.event = event_id::shard_lost, .shard = number});
@@ -284,8 +288,8 @@
 void task_core::on_drain(time_point now, task_actions& actions)
 {
     draining_ = true;
-    next_look_ = now;
-    poll_shard_holders(now, actions);
+    next_shard_poll_ = now;
+    poll_shard_owners(now, actions);
 }
 
 // ---------------------------------------------------------------------------
@@ -308,7 +312,7 @@
         {
             lease_ = 0;
             next_renewal_ = now;
-            drop_all(actions);
+            drop_all_shards(actions);
         }
         return;
     }
@@ -317,7 +321,7 @@
         shard_poll_token_.reset();
         if (answered)
         {
-            seen_shards_ = answer;
+            last_shard_poll_ = answer;
         }
         return;
     }
@@ -328,9 +332,9 @@
     }
     const std::int64_t number = found->second;
     shard_of_token_.erase(found);
-    shard& of = shards_.at(number);
-    of.token.reset();
-    switch (of.at)
+    shard_state& shard = shards_.at(number);
+    shard.token.reset();
+    switch (shard.state)
     {
     case phase::acquiring:
         after_acquire(number, answer, actions);
@@ -338,10 +342,10 @@
     case phase::loading:
         after_load(now, number, answer, actions);
         break;
-    case phase::held:
+    case phase::owned:
         after_commit(now, number, answer, actions);
         break;
-    case phase::foreign:
+    case phase::unowned:
         break;
     }
 }
--- a/packages/tasks/include/springstair/detail/tasks/shard_tasks.hpp
+++ b/packages/tasks/include/springstair/detail/tasks/shard_tasks.hpp
@@ -125,12 +125,12 @@
     std::deque<std::string> ended_; ///< oldest first
 };
 
-void to_json(json& to, const task_spec& from);
-void from_json(const json& from, task_spec& to);
-void to_json(json& to, const task_record& from);
-void from_json(const json& from, task_record& to);
-void to_json(json& to, const task_transition& from);
-void from_json(const json& from, task_transition& to);
+void to_json(json& document, const task_spec& value);
+void from_json(const json& document, task_spec& value);
+void to_json(json& document, const task_record& value);
+void from_json(const json& document, task_record& value);
+void to_json(json& document, const task_transition& value);
+void from_json(const json& document, task_transition& value);
 
 /// @brief The shard in a task's id, or nothing if it is not an id.
 std::optional<std::int64_t> shard_of(const std::string& task);
--- a/packages/tasks/src/shard_tasks.cpp
+++ b/packages/tasks/src/shard_tasks.cpp
@@ -15,9 +15,9 @@
     "accept", "place", "evict", "lose", "retry", "finish", "fail", "cancel"};
 
 template <class Enum>
-Enum enum_from(const json& from)
+Enum enum_from(const json& document)
 {
-    const auto name = from.get<std::string>();
+    const auto name = document.get<std::string>();
     if (const auto value = from_string<Enum>(name))
     {
         return *value;
@@ -161,102 +161,102 @@
 
 shard_tasks shard_tasks::parse(const json& document)
 {
-    shard_tasks book;
+    shard_tasks parsed;
     for (const json& item : document.at("tasks"))
     {
         auto record = item.get<task_record>();
         const std::string id = record.spec.id;
-        book.records_.emplace(id, std::move(record));
+        parsed.records_.emplace(id, std::move(record));
     }
-    document.at("ended").get_to(book.ended_);
-    return book;
+    document.at("ended").get_to(parsed.ended_);
+    return parsed;
 }
 
 // ---------------------------------------------------------------------------
 // Wire form
 // ---------------------------------------------------------------------------
 
-void to_json(json& to, const task_spec& from)
+void to_json(json& document, const task_spec& value)
 {
-    to = {{"id", from.id},
-          {"workspace", from.of.workspace},
-          {"class", from.of.work_class},
-          {"needs", from.needs},
-          {"run_ms", from.run_ms},
-          {"urgent", from.urgent},
-          {"payload", from.payload}};
+    document = {{"id", value.id},
+                {"workspace", value.of.workspace},
+                {"class", value.of.work_class},
+                {"needs", value.needs},
+                {"run_ms", value.run_ms},
+                {"urgent", value.urgent},
+                {"payload", value.payload}};
 }
 
-void from_json(const json& from, task_spec& to)
+void from_json(const json& document, task_spec& value)
 {
-    from.at("id").get_to(to.id);
-    from.at("workspace").get_to(to.of.workspace);
-    from.at("class").get_to(to.of.work_class);
-    from.at("needs").get_to(to.needs);
-    from.at("run_ms").get_to(to.run_ms);
-    from.at("urgent").get_to(to.urgent);
-    from.at("payload").get_to(to.payload);
+    document.at("id").get_to(value.id);
+    document.at("workspace").get_to(value.of.workspace);
+    document.at("class").get_to(value.of.work_class);
+    document.at("needs").get_to(value.needs);
+    document.at("run_ms").get_to(value.run_ms);
+    document.at("urgent").get_to(value.urgent);
+    document.at("payload").get_to(value.payload);
 }
 
-void to_json(json& to, const task_record& from)
+void to_json(json& document, const task_record& value)
 {
-    to = {{"spec", from.spec},
-          {"state", to_string(from.state)},
-          {"attempt", from.attempt},
-          {"guard", from.guard},
-          {"incarnation", from.incarnation},
-          {"checkpoint", from.checkpoint},
-          {"failures", from.failures},
-          {"evictions", from.evictions},
-          {"detail", from.detail}};
+    document = {{"spec", value.spec},
+                {"state", to_string(value.state)},
+                {"attempt", value.attempt},
+                {"guard", value.guard},
+                {"incarnation", value.incarnation},
+                {"checkpoint", value.checkpoint},
+                {"failures", value.failures},
+                {"evictions", value.evictions},
+                {"detail", value.detail}};
 }
 
-void from_json(const json& from, task_record& to)
+void from_json(const json& document, task_record& value)
 {
-    from.at("spec").get_to(to.spec);
-    to.state = enum_from<task_state>(from.at("state"));
-    from.at("attempt").get_to(to.attempt);
-    from.at("guard").get_to(to.guard);
-    from.at("incarnation").get_to(to.incarnation);
-    from.at("checkpoint").get_to(to.checkpoint);
-    from.at("failures").get_to(to.failures);
-    from.at("evictions").get_to(to.evictions);
-    from.at("detail").get_to(to.detail);
+    document.at("spec").get_to(value.spec);
+    value.state = enum_from<task_state>(document.at("state"));
+    document.at("attempt").get_to(value.attempt);
+    document.at("guard").get_to(value.guard);
+    document.at("incarnation").get_to(value.incarnation);
+    document.at("checkpoint").get_to(value.checkpoint);
+    document.at("failures").get_to(value.failures);
+    document.at("evictions").get_to(value.evictions);
+    document.at("detail").get_to(value.detail);
 }
 
-void to_json(json& to, const task_transition& from)
+void to_json(json& document, const task_transition& value)
 {
-    to = {{"step", to_string(from.what)}, {"task", from.task}};
-    if (from.attempt != 0)
+    document = {{"step", to_string(value.what)}, {"task", value.task}};
+    if (value.attempt != 0)
     {
-        to["attempt"] = from.attempt;
+        document["attempt"] = value.attempt;
     }
-    if (!from.guard.empty())
+    if (!value.guard.empty())
     {
-        to["guard"] = from.guard;
-        to["incarnation"] = from.incarnation;
+        document["guard"] = value.guard;
+        document["incarnation"] = value.incarnation;
     }
-    if (!from.detail.empty())
+    if (!value.detail.empty())
     {
-        to["detail"] = from.detail;
+        document["detail"] = value.detail;
     }
-    if (from.spec)
+    if (value.spec)
     {
-        to["spec"] = *from.spec;
+        document["spec"] = *value.spec;
     }
 }
 
-void from_json(const json& from, task_transition& to)
+void from_json(const json& document, task_transition& value)
 {
-    to.what = enum_from<task_transition::step>(from.at("step"));
-    from.at("task").get_to(to.task);
-    to.attempt = from.value("attempt", std::int64_t{0});
-    to.guard = from.value("guard", std::string());
-    to.incarnation = from.value("incarnation", std::string());
-    to.detail = from.value("detail", std::string());
-    if (const auto spec = from.find("spec"); spec != from.end())
+    value.what = enum_from<task_transition::step>(document.at("step"));
+    document.at("task").get_to(value.task);
+    value.attempt = document.value("attempt", std::int64_t{0});
+    value.guard = document.value("guard", std::string());
+    value.incarnation = document.value("incarnation", std::string());
+    value.detail = document.value("detail", std::string());
+    if (const auto spec = document.find("spec"); spec != document.end())
     {
-        to.spec = spec->get<task_spec>();
+        value.spec = spec->get<task_spec>();
     }
 }
 
--- a/tests/unit/memory_store.hpp
+++ b/tests/unit/memory_store.hpp
@@ -16,8 +16,8 @@
     /// @brief Carries out an operation. @param now the store's clock
     kv_answer call(time_point now, const kv_operation& operation)
     {
-        lapse(now);
-        return std::visit([&](const auto& one) { return act(now, one); },
+        expire_leases(now);
+        return std::visit([&](const auto& one) { return apply(now, one); },
                           operation);
     }
 
@@ -28,7 +28,7 @@
     }
 
 private:
-    struct granted
+    struct lease_state
     {
         std::int64_t ttl_seconds = 0;
         time_point until;
@@ -39,7 +39,7 @@
         return {.how = kv_answer::state::done, .revision = revision_};
     }
 
-    void lapse(time_point now)
+    void expire_leases(time_point now)
     {
         for (auto lease = leases_.begin(); lease != leases_.end();)
         {
@@ -59,7 +59,7 @@
         return range.prefix ? key.starts_with(range.key) : key == range.key;
     }
 
-    kv_answer act(time_point /*now*/, const kv_range& range) const
+    kv_answer apply(time_point /*now*/, const kv_range& range) const
     {
         kv_answer answer = done();
         for (const auto& [key, item] : items_)
@@ -89,7 +89,7 @@
         return item.mod_revision == compare.equals;
     }
 
-    kv_answer act(time_point /*now*/, const kv_transaction& transaction)
+    kv_answer apply(time_point /*now*/, const kv_transaction& transaction)
     {
         for (const kv_compare& compare : transaction.compares)
         {
@@ -126,7 +126,7 @@
         return answer;
     }
 
-    kv_answer act(time_point now, const kv_grant& grant)
+    kv_answer apply(time_point now, const kv_grant& grant)
     {
         kv_answer answer = done();
         answer.lease = ++next_lease_;
@@ -136,7 +136,7 @@
         return answer;
     }
 
-    kv_answer act(time_point now, const kv_keep_alive& renewal)
+    kv_answer apply(time_point now, const kv_keep_alive& renewal)
     {
         kv_answer answer = done();
         const auto found = leases_.find(renewal.lease);
@@ -151,7 +151,7 @@
 
     std::map<std::string, kv_item> items_;
     std::map<std::string, std::int64_t> lease_of_;
-    std::map<std::int64_t, granted> leases_;
+    std::map<std::int64_t, lease_state> leases_;
     std::int64_t revision_ = 1;
     std::int64_t next_lease_ = 0;
 };
--- a/tests/unit/request_world_tests.cpp
+++ b/tests/unit/request_simulation_tests.cpp
@@ -46,7 +46,7 @@
     int drain = 0;
 };
 
-struct asked
+struct tracked_request
 {
     caller_request request;
     int answers = 0;
@@ -54,10 +54,11 @@
     int runs = 0;
 };
 
-class world
+class request_simulation
 {
 public:
-    world(std::uint32_t seed, fault_rates rates) : random_(seed), rates_(rates)
+    request_simulation(std::uint32_t seed, fault_rates rates)
+        : random_(seed), rates_(rates)
     {
         for (int index = 0; index < 2; ++index)
         {
@@ -97,7 +98,7 @@
 
     void check() const
     {
-        for (const auto& [key, one] : asked_)
+        for (const auto& [key, one] : requests_)
         {
             RC_ASSERT(one.answers == 1);
             RC_ASSERT(!one.not_run || one.runs == 0);
@@ -105,17 +106,17 @@
             RC_ASSERT(repeatable || one.runs <= 1);
         }
         RC_ASSERT(max_busy_ <= slots);
-        RC_ASSERT(started_while_leaving_ == 0);
+        RC_ASSERT(started_while_stopped_ == 0);
         RC_ASSERT(cut_by_drain_ == 0);
-        RC_ASSERT(asked_.size() > 10U);
+        RC_ASSERT(requests_.size() > 10U);
     }
 
 private:
-    struct guard_side
+    struct simulated_guard
     {
         std::unique_ptr<guard_core> core;
         std::string incarnation;
-        int life = 0;
+        int generation = 0;
         std::map<std::string, int> executing; // attempt to its run
         std::map<attempt_name, std::function<void(const guard_action&)>> open;
         bool drained = false;
@@ -133,15 +134,15 @@
             std::uniform_int_distribution<int>(0, max_ms)(random_));
     }
 
-    void later(duration wait, std::function<void()> what)
+    void schedule(duration wait, std::function<void()> action)
     {
-        due_.emplace(clock_.now() + wait, std::move(what));
+        due_.emplace(clock_.now() + wait, std::move(action));
     }
 
     std::size_t open() const
     {
         std::size_t count = 0;
-        for (const auto& [key, one] : asked_)
+        for (const auto& [key, one] : requests_)
         {
             count += one.answers == 0 ? 1 : 0;
         }
@@ -150,27 +151,27 @@
 
     void start_guard(std::size_t index)
     {
-        guard_side& side = guards_[index];
-        side.incarnation = "i" + std::to_string(++side.life);
-        side.core = std::make_unique<guard_core>(
+        simulated_guard& guard = guards_[index];
+        guard.incarnation = "i" + std::to_string(++guard.generation);
+        guard.core = std::make_unique<guard_core>(
             guard_options{.name = {"g" + std::to_string(index)},
-                          .incarnation = side.incarnation,
+                          .incarnation = guard.incarnation,
                           .admission = {.slots = slots},
                           .seed = 7},
             clock_.now());
-        side.core->on_table(small_table());
-        side.drained = false;
-        side.stopped = false;
+        guard.core->on_table(small_table());
+        guard.drained = false;
+        guard.stopped = false;
     }
 
     // A kill breaks every connection of the guard; its executor goes on.
     void restart_or_drain(std::size_t index)
     {
-        guard_side& side = guards_[index];
+        simulated_guard& guard = guards_[index];
         if (chance(rates_.restart))
         {
-            auto broken = std::move(side.open);
-            side.open.clear();
+            auto broken = std::move(guard.open);
+            guard.open.clear();
             for (const auto& [attempt, reply] : broken)
             {
                 reply(reply_problem{.attempt = attempt,
@@ -179,16 +180,16 @@
             }
             start_guard(index);
         }
-        else if (chance(rates_.drain) && !side.drained)
+        else if (chance(rates_.drain) && !guard.drained)
         {
-            side.core->on_drain();
-            side.drained = true;
+            guard.core->on_drain();
+            guard.drained = true;
         }
-        if (side.drained && !side.stopped && side.core->idle() &&
-            side.open.empty())
+        if (guard.drained && !guard.stopped && guard.core->idle() &&
+            guard.open.empty())
         {
-            side.stopped = true; // the process is gone; a new one starts
-            later(milliseconds(50), [this, index] { start_guard(index); });
+            guard.stopped = true; // the process is gone; a new one starts
+            schedule(milliseconds(50), [this, index] { start_guard(index); });
         }
     }
 
@@ -202,11 +203,12 @@
                                       .work_class = fast ? "fast" : "heavy"},
                                .deadline = clock_.now() + milliseconds(50) +
                                            delay(800)};
-        asked_[number] = {.request = request};
-        take(entry, entries_[entry]->on_request(clock_.now(), request));
+        requests_[number] = {.request = request};
+        process_actions(entry,
+                        entries_[entry]->on_request(clock_.now(), request));
     }
 
-    void take(std::size_t entry, const request_actions& actions)
+    void process_actions(std::size_t entry, const request_actions& actions)
     {
         for (const request_action& action : actions)
         {
@@ -216,11 +218,11 @@
             }
             else if (const auto* answer = std::get_if<forward_answer>(&action))
             {
-                ++asked_.at(answer->number).answers;
+                ++requests_.at(answer->number).answers;
             }
             else if (const auto* refused = std::get_if<answer_problem>(&action))
             {
-                asked& one = asked_.at(refused->number);
+                tracked_request& one = requests_.at(refused->number);
                 ++one.answers;
                 one.not_run = refused->what.result == outcome::not_run;
             }
@@ -229,11 +231,11 @@
 
     void end_attempt(std::size_t entry, attempt_result result)
     {
-        later(delay(10),
-              [this, entry, result = std::move(result)] {
-                  take(entry,
-                       entries_[entry]->on_attempt(clock_.now(), result));
-              });
+        schedule(delay(10),
+                 [this, entry, result = std::move(result)] {
+                     process_actions(entry, entries_[entry]->on_attempt(
+                                                clock_.now(), result));
+                 });
     }
 
     void send_to_guard(std::size_t entry, const send_attempt& send)
@@ -257,15 +259,15 @@
         {
             reply_to_entry(entry, action);
         };
-        later(delay(20),
-              [this, index, send, reply] { arrive(index, send, reply); });
+        schedule(delay(20),
+                 [this, index, send, reply] { arrive(index, send, reply); });
         if (send.repeatable && chance(rates_.duplicated))
         {
             // A copy on a connection that nobody reads from, as a client
             // library makes when a reused connection dies. What must not
             // be repeated goes over one connection of its own.
-            later(delay(400), [this, index, send]
-                  { arrive(index, send, [](const guard_action&) {}); });
+            schedule(delay(400), [this, index, send]
+                     { arrive(index, send, [](const guard_action&) {}); });
         }
     }
 
@@ -294,23 +296,23 @@
     void arrive(std::size_t index, const send_attempt& send,
                 const std::function<void(const guard_action&)>& reply)
     {
-        guard_side& side = guards_[index];
-        if (side.stopped)
+        simulated_guard& guard = guards_[index];
+        if (guard.stopped)
         {
             reply(reply_problem{.attempt = send.attempt,
                                 .what = {.result = outcome::unknown,
                                          .reason = refusal::starting}});
             return;
         }
-        runs_of_[send.attempt] = send.number;
-        const bool copy = side.open.contains(send.attempt);
+        request_of_[send.attempt] = send.number;
+        const bool copy = guard.open.contains(send.attempt);
         if (!copy)
         {
-            side.open[send.attempt] = reply;
+            guard.open[send.attempt] = reply;
         }
-        const guard_actions actions = side.core->on_attempt(
+        const guard_actions actions = guard.core->on_attempt(
             clock_.now(), {.attempt = send.attempt,
-                           .of = asked_.at(send.number).request.of,
+                           .of = requests_.at(send.number).request.of,
                            .incarnation = send.incarnation,
                            .remaining = send.remaining,
                            .may_wait = send.may_wait});
@@ -323,7 +325,7 @@
 
     void carry_out(std::size_t index, const guard_actions& actions)
     {
-        guard_side& side = guards_[index];
+        simulated_guard& guard = guards_[index];
         for (const guard_action& action : actions)
         {
             if (const auto* run = std::get_if<run_attempt>(&action))
@@ -333,11 +335,11 @@
             }
             const attempt_name name =
                 std::visit([](const auto& one) { return one.attempt; }, action);
-            const auto found = side.open.find(name);
-            if (found != side.open.end())
+            const auto found = guard.open.find(name);
+            if (found != guard.open.end())
             {
                 const auto reply = found->second;
-                side.open.erase(found);
+                guard.open.erase(found);
                 reply(action);
             }
         }
@@ -345,43 +347,44 @@
 
     void execute(std::size_t index, const attempt_name& name)
     {
-        guard_side& side = guards_[index];
-        started_while_leaving_ += side.stopped ? 1 : 0;
-        ++asked_.at(runs_of_.at(name)).runs;
-        side.executing[name.value] = 1;
+        simulated_guard& guard = guards_[index];
+        started_while_stopped_ += guard.stopped ? 1 : 0;
+        ++requests_.at(request_of_.at(name)).runs;
+        guard.executing[name.value] = 1;
         max_busy_ = std::max(max_busy_,
-                             static_cast<std::int64_t>(side.executing.size()));
+                             static_cast<std::int64_t>(guard.executing.size()));
         const duration service = milliseconds(5) + delay(60);
-        const int life = side.life;
+        const int generation = guard.generation;
         if (chance(rates_.executor_lost))
         {
-            later(delay(20),
-                  [this, index, name, life] {
-                      executor_ends(index, name, life,
-                                    executor_result::unknown);
-                  });
-            later(service, [this, index, name]
-                  { guards_[index].executing.erase(name.value); });
+            schedule(delay(20),
+                     [this, index, name, generation] {
+                         executor_ends(index, name, generation,
+                                       executor_result::unknown);
+                     });
+            schedule(service, [this, index, name]
+                     { guards_[index].executing.erase(name.value); });
             return;
         }
-        later(service,
-              [this, index, name, life]
-              {
-                  guards_[index].executing.erase(name.value);
-                  executor_ends(index, name, life, executor_result::answered);
-              });
+        schedule(service,
+                 [this, index, name, generation]
+                 {
+                     guards_[index].executing.erase(name.value);
+                     executor_ends(index, name, generation,
+                                   executor_result::answered);
+                 });
     }
 
-    void executor_ends(std::size_t index, const attempt_name& name, int life,
-                       executor_result result)
+    void executor_ends(std::size_t index, const attempt_name& name,
+                       int generation, executor_result result)
     {
-        guard_side& side = guards_[index];
-        if (side.life != life)
+        simulated_guard& guard = guards_[index];
+        if (guard.generation != generation)
         {
             return; // the connection ended with the process
         }
-        cut_by_drain_ += side.stopped ? 1 : 0;
-        carry_out(index, side.core->on_executor(clock_.now(), name, result));
+        cut_by_drain_ += guard.stopped ? 1 : 0;
+        carry_out(index, guard.core->on_executor(clock_.now(), name, result));
     }
 
     void advance()
@@ -389,9 +392,9 @@
         clock_.advance(step);
         while (!due_.empty() && due_.begin()->first <= clock_.now())
         {
-            const auto what = std::move(due_.begin()->second);
+            const auto action = std::move(due_.begin()->second);
             due_.erase(due_.begin());
-            what();
+            action();
         }
         for (std::size_t index = 0; index < guards_.size(); ++index)
         {
@@ -399,52 +402,53 @@
         }
         for (std::size_t index = 0; index < entries_.size(); ++index)
         {
-            take(index, entries_[index]->on_tick(clock_.now()));
+            process_actions(index, entries_[index]->on_tick(clock_.now()));
         }
     }
 
     void guard_tick(std::size_t index)
     {
-        guard_side& side = guards_[index];
-        if (side.stopped)
+        simulated_guard& guard = guards_[index];
+        if (guard.stopped)
         {
             return;
         }
-        carry_out(index, side.core->on_tick(clock_.now()));
+        carry_out(index, guard.core->on_tick(clock_.now()));
         if (!chance(15))
         {
             return;
         }
         std::set<std::string> names;
-        for (const auto& [name, count] : side.executing)
+        for (const auto& [name, count] : guard.executing)
         {
             names.insert(name);
         }
         const time_point asked_at = clock_.now();
-        const int life = side.life;
-        later(delay(15),
-              [this, index, names, asked_at, life]
-              {
-                  if (guards_[index].life == life)
-                  {
-                      carry_out(index, guards_[index].core->on_executor_list(
-                                           clock_.now(), asked_at, names));
-                  }
-              });
+        const int generation = guard.generation;
+        schedule(delay(15),
+                 [this, index, names, asked_at, generation]
+                 {
+                     if (guards_[index].generation == generation)
+                     {
+                         carry_out(index, guards_[index].core->on_executor_list(
+                                              clock_.now(), asked_at, names));
+                     }
+                 });
         const guard_report report{.guard = {"g" + std::to_string(index)},
-                                  .incarnation = side.incarnation,
+                                  .incarnation = guard.incarnation,
                                   .data_centre = "dc-1",
                                   .address = "g" + std::to_string(index),
-                                  .leaving = side.core->draining(),
-                                  .ready = side.core->ready(),
-                                  .load = side.core->load("")};
+                                  .leaving = guard.core->draining(),
+                                  .ready = guard.core->ready(),
+                                  .load = guard.core->load("")};
         for (std::size_t entry = 0; entry < entries_.size(); ++entry)
         {
-            later(delay(30),
-                  [this, entry, report] {
-                      take(entry,
-                           entries_[entry]->on_heartbeat(clock_.now(), report));
-                  });
+            schedule(delay(30),
+                     [this, entry, report]
+                     {
+                         process_actions(entry, entries_[entry]->on_heartbeat(
+                                                    clock_.now(), report));
+                     });
         }
     }
 
@@ -452,13 +456,13 @@
     fault_rates rates_;
     manual_clock clock_;
     std::vector<std::unique_ptr<request_core>> entries_;
-    std::array<guard_side, 3> guards_;
+    std::array<simulated_guard, 3> guards_;
     std::multimap<time_point, std::function<void()>> due_;
-    std::map<request_number, asked> asked_;
-    std::map<attempt_name, request_number> runs_of_;
+    std::map<request_number, tracked_request> requests_;
+    std::map<attempt_name, request_number> request_of_;
     request_number next_number_ = 0;
     std::int64_t max_busy_ = 0;
-    int started_while_leaving_ = 0;
+    int started_while_stopped_ = 0;
     int cut_by_drain_ = 0;
 };
 
@@ -466,13 +470,13 @@
 
 TEST_CASE("the request path keeps its promises under faults")
 {
-    const bool good = rc::check(
+    const bool passed = rc::check(
         "one answer each, not_run never ran, once at most, slots held",
         [](std::uint32_t seed)
         {
-            const auto rate = [](int most)
+            const auto rate = [](int limit)
             {
-                return *rc::gen::inRange(0, most);
+                return *rc::gen::inRange(0, limit);
             };
             const fault_rates rates{.refused = rate(20),
                                     .lost = rate(15),
@@ -481,16 +485,16 @@
                                     .executor_lost = rate(15),
                                     .restart = rate(3),
                                     .drain = rate(3)};
-            world all(seed, rates);
-            all.run(400);
-            all.check();
+            request_simulation simulation(seed, rates);
+            simulation.run(400);
+            simulation.check();
         });
-    CHECK(good);
+    CHECK(passed);
 }
 
 TEST_CASE("without faults everything but overload is answered")
 {
-    world all(3, {});
-    all.run(400);
-    all.check();
+    request_simulation simulation(3, {});
+    simulation.run(400);
+    simulation.check();
 }
--- a/tests/unit/table_synchronizer_tests.cpp
+++ b/tests/unit/table_synchronizer_tests.cpp
@@ -19,17 +19,18 @@
 
 // Several keepers on one store; every answer may be late, lost before or
 // after its effect, and whole calls may take effect long after their loss.
-class operators
+class edit_simulation
 {
 public:
-    operators(std::uint32_t seed, int faults) : random_(seed), faults_(faults)
+    edit_simulation(std::uint32_t seed, int faults)
+        : random_(seed), faults_(faults)
     {
         for (int index = 0; index < 3; ++index)
         {
-            keepers_.emplace_back(table_synchronizer_options{
+            synchronizers_.emplace_back(table_synchronizer_options{
                 .writer = "w" + std::to_string(index)});
         }
-        seen_.resize(keepers_.size());
+        seen_.resize(synchronizers_.size());
     }
 
     void run(int edits)
@@ -51,14 +52,14 @@
 
     void check()
     {
-        RC_ASSERT(ended_.size() == values_.size());
-        RC_ASSERT(went_back_ == 0);
+        RC_ASSERT(outcomes_.size() == values_.size());
+        RC_ASSERT(revision_regressions_ == 0);
         const json document =
             json::parse(store_.items().at(store_keys::table).value);
         const auto revision = document.at("revision").get<std::int64_t>();
         std::int64_t committed = 0;
         std::set<std::int64_t> revisions;
-        for (const auto& [number, end] : ended_)
+        for (const auto& [number, end] : outcomes_)
         {
             const bool done = end.how == edit_outcome::ending::committed;
             committed += done ? 1 : 0;
@@ -67,11 +68,11 @@
             const bool in_history = effects_of(number) > 0;
             RC_ASSERT(effects_of(number) <= 1);
             RC_ASSERT(!done || in_history);
-            const bool surely_not =
+            const bool not_applied =
                 end.how == edit_outcome::ending::unavailable ||
                 end.how == edit_outcome::ending::conflict ||
                 end.how == edit_outcome::ending::refused;
-            RC_ASSERT(!surely_not || !in_history);
+            RC_ASSERT(!not_applied || !in_history);
         }
         RC_ASSERT(revision >= committed);
         for (const std::int64_t seen : seen_)
@@ -86,20 +87,21 @@
         return std::uniform_int_distribution<int>(0, below - 1)(random_);
     }
 
-    void later(duration wait, std::function<void()> what)
+    void schedule(duration wait, std::function<void()> action)
     {
-        due_.emplace(clock_.now() + wait, std::move(what));
+        due_.emplace(clock_.now() + wait, std::move(action));
     }
 
     void edit()
     {
-        const auto at = static_cast<std::size_t>(draw(3));
+        const auto index = static_cast<std::size_t>(draw(3));
         const edit_number number = ++next_;
         values_.insert(number);
         const std::string column = draw(2) == 0 ? "max_rate" : "max_in_flight";
-        take(at, keepers_[at].on_edit(
-                     clock_.now(), number,
-                     {{.row = "a", .column = column, .value = number}}));
+        process_actions(index,
+                        synchronizers_[index].on_edit(
+                            clock_.now(), number,
+                            {{.row = "a", .column = column, .value = number}}));
     }
 
     int effects_of(edit_number number) const
@@ -117,39 +119,41 @@
         return count;
     }
 
-    void take(std::size_t at, const table_actions& actions)
+    void process_actions(std::size_t index, const table_actions& actions)
     {
         for (const table_action& action : actions)
         {
             if (const auto* call = std::get_if<store_call>(&action))
             {
-                send(at, *call);
+                send(index, *call);
             }
             else if (const auto* end = std::get_if<edit_outcome>(&action))
             {
-                ended_.emplace(end->number, *end);
+                outcomes_.emplace(end->number, *end);
             }
-            else if (const auto* found = std::get_if<table_loaded>(&action))
+            else if (const auto* loaded = std::get_if<table_loaded>(&action))
             {
-                const std::int64_t revision = found->rows.revision();
-                went_back_ += revision <= seen_[at] ? 1 : 0;
-                seen_[at] = revision;
+                const std::int64_t revision = loaded->rows.revision();
+                revision_regressions_ += revision <= seen_[index] ? 1 : 0;
+                seen_[index] = revision;
             }
         }
     }
 
-    void send(std::size_t at, const store_call& call)
+    void send(std::size_t index, const store_call& call)
     {
         const bool lost = draw(100) < faults_;
         const bool no_effect = lost && draw(2) == 0;
         const duration wait = milliseconds(draw(lost ? 3000 : 60));
-        const auto reply = [this, at, token = call.token](kv_answer answer)
+        const auto reply = [this, index, token = call.token](kv_answer answer)
         {
-            later(milliseconds(draw(60)),
-                  [this, at, token, answer = std::move(answer)] {
-                      take(at,
-                           keepers_[at].on_store(clock_.now(), token, answer));
-                  });
+            schedule(milliseconds(draw(60)),
+                     [this, index, token, answer = std::move(answer)]
+                     {
+                         process_actions(index,
+                                         synchronizers_[index].on_store(
+                                             clock_.now(), token, answer));
+                     });
         };
         if (lost)
         {
@@ -159,15 +163,16 @@
         {
             return;
         }
-        later(wait,
-              [this, reply, lost, call]
-              {
-                  kv_answer answer = store_.call(clock_.now(), call.operation);
-                  if (!lost)
-                  {
-                      reply(std::move(answer));
-                  }
-              });
+        schedule(wait,
+                 [this, reply, lost, call]
+                 {
+                     kv_answer answer =
+                         store_.call(clock_.now(), call.operation);
+                     if (!lost)
+                     {
+                         reply(std::move(answer));
+                     }
+                 });
     }
 
     void advance()
@@ -175,13 +180,13 @@
         clock_.advance(milliseconds(20));
         while (!due_.empty() && due_.begin()->first <= clock_.now())
         {
-            const auto what = std::move(due_.begin()->second);
+            const auto action = std::move(due_.begin()->second);
             due_.erase(due_.begin());
-            what();
+            action();
         }
-        for (std::size_t at = 0; at < keepers_.size(); ++at)
+        for (std::size_t index = 0; index < synchronizers_.size(); ++index)
         {
-            take(at, keepers_[at].on_tick(clock_.now()));
+            process_actions(index, synchronizers_[index].on_tick(clock_.now()));
         }
     }
 
@@ -189,26 +194,26 @@
     int faults_;
     manual_clock clock_;
     memory_store store_;
-    std::vector<table_synchronizer> keepers_;
+    std::vector<table_synchronizer> synchronizers_;
     std::multimap<time_point, std::function<void()>> due_;
     std::set<edit_number> values_;
-    std::map<edit_number, edit_outcome> ended_;
+    std::map<edit_number, edit_outcome> outcomes_;
     std::vector<std::int64_t> seen_;
     edit_number next_ = 0;
-    int went_back_ = 0;
+    int revision_regressions_ = 0;
 };
 
 } // namespace
 
 TEST_CASE("racing operators on a lying store lose nothing and double nothing")
 {
-    const bool good =
-        rc::check("each edit ends once and as it was told",
-                  [](std::uint32_t seed)
-                  {
-                      operators all(seed, *rc::gen::inRange(0, 50));
-                      all.run(30);
-                      all.check();
-                  });
-    CHECK(good);
+    const bool passed = rc::check("each edit ends once and as it was told",
+                                  [](std::uint32_t seed)
+                                  {
+                                      edit_simulation simulation(
+                                          seed, *rc::gen::inRange(0, 50));
+                                      simulation.run(30);
+                                      simulation.check();
+                                  });
+    CHECK(passed);
 }
--- a/tests/unit/task_world_tests.cpp
+++ b/tests/unit/task_simulation_tests.cpp
@@ -64,16 +64,16 @@
         bool fails = false;
     };
 
-    void start(time_point now, const worker_start& what, bool fails,
+    void start(time_point now, const worker_start& command, bool fails,
                duration length)
     {
         settle(now);
-        const task_attempt name{what.what.spec.id, what.what.attempt};
-        if (now.time_since_epoch() > what.not_after || runs.contains(name))
+        const task_attempt name{command.what.spec.id, command.what.attempt};
+        if (now.time_since_epoch() > command.not_after || runs.contains(name))
         {
             return;
         }
-        runs[name] = {.needs = what.what.spec.needs,
+        runs[name] = {.needs = command.what.spec.needs,
                       .begun = now,
                       .ends = now + length,
                       .lease_until = now + worker_lease,
@@ -103,12 +103,12 @@
     {
         for (auto& [name, run] : runs)
         {
-            const bool lapses = run.lease_until < run.ends;
+            const bool expires = run.lease_until < run.ends;
             const time_point due = std::min(run.lease_until, run.ends);
             if (due <= now)
             {
                 end(name, due,
-                    lapses      ? listed_task::state::lapsed
+                    expires     ? listed_task::state::lapsed
                     : run.fails ? listed_task::state::failed
                                 : listed_task::state::finished);
             }
@@ -131,10 +131,10 @@
     bool overshoot = false;
 };
 
-class task_world
+class task_simulation
 {
 public:
-    task_world(std::uint32_t seed, task_faults faults)
+    task_simulation(std::uint32_t seed, task_faults faults)
         : random_(seed), faults_(faults)
     {
         for (std::size_t index = 0; index < entries_.size(); ++index)
@@ -155,7 +155,7 @@
             {
                 submit();
             }
-            break_things();
+            inject_faults();
             advance();
         }
         faults_ = {};
@@ -172,7 +172,7 @@
 
     void check()
     {
-        for (const std::string& task : unended())
+        for (const std::string& task : unfinished_tasks())
         {
             RC_LOG() << "not ended: " << describe(task) << "\n";
         }
@@ -206,21 +206,21 @@
     }
 
 private:
-    struct entry_side
+    struct simulated_entry
     {
         std::unique_ptr<task_core> core;
         guard_directory guards;
-        int life = 0;
+        int generation = 0;
         time_point paused_until{};
         std::deque<std::function<void()>> inbox;
     };
 
-    struct guard_side
+    struct simulated_guard
     {
-        std::unique_ptr<attempt_tracker> keeper;
+        std::unique_ptr<attempt_tracker> tracker;
         fake_worker worker;
         std::string incarnation;
-        int life = 0;
+        int generation = 0;
         bool gone = false;
         time_point gone_at{};
         time_point paused_until{};
@@ -266,91 +266,93 @@
         return draw(1000) < of_thousand;
     }
 
-    void later(duration wait, std::function<void()> what)
+    void schedule(duration wait, std::function<void()> action)
     {
-        due_.emplace(clock_.now() + wait, std::move(what));
+        due_.emplace(clock_.now() + wait, std::move(action));
     }
 
     // A message to a process: lost with it, kept while it is paused.
-    template <class Side>
-    void send(Side& side, std::function<void()> what)
+    template <class Process>
+    void send(Process& process, std::function<void()> action)
     {
         if (chance(faults_.lost))
         {
             return;
         }
         const duration wait = milliseconds(draw(chance(20) ? 4000 : 100));
-        later(wait,
-              [this, &side, life = side.life, what = std::move(what)]
-              {
-                  if (side.life != life)
-                  {
-                      return;
-                  }
-                  if (clock_.now() < side.paused_until)
-                  {
-                      side.inbox.push_back(what);
-                      return;
-                  }
-                  what();
-              });
+        schedule(wait,
+                 [this, &process, generation = process.generation,
+                  action = std::move(action)]
+                 {
+                     if (process.generation != generation)
+                     {
+                         return;
+                     }
+                     if (clock_.now() < process.paused_until)
+                     {
+                         process.inbox.push_back(action);
+                         return;
+                     }
+                     action();
+                 });
     }
 
     // To a guard's address: whichever process is there when it arrives.
-    void send_to_guard(std::size_t index, std::function<void()> what)
+    void send_to_guard(std::size_t index, std::function<void()> action)
     {
         if (chance(faults_.lost))
         {
             return;
         }
-        later(milliseconds(draw(chance(30) ? 6000 : 100)),
-              [this, index, what = std::move(what)]
-              {
-                  guard_side& side = guards_[index];
-                  if (side.gone)
-                  {
-                      return;
-                  }
-                  if (clock_.now() < side.paused_until)
-                  {
-                      side.inbox.push_back(what);
-                      return;
-                  }
-                  what();
-              });
+        schedule(milliseconds(draw(chance(30) ? 6000 : 100)),
+                 [this, index, action = std::move(action)]
+                 {
+                     simulated_guard& process = guards_[index];
+                     if (process.gone)
+                     {
+                         return;
+                     }
+                     if (clock_.now() < process.paused_until)
+                     {
+                         process.inbox.push_back(action);
+                         return;
+                     }
+                     action();
+                 });
     }
 
     void start_entry(std::size_t index)
     {
-        entry_side& side = entries_[index];
-        ++side.life;
-        side.inbox.clear();
-        side.paused_until = time_point{};
-        side.guards = guard_directory{};
-        side.core = std::make_unique<task_core>(
+        simulated_entry& process = entries_[index];
+        ++process.generation;
+        process.inbox.clear();
+        process.paused_until = time_point{};
+        process.guards = guard_directory{};
+        process.core = std::make_unique<task_core>(
             task_core_options{.name = {"e" + std::to_string(index)},
-                              .incarnation = std::to_string(side.life),
+                              .incarnation = std::to_string(process.generation),
                               .shards = 3,
                               .snapshot_interval = 7,
                               .seed = static_cast<std::uint64_t>(draw(1000))});
-        side.core->on_table(table::parse(
+        process.core->on_table(table::parse(
             {{"revision", 1},
              {"rows", {{"a", json::object()}, {"a/b", {{"kind", "batch"}}}}}}));
     }
 
     void start_guard(std::size_t index)
     {
-        guard_side& side = guards_[index];
-        ++side.life;
-        side.inbox.clear();
-        side.paused_until = time_point{};
-        side.polling = false;
-        side.incarnation = "i" + std::to_string(side.life);
-        side.keeper = std::make_unique<attempt_tracker>(attempt_tracker_options{
-            .incarnation = side.incarnation, .capacity = worker_capacity});
+        simulated_guard& process = guards_[index];
+        ++process.generation;
+        process.inbox.clear();
+        process.paused_until = time_point{};
+        process.polling = false;
+        process.incarnation = "i" + std::to_string(process.generation);
+        process.tracker = std::make_unique<attempt_tracker>(
+            attempt_tracker_options{.incarnation = process.incarnation,
+                                    .capacity = worker_capacity});
     }
 
-    void break_things()
+    void inject_faults()
     {
         for (std::size_t index = 0; index < entries_.size(); ++index)
         {
@@ -366,14 +368,14 @@
         }
         for (std::size_t index = 0; index < guards_.size(); ++index)
         {
-            guard_side& side = guards_[index];
-            if (side.gone)
+            simulated_guard& process = guards_[index];
+            if (process.gone)
             {
                 continue;
             }
             if (index > 0 && chance(faults_.lose_worker))
             {
-                lose_worker(side);
+                lose_worker(process);
             }
             else if (chance(faults_.kill_guard))
             {
@@ -381,11 +383,12 @@
             }
             else if (chance(faults_.pause))
             {
-                side.paused_until = clock_.now() + milliseconds(draw(20'000));
+                process.paused_until =
+                    clock_.now() + milliseconds(draw(20'000));
             }
             if (chance(faults_.evict))
             {
-                evict_one(side);
+                evict_one(process);
             }
         }
         if (chance(faults_.store_down))
@@ -398,25 +401,25 @@
         }
     }
 
-    void lose_worker(guard_side& side)
+    void lose_worker(simulated_guard& process)
     {
-        side.worker.settle(clock_.now());
-        for (const auto& [name, run] : side.worker.runs)
+        process.worker.settle(clock_.now());
+        for (const auto& [name, run] : process.worker.runs)
         {
-            side.worker.end(name, clock_.now(), listed_task::state::stopped);
+            process.worker.end(name, clock_.now(), listed_task::state::stopped);
         }
-        side.gone = true;
-        side.gone_at = clock_.now();
-        ++side.life;
+        process.gone = true;
+        process.gone_at = clock_.now();
+        ++process.generation;
     }
 
-    static void evict_one(guard_side& side)
+    static void evict_one(simulated_guard& process)
     {
-        for (auto& [name, run] : side.worker.runs)
+        for (auto& [name, run] : process.worker.runs)
         {
             if (run.how == listed_task::state::running)
             {
-                side.evict = name;
+                process.evict = name;
                 return;
             }
         }
@@ -424,20 +427,20 @@
 
     void submit()
     {
-        const auto at = static_cast<std::size_t>(draw(3));
-        entry_side& side = entries_[at];
+        const auto entry = static_cast<std::size_t>(draw(3));
+        simulated_entry& process = entries_[entry];
         task_spec spec;
         spec.of = {.workspace = "a", .work_class = "b"};
         spec.needs = {.cpu_millis = 500 + draw(1500), .memory_mb = 100};
         spec.run_ms = 200 + draw(6000);
-        send(side,
-             [this, at, spec]
+        send(process,
+             [this, entry, spec]
              {
                  task_actions actions;
-                 entries_[at].core->on_submit(
+                 entries_[entry].core->on_submit(
                      ++next_call_, clock_.now() + seconds(5), spec,
-                     entries_[at].guards.all(), actions);
-                 take(at, actions);
+                     entries_[entry].guards.all(), actions);
+                 process_actions(entry, actions);
              });
     }
 
@@ -445,27 +448,27 @@
     {
         auto chosen = accepted_.begin();
         std::advance(chosen, draw(static_cast<int>(accepted_.size())));
-        for (std::size_t at = 0; at < entries_.size(); ++at)
+        for (std::size_t entry = 0; entry < entries_.size(); ++entry)
         {
-            send(entries_[at],
-                 [this, at, task = *chosen]
+            send(entries_[entry],
+                 [this, entry, task = *chosen]
                  {
                      task_actions actions;
-                     entries_[at].core->on_cancel(++next_call_,
-                                                  clock_.now() + seconds(5),
-                                                  "a", task, actions);
-                     take(at, actions);
+                     entries_[entry].core->on_cancel(++next_call_,
+                                                     clock_.now() + seconds(5),
+                                                     "a", task, actions);
+                     process_actions(entry, actions);
                  });
         }
     }
 
-    void take(std::size_t at, const task_actions& actions)
+    void process_actions(std::size_t entry, const task_actions& actions)
     {
         for (const task_action& action : actions)
         {
             if (const auto* call = std::get_if<store_call>(&action))
             {
-                ask_store(at, *call);
+                ask_store(entry, *call);
             }
             else if (const auto* answer = std::get_if<task_answer>(&action))
             {
@@ -477,14 +480,14 @@
             else if (const auto* start = std::get_if<send_start>(&action))
             {
                 const auto guard = index_of(start->guard);
-                send_to_guard(guard, [this, at, guard, what = start->what]
-                              { start_at(at, guard, what); });
+                send_to_guard(guard, [this, entry, guard, request = start->what]
+                              { deliver_start(entry, guard, request); });
             }
             else if (const auto* stop = std::get_if<send_stop>(&action))
             {
                 const auto guard = index_of(stop->guard);
-                send_to_guard(guard, [this, at, guard, what = stop->what]
-                              { stop_at(at, guard, what); });
+                send_to_guard(guard, [this, entry, guard, request = stop->what]
+                              { deliver_stop(entry, guard, request); });
             }
         }
     }
@@ -494,24 +497,26 @@
         return static_cast<std::size_t>(guard.value.back() - '0');
     }
 
-    void start_at(std::size_t at, std::size_t guard, const start_task& what)
+    void deliver_start(std::size_t entry, std::size_t guard,
+                       const start_task& request)
     {
         worker_actions actions;
         const task_reply reply =
-            guards_[guard].keeper->on_start(clock_.now(), what, actions);
+            guards_[guard].tracker->on_start(clock_.now(), request, actions);
         command(guard, actions);
-        send(entries_[at], [this, at, what, reply]
-             { entries_[at].core->on_start_reply(what, reply); });
+        send(entries_[entry], [this, entry, request, reply]
+             { entries_[entry].core->on_start_reply(request, reply); });
     }
 
-    void stop_at(std::size_t at, std::size_t guard, const stop_task& what)
+    void deliver_stop(std::size_t entry, std::size_t guard,
+                      const stop_task& request)
     {
         worker_actions actions;
         const task_reply reply =
-            guards_[guard].keeper->on_stop(clock_.now(), what, actions);
+            guards_[guard].tracker->on_stop(clock_.now(), request, actions);
         command(guard, actions);
-        send(entries_[at], [this, at, what, reply]
-             { entries_[at].core->on_stop_reply(what, reply); });
+        send(entries_[entry], [this, entry, request, reply]
+             { entries_[entry].core->on_stop_reply(request, reply); });
     }
 
     void command(std::size_t guard, const worker_actions& actions)
@@ -522,18 +527,18 @@
             {
                 continue;
             }
-            later(milliseconds(draw(chance(30) ? 6000 : 50)),
-                  [this, guard, action]
-                  {
-                      if (!guards_[guard].gone)
-                      {
-                          obey(guards_[guard].worker, action);
-                      }
-                  });
+            schedule(milliseconds(draw(chance(30) ? 6000 : 50)),
+                     [this, guard, action]
+                     {
+                         if (!guards_[guard].gone)
+                         {
+                             apply_command(guards_[guard].worker, action);
+                         }
+                     });
         }
     }
 
-    void obey(fake_worker& worker, const worker_action& action)
+    void apply_command(fake_worker& worker, const worker_action& action)
     {
         worker.settle(clock_.now());
         if (const auto* start = std::get_if<worker_start>(&action))
@@ -576,34 +581,35 @@
         }
     }
 
-    void ask_store(std::size_t at, const store_call& call)
+    void ask_store(std::size_t entry, const store_call& call)
     {
-        const auto reply = [this, at, token = call.token](kv_answer answer)
+        const auto reply = [this, entry, token = call.token](kv_answer answer)
         {
-            entry_side& side = entries_[at];
-            const int life = side.life;
-            later(milliseconds(draw(60)),
-                  [this, at, life, token, answer = std::move(answer)]
-                  {
-                      entry_side& now_there = entries_[at];
-                      if (now_there.life != life)
-                      {
-                          return;
-                      }
-                      const auto deliver = [this, at, token, answer]
-                      {
-                          task_actions actions;
-                          entries_[at].core->on_store(clock_.now(), token,
-                                                      answer, actions);
-                          take(at, actions);
-                      };
-                      if (clock_.now() < now_there.paused_until)
-                      {
-                          now_there.inbox.emplace_back(deliver);
-                          return;
-                      }
-                      deliver();
-                  });
+            simulated_entry& process = entries_[entry];
+            const int generation = process.generation;
+            schedule(
+                milliseconds(draw(60)),
+                [this, entry, generation, token, answer = std::move(answer)]
+                {
+                    simulated_entry& current = entries_[entry];
+                    if (current.generation != generation)
+                    {
+                        return;
+                    }
+                    const auto deliver = [this, entry, token, answer]
+                    {
+                        task_actions actions;
+                        entries_[entry].core->on_store(clock_.now(), token,
+                                                       answer, actions);
+                        process_actions(entry, actions);
+                    };
+                    if (clock_.now() < current.paused_until)
+                    {
+                        current.inbox.emplace_back(deliver);
+                        return;
+                    }
+                    deliver();
+                });
         };
         const bool down = clock_.now() < store_down_until_;
         const bool lost = down || chance(faults_.store_lost);
@@ -615,15 +621,15 @@
         {
             return;
         }
-        later(milliseconds(draw(lost ? 5000 : 60)),
-              [this, reply, lost, operation = call.operation]
-              {
-                  kv_answer answer = store_.call(clock_.now(), operation);
-                  if (!lost)
-                  {
-                      reply(std::move(answer));
-                  }
-              });
+        schedule(milliseconds(draw(lost ? 5000 : 60)),
+                 [this, reply, lost, operation = call.operation]
+                 {
+                     kv_answer answer = store_.call(clock_.now(), operation);
+                     if (!lost)
+                     {
+                         reply(std::move(answer));
+                     }
+                 });
     }
 
     void advance()
@@ -631,9 +637,9 @@
         clock_.advance(step);
         while (!due_.empty() && due_.begin()->first <= clock_.now())
         {
-            const auto what = std::move(due_.begin()->second);
+            const auto action = std::move(due_.begin()->second);
             due_.erase(due_.begin());
-            what();
+            action();
         }
         for (std::size_t index = 0; index < guards_.size(); ++index)
         {
@@ -645,26 +651,26 @@
         }
     }
 
-    template <class Side>
-    bool wake(Side& side)
+    template <class Process>
+    bool deliver_queued(Process& process)
     {
-        if (clock_.now() < side.paused_until)
+        if (clock_.now() < process.paused_until)
         {
             return false;
         }
-        while (!side.inbox.empty())
+        while (!process.inbox.empty())
         {
-            const auto what = std::move(side.inbox.front());
-            side.inbox.pop_front();
-            what();
+            const auto action = std::move(process.inbox.front());
+            process.inbox.pop_front();
+            action();
         }
         return true;
     }
 
     void entry_tick(std::size_t index)
     {
-        entry_side& side = entries_[index];
-        if (!wake(side))
+        simulated_entry& process = entries_[index];
+        if (!deliver_queued(process))
         {
             return;
         }
@@ -678,29 +684,29 @@
             }
         }
         task_actions actions;
-        side.core->on_gone(clock_.now(), gone, side.guards.all());
-        side.core->on_tick(clock_.now(), side.guards.all(), {"e0", "e1", "e2"},
-                           actions);
-        take(index, actions);
+        process.core->on_gone(clock_.now(), gone, process.guards.all());
+        process.core->on_tick(clock_.now(), process.guards.all(),
+                              {"e0", "e1", "e2"}, actions);
+        process_actions(index, actions);
     }
 
     void guard_tick(std::size_t index)
     {
-        guard_side& side = guards_[index];
-        if (side.gone || !wake(side))
+        simulated_guard& process = guards_[index];
+        if (process.gone || !deliver_queued(process))
         {
             return;
         }
-        if (side.evict)
+        if (process.evict)
         {
-            const auto [task, number] = *std::exchange(side.evict, {});
+            const auto [task, number] = *std::exchange(process.evict, {});
             command(index, {worker_stop{.name = {task, number},
                                         .keep_checkpoint = true}});
         }
         worker_actions actions;
-        side.keeper->on_tick(clock_.now(), actions);
+        process.tracker->on_tick(clock_.now(), actions);
         command(index, actions);
-        if (!side.polling && chance(300))
+        if (!process.polling && chance(300))
         {
             poll(index);
         }
@@ -712,83 +718,83 @@
 
     void poll(std::size_t index)
     {
-        guard_side& side = guards_[index];
-        side.polling = true;
-        const int life = side.life;
-        later(milliseconds(draw(40)),
-              [this, index, life]
-              {
-                  const auto list = guards_[index].worker.list(clock_.now());
-                  const duration clock = clock_.now().time_since_epoch();
-                  later(milliseconds(draw(40)),
-                        [this, index, life, list, clock]
-                        {
-                            guard_side& there = guards_[index];
-                            if (there.life != life)
-                            {
-                                return;
-                            }
-                            there.polling = false;
-                            worker_actions actions;
-                            there.keeper->on_worker_list(clock_.now(), clock,
-                                                         list, actions);
-                            command(index, actions);
-                        });
-              });
+        simulated_guard& process = guards_[index];
+        process.polling = true;
+        const int generation = process.generation;
+        schedule(milliseconds(draw(40)),
+                 [this, index, generation]
+                 {
+                     const auto list = guards_[index].worker.list(clock_.now());
+                     const duration clock = clock_.now().time_since_epoch();
+                     schedule(milliseconds(draw(40)),
+                              [this, index, generation, list, clock]
+                              {
+                                  simulated_guard& current = guards_[index];
+                                  if (current.generation != generation)
+                                  {
+                                      return;
+                                  }
+                                  current.polling = false;
+                                  worker_actions actions;
+                                  current.tracker->on_worker_list(
+                                      clock_.now(), clock, list, actions);
+                                  command(index, actions);
+                              });
+                 });
     }
 
     void heartbeat(std::size_t index)
     {
-        const guard_side& side = guards_[index];
+        const simulated_guard& process = guards_[index];
         const guard_report report{.guard = {"g" + std::to_string(index)},
-                                  .incarnation = side.incarnation,
+                                  .incarnation = process.incarnation,
                                   .address = "g" + std::to_string(index),
                                   .ready = true,
-                                  .tasks_ready = side.keeper->ready(),
-                                  .capacity = side.keeper->capacity(),
-                                  .free = side.keeper->free(),
-                                  .attempts = side.keeper->reports()};
-        for (std::size_t at = 0; at < entries_.size(); ++at)
-        {
-            send(entries_[at],
-                 [this, at, index, report, life = side.life]
+                                  .tasks_ready = process.tracker->ready(),
+                                  .capacity = process.tracker->capacity(),
+                                  .free = process.tracker->free(),
+                                  .attempts = process.tracker->reports()};
+        for (std::size_t entry = 0; entry < entries_.size(); ++entry)
+        {
+            send(entries_[entry],
+                 [this, entry, index, report, generation = process.generation]
                  {
-                     entries_[at].guards.hear(clock_.now(), report);
+                     entries_[entry].guards.hear(clock_.now(), report);
                      task_actions actions;
-                     const auto acked = entries_[at].core->on_report(
+                     const auto acked = entries_[entry].core->on_report(
                          clock_.now(), report, actions);
-                     take(at, actions);
-                     acknowledge(index, life, acked);
+                     process_actions(entry, actions);
+                     acknowledge(index, generation, acked);
                  });
         }
     }
 
-    void acknowledge(std::size_t index, int life,
+    void acknowledge(std::size_t index, int generation,
                      const std::vector<attempt_ack>& acked)
     {
         send(guards_[index],
-             [this, index, life, acked]
+             [this, index, generation, acked]
              {
-                 if (guards_[index].life != life)
+                 if (guards_[index].generation != generation)
                  {
                      return;
                  }
                  worker_actions actions;
-                 guards_[index].keeper->on_acked(clock_.now(), acked, actions);
+                 guards_[index].tracker->on_acked(clock_.now(), acked, actions);
                  command(index, actions);
              });
     }
 
-    std::vector<std::string> unended() const
+    std::vector<std::string> unfinished_tasks() const
     {
         std::vector<std::string> tasks;
         for (const std::string& task : accepted_)
         {
             const bool ended = std::any_of(
                 entries_.begin(), entries_.end(),
-                [&](const entry_side& side)
+                [&](const simulated_entry& process)
                 {
-                    const task_record* const record = side.core->find(task);
+                    const task_record* const record = process.core->find(task);
                     return record != nullptr && is_final(record->state);
                 });
             if (!ended)
@@ -801,15 +807,15 @@
 
     bool all_ended() const
     {
-        return unended().empty();
+        return unfinished_tasks().empty();
     }
 
     std::string describe(const std::string& task) const
     {
         std::string text = task;
-        for (const entry_side& side : entries_)
+        for (const simulated_entry& process : entries_)
         {
-            if (const task_record* const record = side.core->find(task))
+            if (const task_record* const record = process.core->find(task))
             {
                 text += " " + json(*record).dump();
             }
@@ -822,8 +828,8 @@
     manual_clock clock_;
     memory_store store_;
     time_point store_down_until_{};
-    std::array<entry_side, 3> entries_;
-    std::array<guard_side, 3> guards_;
+    std::array<simulated_entry, 3> entries_;
+    std::array<simulated_guard, 3> guards_;
     std::multimap<time_point, std::function<void()>> due_;
     std::set<std::string> accepted_;
     task_call next_call_ = 0;
@@ -834,14 +840,14 @@
 TEST_CASE("tasks survive everything, in one place, to one end")
 {
     std::size_t accepted = 0;
-    std::size_t worlds = 0;
-    const bool good =
+    std::size_t simulations = 0;
+    const bool passed =
         rc::check("no overlap, no loss, one end, capacity held",
                   [&](std::uint32_t seed)
                   {
-                      const auto rate = [](int most)
+                      const auto rate = [](int limit)
                       {
-                          return *rc::gen::inRange(0, most);
+                          return *rc::gen::inRange(0, limit);
                       };
                       const task_faults faults{.lost = rate(100),
                                                .store_lost = rate(150),
@@ -853,13 +859,13 @@
                                                .cancel = rate(20),
                                                .fail = rate(100),
                                                .store_down = rate(4)};
-                      task_world all(seed, faults);
-                      all.run(600);
-                      all.check();
-                      accepted += all.accepted();
-                      ++worlds;
+                      task_simulation simulation(seed, faults);
+                      simulation.run(600);
+                      simulation.check();
+                      accepted += simulation.accepted();
+                      ++simulations;
                   });
-    CHECK(good);
-    CHECK(accepted > 20 * worlds); // the checks were about something
-    MESSAGE(accepted << " tasks in " << worlds << " worlds");
+    CHECK(passed);
+    CHECK(accepted > 20 * simulations); // the checks were about something
+    MESSAGE(accepted << " tasks in " << simulations << " worlds");
 }
