--- a/packages/entry/include/springstair/detail/entry/request_core.hpp
+++ b/packages/entry/include/springstair/detail/entry/request_core.hpp
@@ -13,7 +13,7 @@
 namespace springstair
 {
 
-/// @brief What an entry is told by its settings about requests.
+/// @brief Settings of an entry's request path.
 struct request_options
 {
     entry_name name;
@@ -21,8 +21,8 @@
     std::string data_centre;
     any_router router = sampled_router{};
     int most_attempts = 3;
-    /// How many guards a latency-critical request may find busy before it
-    /// waits in a queue.
+    /// Number of guards without a free slot that a latency-critical request
+    /// tries before it may wait in a guard's queue.
     int max_busy_replies = 2;
     std::size_t max_open_requests = 20'000;
     retry_budget_options retries;
@@ -32,29 +32,30 @@
     std::uint64_t seed = 1;
 };
 
-/// @brief Names one caller's request within its entry.
+/// @brief Identifies a caller's request within its entry.
 using request_number = std::uint64_t;
 
-/// @brief A caller's request, its workspace already authenticated.
+/// @brief A caller's request whose workspace is authenticated.
 struct caller_request
 {
     request_number number = 0;
     class_name of;
     time_point deadline;
-    std::optional<bool> repeatable; ///< the table decides if absent
+    std::optional<bool>
+        repeatable; ///< if absent, the class's table row decides
 };
 
-/// @brief What became of an attempt, as the entry learnt it.
+/// @brief The outcome of an attempt as seen by the entry.
 struct attempt_result
 {
     /// @brief The ways an attempt can end.
     enum class ending : std::uint8_t
     {
-        answered, ///< the executor's whole answer
-        failed,   ///< the executor's whole answer, 5xx
-        refused,  ///< the guard's problem
+        answered, ///< complete answer of the executor
+        failed,   ///< complete answer of the executor, status 5xx
+        refused,  ///< problem report of the guard
         not_sent, ///< no connection to the guard
-        unknown   ///< sent, no whole answer
+        unknown   ///< sent, but no complete answer received
     };
 
     attempt_name attempt;
@@ -63,7 +64,7 @@
     std::optional<load_report> load;
 };
 
-/// @brief Send an attempt to a guard.
+/// @brief Action: sends an attempt to a guard.
 struct send_attempt
 {
     request_number number = 0;
@@ -73,12 +74,12 @@
     std::string incarnation;
     duration remaining{0};
     bool repeatable = false;
-    bool may_wait = true; ///< for a slot; else it starts at once or not
+    bool may_wait = true; ///< false: the guard starts it at once or refuses it
 
     bool operator==(const send_attempt&) const = default;
 };
 
-/// @brief Give the caller the executor's answer to this attempt.
+/// @brief Action: forwards the executor's answer to the caller.
 struct forward_answer
 {
     request_number number = 0;
@@ -87,7 +88,7 @@
     bool operator==(const forward_answer&) const = default;
 };
 
-/// @brief Give the caller a problem.
+/// @brief Action: answers the caller with a problem report.
 struct answer_problem
 {
     request_number number = 0;
@@ -97,7 +98,8 @@
     bool operator==(const answer_problem&) const = default;
 };
 
-/// @brief A guard's standing changed; for the log.
+/// @brief Action: logs that a guard joined, is leaving, or was lost, ejected
+/// or restored.
 struct log_guard
 {
     event_id event = event_id::guard_joined;
@@ -106,42 +108,44 @@
     bool operator==(const log_guard&) const = default;
 };
 
-/// @brief What an entry does next for its callers.
+/// @brief An action that the entry carries out for its callers.
 using request_action =
     std::variant<send_attempt, forward_answer, answer_problem, log_guard>;
 
-/// @brief Several of them, in order.
+/// @brief Actions in the order in which they are carried out.
 using request_actions = std::vector<request_action>;
 
 /// @brief The state machine of an entry's request path.
 ///
-/// No I/O: events with the present time go in, actions come out. Every
-/// request that comes in gets exactly one forward_answer or answer_problem.
+/// Performs no I/O: takes events with the current time and returns actions.
+/// Every request receives exactly one forward_answer or answer_problem.
 class request_core
 {
 public:
     /// @param options from the settings
     explicit request_core(request_options options);
 
-    /// @brief A caller asks.
+    /// @brief Handles a caller's request.
     request_actions on_request(time_point now, const caller_request& request);
-    /// @brief An attempt ended.
+    /// @brief Handles the result of an attempt.
     request_actions on_attempt(time_point now, const attempt_result& result);
-    /// @brief A guard's heartbeat came in.
+    /// @brief Handles a guard's heartbeat.
     request_actions on_heartbeat(time_point now, const guard_report& report);
-    /// @brief The platform's list of leaving VMs.
+    /// @brief Handles the platform's list of leaving VMs.
     void on_leaving_list(const std::set<std::string>& addresses);
-    /// @brief Another entry's exchange came in, as call or as answer.
+    /// @brief Handles a peer's exchange and borrows the units it lends.
     void on_exchange(time_point now, const entry_summary& summary);
-    /// @brief Another entry answered what was offered to it.
+    /// @brief Handles a peer's answer to the units offered to it.
     void on_exchange_answer(time_point now, const entry_summary& summary);
-    /// @brief A newer table; an older one is passed over.
+    /// @brief Applies a newer table; ignores any other.
+    /// @return whether the table was applied
     bool on_table(const table& rows);
-    /// @brief Time passes: gives up requests whose deadline has come.
+    /// @brief Refuses requests whose deadline has passed and expires
+    /// unresponsive guards and entries.
     request_actions on_tick(time_point now);
 
-    /// @brief What this entry tells another one about limits.
-    /// @param offer whether to lend: true in calls, false in answers
+    /// @brief Adds this entry's limit usage to a summary for a peer.
+    /// @param offer whether to lend units: true in calls, false in answers
     void fill_summary(time_point now, entry_summary& summary,
                       const std::string& peer, bool offer);
 
@@ -160,12 +164,12 @@
     {
         return entries_;
     }
-    /// @brief Guards that are left alone for their failures.
+    /// @brief Guards that are ejected because of failures.
     [[nodiscard]] std::set<guard_name> ejected() const
     {
         return outliers_.ejected();
     }
-    /// @brief Requests that have no final answer yet.
+    /// @brief Number of requests that have no final answer yet.
     [[nodiscard]] std::size_t open() const noexcept
     {
         return requests_.size();
@@ -178,8 +182,8 @@
         bool repeatable = false;
         class_kind kind = class_kind::heavy;
         int attempts = 0;
-        int busy_replies = 0; ///< guards that had no slot free at once
-        attempt_name current; ///< empty while none is out
+        int busy_replies = 0; ///< guards that answered busy
+        attempt_name current; ///< empty if none is in flight
         guard_name current_guard;
         std::set<guard_name> tried;
         bool may_have_run = false;
@@ -227,8 +231,8 @@
     std::map<request_number, open_request> requests_;
     std::map<attempt_name, sent_attempt> attempts_;
     std::set<std::pair<time_point, request_number>> deadlines_;
-    std::map<guard_name, outstanding_attempts>
-        outstanding_; ///< not yet answered
+    /// Attempts in flight.
+    std::map<guard_name, outstanding_attempts> outstanding_;
     std::uint64_t next_attempt_ = 0;
 };
 
--- a/packages/entry/include/springstair/detail/entry/table_synchronizer.hpp
+++ b/packages/entry/include/springstair/detail/entry/table_synchronizer.hpp
@@ -13,36 +13,36 @@
 namespace springstair
 {
 
-/// @brief Keys of the store that the table uses.
+/// @brief Store keys of the table.
 namespace store_keys
 {
 inline constexpr const char* table = "springstair/table";
 inline constexpr const char* history = "springstair/history/";
 } // namespace store_keys
 
-/// @brief Times of the table's keeper.
+/// @brief Settings of the table synchronizer.
 struct table_synchronizer_options
 {
-    std::string writer; ///< prefix of the nonces of this process
+    std::string writer; ///< prefix of this process's nonces
     duration poll = std::chrono::seconds(1);
     duration edit_deadline = std::chrono::seconds(8);
     duration retry = std::chrono::milliseconds(200);
     std::int64_t kept_history = 1000; ///< revisions
 };
 
-/// @brief Names an operator's edit within its entry.
+/// @brief Identifies an operator's edit within its entry.
 using edit_number = std::uint64_t;
 
-/// @brief How an operator's edit ended.
+/// @brief The outcome of an operator's edit.
 struct edit_outcome
 {
     /// @brief The ways an edit can end.
     enum class ending : std::uint8_t
     {
         committed,
-        conflict,    ///< somebody else changed a named cell
-        refused,     ///< the result has findings
-        unavailable, ///< the store is away; nothing was written
+        conflict,    ///< another writer changed an edited cell
+        refused,     ///< the resulting table has findings
+        unavailable, ///< store outage; nothing was written
         unknown      ///< the write may take effect
     };
 
@@ -53,54 +53,58 @@
     findings wrong;
 };
 
-/// @brief A newer table came from the store.
+/// @brief Action: puts a newer table from the store in force.
 struct table_loaded
 {
     table rows;
 };
 
-/// @brief A table of the store has findings; the last good one stays.
+/// @brief Action: reports that the stored table has findings. The last valid
+/// table stays in force.
 struct table_rejected
 {
     findings wrong;
 };
 
-/// @brief The store stopped or began to answer.
+/// @brief Action: reports that the store became available or unavailable.
 struct store_availability
 {
     bool available = false;
 };
 
-/// @brief What the table's keeper does next.
+/// @brief An action of the table synchronizer.
 using table_action = std::variant<store_call, edit_outcome, table_loaded,
                                   table_rejected, store_availability>;
 
-/// @brief Several of them, in order.
+/// @brief Actions in the order in which they are carried out.
 using table_actions = std::vector<table_action>;
 
 /// @brief Reads the table from the store and commits operators' edits.
 ///
-/// One edit at a time: read, apply, check, write if unchanged since the
-/// read. Each write carries a nonce, so a lost answer is settled by reading
-/// again: the nonce is there (committed), or the document has moved on (that
-/// write can never take effect), or it has not (the same write is sent
-/// again; only one of the two can win).
+/// Processes one edit at a time: reads the document, applies and checks the
+/// edit, and writes the result if the document is unchanged since the read.
+/// Each write carries a nonce. If the answer to a write is lost, the document
+/// is read again:
+/// - it contains the nonce: the write is committed;
+/// - it has changed without the nonce: the write can never take effect;
+/// - it is unchanged: the same write is sent again; at most one of the two
+///   takes effect.
 class table_synchronizer
 {
 public:
-    /// @param options times and the writer's name
+    /// @param options intervals, timeouts and the writer's name
     explicit table_synchronizer(table_synchronizer_options options);
 
-    /// @brief An operator's edit.
+    /// @brief Queues an operator's edit.
     table_actions on_edit(time_point now, edit_number number,
                           std::vector<cell_edit> edits);
-    /// @brief The store's answer to an earlier call.
+    /// @brief Handles the store's answer to an earlier call.
     table_actions on_store(time_point now, store_token token,
                            const kv_answer& answer);
-    /// @brief Time passes.
+    /// @brief Polls the table, expires edits and retries store calls.
     table_actions on_tick(time_point now);
 
-    /// @brief Whether the store answered last.
+    /// @brief Whether the store answered the last call.
     [[nodiscard]] bool store_available() const noexcept
     {
         return available_;
@@ -111,7 +115,7 @@
     {
         reading,
         writing,
-        waiting ///< for the next try
+        waiting ///< for the next attempt
     };
 
     struct pending_edit
@@ -124,7 +128,7 @@
         store_token token = 0;
         std::string nonce;
         std::int64_t written_revision = 0;
-        bool in_doubt = false; ///< a write is out whose end is not known
+        bool in_doubt = false; ///< a write has an unknown outcome
     };
 
     store_call make_call(kv_operation operation);
--- a/packages/entry/include/springstair/detail/entry/task_core.hpp
+++ b/packages/entry/include/springstair/detail/entry/task_core.hpp
@@ -15,12 +15,12 @@
 namespace springstair
 {
 
-/// @brief What an entry is told by its settings about tasks.
+/// @brief Settings of an entry's task path.
 struct task_core_options
 {
     entry_name name;
     std::string incarnation;
-    std::int64_t shards = 8; ///< of the whole fleet; never changed
+    std::int64_t shards = 8; ///< in the whole fleet; must never change
     std::int64_t lease_seconds = 10;
     duration renew_interval = std::chrono::seconds(3);
     duration shard_poll_interval = std::chrono::seconds(2);
@@ -37,18 +37,18 @@
     std::uint64_t seed = 1;
 };
 
-/// @brief Names a caller's task call within its entry.
+/// @brief Identifies a caller's task call within its entry.
 using task_call = std::uint64_t;
 
-/// @brief The final answer to a submission or a cancel.
+/// @brief Action: answers a submission or a cancel.
 struct task_answer
 {
     task_call call = 0;
-    std::optional<task_record> record;   ///< when it was done
-    std::optional<problem_report> wrong; ///< when it was not
+    std::optional<task_record> record;   ///< if it succeeded
+    std::optional<problem_report> wrong; ///< if it failed
 };
 
-/// @brief Send a start to a guard.
+/// @brief Action: sends a start to a guard.
 struct send_start
 {
     guard_name guard;
@@ -56,7 +56,7 @@
     start_task what;
 };
 
-/// @brief Send a stop to a guard.
+/// @brief Action: sends a stop to a guard.
 struct send_stop
 {
     guard_name guard;
@@ -64,100 +64,100 @@
     stop_task what;
 };
 
-/// @brief A shard came or went; for the log.
+/// @brief Action: logs that this entry acquired or lost a shard.
 struct log_shard
 {
     event_id event = event_id::shard_taken;
     std::int64_t shard = 0;
 };
 
-/// @brief A task reached its last state; for the log and the metrics.
+/// @brief Action: logs and counts a task that reached a final state.
 struct log_task_end
 {
     task_record record;
 };
 
-/// @brief What an entry does next for tasks.
+/// @brief An action that the entry carries out for tasks.
 using task_action = std::variant<store_call, task_answer, send_start, send_stop,
                                  log_shard, log_task_end>;
 
-/// @brief Several of them, in order.
+/// @brief Actions in the order in which they are carried out.
 using task_actions = std::vector<task_action>;
 
-/// @brief A task and the number of one of its attempts.
+/// @brief Identifies an attempt of a task.
 struct task_attempt_key
 {
     std::string task;
     std::int64_t attempt = 0;
 };
 
-/// @brief The guards as an entry's request path knows them.
+/// @brief The guards known to the entry's request path.
 using guard_views = std::map<guard_name, guard_view>;
 
-/// @brief The state machine of the shards of tasks that an entry holds.
+/// @brief The state machine of the task shards that an entry owns.
 ///
-/// Nothing is told or done before the journal has it: a caller hears of
-/// acceptance, a guard is asked to start, and an ended attempt is
-/// acknowledged only after the commit. Commits name the key that makes this
-/// entry the shard's holder by its creation, so nothing of a former holder
-/// can be written once there is a new one.
+/// Every transition is committed to the journal before it takes effect: only
+/// after the commit is a submission confirmed, a start sent to a guard, or an
+/// ended attempt acknowledged. Commits are fenced writes, conditioned on the
+/// creation revision of the shard owner's key, so a previous owner can write
+/// nothing once there is a new one.
 class task_core
 {
 public:
     /// @param options from the settings
     explicit task_core(task_core_options options);
 
-    /// @brief A workspace submits a task; its id is given here.
+    /// @brief Handles a submission and assigns the task's id.
     void on_submit(task_call call, time_point deadline, task_spec spec,
                    const guard_views& guards, task_actions& actions);
-    /// @brief A workspace cancels a task of a shard that is held here.
+    /// @brief Handles a workspace's cancel of a task of an owned shard.
     void on_cancel(task_call call, time_point deadline,
                    const std::string& workspace, const std::string& task,
                    task_actions& actions);
-    /// @brief The store's answer to an earlier call.
+    /// @brief Handles the store's answer to an earlier call.
     void on_store(time_point now, store_token token, const kv_answer& answer,
                   task_actions& actions);
-    /// @brief A guard's heartbeat.
-    /// @return ended attempts that are on record, for the answer
+    /// @brief Handles a guard's heartbeat.
+    /// @return ended attempts to acknowledge in the answer
     std::vector<attempt_ack> on_report(time_point now,
                                        const guard_report& report,
                                        task_actions& actions);
-    /// @brief A guard's reply to a start.
+    /// @brief Handles a guard's reply to a start.
     void on_start_reply(const start_task& start, const task_reply& reply);
-    /// @brief A guard's reply to a stop.
+    /// @brief Handles a guard's reply to a stop.
     void on_stop_reply(const stop_task& stop, const task_reply& reply);
-    /// @brief VMs that the platform's list held once and holds no more.
+    /// @brief Handles VMs that disappeared from the platform's list.
     void on_gone(time_point now, const std::set<std::string>& names,
                  const guard_views& guards);
-    /// @brief Workspaces' limits from now on.
+    /// @brief Applies a new table of classes and workspace limits.
     void on_table(const table& rows);
-    /// @brief Another entry's word of what it has placed.
+    /// @brief Handles a peer's report of the resources it has placed.
     void on_peer_usage(const std::string& peer,
                        std::map<std::string, resources> usage);
-    /// @brief A planned stop began: shards are given up.
+    /// @brief Starts draining: releases the owned shards.
     void on_drain(time_point now, task_actions& actions);
-    /// @brief Time passes.
-    /// @param entries names of all live entries, this one among them
+    /// @brief Renews the lease, polls shard owners, places tasks, commits.
+    /// @param entries names of all live entries, including this one
     void on_tick(time_point now, const guard_views& guards,
                  const std::set<std::string>& entries, task_actions& actions);
 
-    /// @brief A task's record if its shard is held here, else null.
+    /// @brief A task's record if this entry owns its shard, else null.
     [[nodiscard]] const task_record* find(const std::string& task) const;
-    /// @brief The records of a workspace's tasks that are held here.
+    /// @brief The records of a workspace's tasks in owned shards.
     [[nodiscard]] std::vector<task_record>
     records_of(const std::string& workspace) const;
-    /// @brief The shards held here.
+    /// @brief The numbers of the owned shards.
     [[nodiscard]] std::vector<std::int64_t> held() const;
-    /// @brief What is placed, by workspace.
+    /// @brief Resources of placed tasks by workspace.
     [[nodiscard]] std::map<std::string, resources> usage() const;
-    /// @brief Transactions sent to the store, and transitions in them.
+    /// @brief Journal transactions, and the transitions and bytes in them.
     struct counters
     {
         std::uint64_t commits = 0;
         std::uint64_t transitions = 0;
         std::uint64_t bytes = 0;
     };
-    /// @brief What the journal cost so far.
+    /// @brief Totals of the journal since the start.
     [[nodiscard]] const counters& cost() const noexcept
     {
         return cost_;
@@ -183,28 +183,28 @@
     struct shard_state
     {
         phase state = phase::unowned;
-        std::int64_t epoch = 0; ///< creation of the holder's key
+        std::int64_t epoch = 0; ///< creation revision of the owner's key
         shard_tasks tasks;
         std::int64_t next_segment = 1;
         std::int64_t segments_since_snapshot = 0;
         std::vector<task_transition> pending;
         std::vector<task_transition> committing;
-        std::string nonce; ///< of the segment that is on its way
+        std::string nonce; ///< of the write in flight
         std::optional<store_token> token;
         kv_operation in_flight;
-        std::optional<kv_operation>
-            retry_operation; ///< to send when retry_at comes
-        bool near_size_limit =
-            false; ///< the book nears what the store can hold
+        std::optional<kv_operation> retry_operation; ///< sent at retry_at
+        /// Last snapshot exceeded max_snapshot_bytes.
+        bool near_size_limit = false;
         bool snapshotting = false;
-        std::int64_t snapshot_revision = 0; ///< of the last one; 0: none
-        bool verifying = false;             ///< reading back a refused segment
+        std::int64_t snapshot_revision = 0; ///< of the last snapshot; 0: none
+        bool verifying = false;             ///< reading back a refused write
         time_point retry_at;
         time_point next_commit{};
         time_point unowned_since{};
-        time_point confirmed_at{}; ///< when the store was asked who holds it
-        std::set<std::string>
-            uncommitted_tasks; ///< tasks with steps not yet on record
+        /// Send time of the last poll that confirmed this entry as the owner.
+        time_point confirmed_at{};
+        /// Tasks with uncommitted steps.
+        std::set<std::string> uncommitted_tasks;
         std::vector<waiting_call> calls;
     };
 
@@ -285,7 +285,7 @@
     void stop_attempt(const std::string& guard, const task_attempt_key& name,
                       bool keep_checkpoint, task_actions& actions);
 
-    // Reports of guards.
+    // Guard reports.
     bool is_orphan(time_point now, const shard_state& shard,
                    const attempt_report& attempt);
     void record_ended_attempt(const std::string& guard,
@@ -314,7 +314,7 @@
     std::map<std::string, std::set<std::string>> placed_on_; ///< by guard
     std::map<std::string, std::string> addresses_;           ///< by guard
     std::map<std::string, std::set<guard_name>> failed_on_;  ///< by task
-    outlier_detector workers_; ///< those that fail all they start
+    outlier_detector workers_; ///< ejects workers whose tasks keep failing
     std::int64_t lease_ = 0;
     std::optional<store_token> lease_token_;
     time_point next_renewal_{};
--- a/packages/entry/include/springstair/entry.hpp
+++ b/packages/entry/include/springstair/entry.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// The entry's decisions: requests, the table, and shards of tasks.
+/// State machines of the entry: requests, the table and task shards.
 
 #include <springstair/detail/entry/request_core.hpp>
 #include <springstair/detail/entry/table_synchronizer.hpp>
--- a/packages/entry/src/request_core.cpp
+++ b/packages/entry/src/request_core.cpp
@@ -20,8 +20,8 @@
             .detail = {}};
 }
 
-// A guard that refuses for these reasons is not short of slots: trying the
-// next one adds no load to a loaded fleet.
+// A guard refuses for these reasons without queueing or running the attempt, so
+// a retry on the next guard adds no load to an overloaded fleet.
 bool is_exempt_from_retry_budget(refusal reason)
 {
     return reason == refusal::draining || reason == refusal::starting ||
@@ -96,7 +96,7 @@
     requests_.erase(found);
 }
 
-// The attempt that is out may still come back; nobody waits for it now.
+// Stops tracking the attempt in flight. A later result of it is ignored.
 void request_core::abandon_attempt(open_request& pending)
 {
     if (!pending.current.value.empty())
@@ -177,8 +177,8 @@
     {
         return false;
     }
-    // Where another guard may have a slot at once, this one is to say so
-    // rather than let the request wait.
+    // While another guard may have a free slot, this one must answer busy
+    // instead of queueing the request.
     const bool critical = pending.kind == class_kind::latency_critical;
     const bool may_wait = !critical ||
                           pending.busy_replies >= options_.max_busy_replies ||
@@ -232,7 +232,7 @@
 }
 
 // ---------------------------------------------------------------------------
-// An attempt's end
+// Attempt results
 // ---------------------------------------------------------------------------
 
 void request_core::record_result(time_point now, const attempt_result& result,
@@ -265,8 +265,9 @@
     }
 }
 
-// An attempt that outlives its request counts as a failure: a guard refuses
-// what only its queue would delay, so this one waits for the executor.
+// An attempt that is in flight at its request's deadline counts as a failure:
+// a guard refuses attempts that only wait in its queue, so this one was waiting
+// for the executor.
 void request_core::record_timeout(time_point now, const open_request& pending,
                                   request_actions& actions)
 {
@@ -284,8 +285,8 @@
                                   problem_report problem,
                                   request_actions& actions)
 {
-    // Sent once, over one connection, which the new process answered: the
-    // process that was there before never saw it.
+    // The attempt was sent once, over one connection, and the new guard process
+    // answered on it: the previous process never received it.
     if (!pending.repeatable && problem.reason == refusal::wrong_incarnation)
     {
         problem.result = outcome::not_run;
@@ -302,7 +303,7 @@
     if (problem.reason == refusal::busy)
     {
         ++pending.busy_replies;
-        --pending.attempts; // it only asked; no queue and no slot was used
+        --pending.attempts; // the guard neither queued nor ran it
     }
     const bool from_budget = !is_exempt_from_retry_budget(problem.reason);
     retry_or_refuse(now, pending, std::move(problem), from_budget, actions);
@@ -316,7 +317,7 @@
     const auto found = attempts_.find(result.attempt);
     if (found == attempts_.end())
     {
-        return actions; // its request was answered already
+        return actions; // the request is already answered
     }
     const sent_attempt sent = found->second;
     attempts_.erase(found);
--- a/packages/entry/src/table_synchronizer.cpp
+++ b/packages/entry/src/table_synchronizer.cpp
@@ -13,7 +13,7 @@
 
 const json empty_document = {{"revision", 0}, {"rows", json::object()}};
 
-// Keys of the history sort by revision.
+// Zero-padded, so that the keys sort by revision.
 std::string history_key(std::int64_t revision)
 {
     std::array<char, 32> digits{};
@@ -275,7 +275,8 @@
         edit.retry_at = now + options_.retry;
         return;
     }
-    // Committed or overtaken: reading again tells, and finds the table.
+    // The next read shows whether the write is committed or was superseded, and
+    // loads the current table.
     send_read(actions);
 }
 
@@ -295,7 +296,7 @@
     }
     if (edits_.empty() || edits_.front().token != token)
     {
-        return actions; // of an edit that was given up
+        return actions; // belongs to an edit that has ended
     }
     if (edits_.front().state == stage::reading)
     {
--- a/packages/entry/src/task_core.cpp
+++ b/packages/entry/src/task_core.cpp
@@ -46,7 +46,7 @@
 const task_core::shard_state*
 task_core::owned_shard(const std::string& task) const
 {
-    return const_cast<task_core*>(this)->held_shard(task); // NOLINT
+    return const_cast<task_core*>(this)->owned_shard(task); // NOLINT
 }
 
 const task_record* task_core::find(const std::string& task) const
@@ -144,7 +144,8 @@
     }
     if (spec.payload.size() > max_payload)
     {
-        reject(refusal::bad_request, duration{0}, "the payload is too long");
+        reject(refusal::bad_request, duration{0},
+               "the payload is longer than 4096 bytes");
         return;
     }
     if (!store_available_)
@@ -155,7 +156,7 @@
     if (!guards.empty() && !fits_somewhere(spec, guards))
     {
         reject(refusal::never_fits, duration{0},
-               "no worker is large enough for what the task needs");
+               "no worker is large enough for the task");
         return;
     }
     shard_state* least_loaded = nullptr;
@@ -174,13 +175,15 @@
     }
     if (least_loaded == nullptr || draining_)
     {
-        reject(refusal::starting, short_retry_after, "no shard is held here");
+        reject(refusal::starting, short_retry_after,
+               "this entry owns no shard");
         return;
     }
     if (least_loaded->pending.size() >= max_pending ||
         least_loaded->near_size_limit)
     {
-        reject(refusal::queue_full, short_retry_after, "too many tasks wait");
+        reject(refusal::queue_full, short_retry_after,
+               "too many tasks are waiting");
         return;
     }
     spec.id = new_id(number);
@@ -226,7 +229,7 @@
 }
 
 // ---------------------------------------------------------------------------
-// Reports of guards
+// Guard reports
 // ---------------------------------------------------------------------------
 
 void task_core::stop_attempt(const std::string& guard,
@@ -298,7 +301,8 @@
     {
         return;
     }
-    workers_.returned({record->guard}); // nothing is known of the worker
+    workers_.returned(
+        {record->guard}); // a lost attempt is no evidence for or against it
     task_transition step;
     step.what = task_transition::step::lose;
     step.task = task;
@@ -307,9 +311,10 @@
     append_step(*shard, std::move(step));
 }
 
-// A placed attempt that its guard does not list: the start is on its way,
-// or was lost, or the guard is a new process. A stop tells which, and closes
-// the attempt there, so that no late start can follow.
+// Handles placed attempts that the guard does not list: the start is in flight
+// or lost, or the guard restarted. After a restart, a stop reports whether the
+// attempt exists and closes it there, so that a delayed start cannot run it.
+// Otherwise the start is sent again.
 void task_core::handle_missing_attempts(time_point now,
                                         const guard_report& report,
                                         task_actions& actions)
@@ -353,9 +358,10 @@
     }
 }
 
-// A task that is not in the book may be a later holder's, if this entry was
-// overtaken and does not know it yet. It is a stranger only once the store
-// has named this entry the holder after the attempt was seen.
+// An unknown task may belong to a later shard owner if this entry is superseded
+// and has not noticed yet. The attempt is an orphan only once a poll of the
+// store, sent after the attempt was first seen, has confirmed this entry as
+// owner.
 bool task_core::is_orphan(time_point now, const shard_state& shard,
                           const attempt_report& attempt)
 {
@@ -406,7 +412,7 @@
         }
         if (record != nullptr && record->attempt < attempt.attempt)
         {
-            continue; // a later holder placed it; this one was overtaken
+            continue; // placed by a later owner; this one is superseded
         }
         if (record == nullptr && !is_orphan(now, *shard, attempt))
         {
@@ -444,7 +450,7 @@
 {
     if (reply.accepted && reply.reason == "not_here")
     {
-        record_lost(stop.task, stop.attempt, "its guard is a new process");
+        record_lost(stop.task, stop.attempt, "the guard process restarted");
     }
 }
 
@@ -467,14 +473,15 @@
             const task_record* const record = find(task);
             if (record != nullptr && record->guard == name)
             {
-                record_lost(task, record->attempt, "its worker is gone");
+                record_lost(task, record->attempt,
+                            "the worker no longer exists");
             }
         }
     }
 }
 
 // ---------------------------------------------------------------------------
-// Time
+// Periodic work
 // ---------------------------------------------------------------------------
 
 void task_core::on_tick(time_point now, const guard_views& guards,
--- a/packages/entry/src/task_journal.cpp
+++ b/packages/entry/src/task_journal.cpp
@@ -1,5 +1,5 @@
-// The journal of a shard: steps are committed in groups, each group a
-// segment of its own, and now and then the whole book as a snapshot.
+// The journal of a shard. Steps are committed in batches, each as a segment;
+// every snapshot_interval segments, a snapshot of all tasks replaces them.
 
 #include "task_keys.hpp"
 
@@ -95,8 +95,9 @@
            std::to_string(next_nonce_++);
 }
 
-// Only one copy of a snapshot can win: a delayed one would bring an old book
-// back and take newer segments away.
+// Conditioned on the revision of the previous snapshot, so that only one copy
+// of the write takes effect: a delayed one would restore old tasks and delete
+// newer segments.
 void task_core::snapshot(std::int64_t number, task_actions& actions)
 {
     shard_state& shard = shards_.at(number);
@@ -129,7 +130,7 @@
     shard_state& shard = shards_.at(number);
     if (answer.how != kv_answer::state::done)
     {
-        // The same write again: it can take effect once only.
+        // Sends the same write again: it can take effect only once.
         shard.retry_operation = shard.in_flight;
         shard.retry_at = now + options_.retry;
         return;
@@ -149,8 +150,8 @@
         drop_shard(number, false, actions);
         return;
     }
-    // Refused: an earlier copy of this write took effect, or there is
-    // another holder.
+    // Refused: an earlier copy of this write took effect, or the shard has
+    // another owner. Reads the key back to distinguish them.
     shard.verifying = true;
     shard.in_flight =
         kv_range{.key = shard.snapshotting
@@ -222,7 +223,7 @@
 }
 
 // ---------------------------------------------------------------------------
-// Callers that wait for a commit
+// Callers waiting for a commit
 // ---------------------------------------------------------------------------
 
 void task_core::answer_calls(std::int64_t number, task_actions& actions)
--- a/packages/entry/src/task_keys.hpp
+++ b/packages/entry/src/task_keys.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Keys of the store that shards of tasks use.
+// Store keys of the task shards.
 
 #include <array>
 #include <cstdint>
--- a/packages/entry/src/task_placement.cpp
+++ b/packages/entry/src/task_placement.cpp
@@ -1,4 +1,4 @@
-// Where queued tasks go, whose turn it is, and what a worker can hold.
+// Placement of queued tasks: workspace shares, quotas and free capacity.
 
 #include <springstair/entry.hpp>
 
@@ -20,7 +20,7 @@
                       : static_cast<double>(part) / static_cast<double>(whole);
 }
 
-// The largest part that an amount takes of a whole, over all dimensions.
+// The largest fraction that `used` takes of `whole` in any dimension.
 double dominant_share(const resources& used, const resources& whole)
 {
     return std::max({fraction(used.cpu_millis, whole.cpu_millis),
@@ -34,8 +34,9 @@
 // Shares and quotas
 // ---------------------------------------------------------------------------
 
-// Room is promised to a task from its placement until its guard lists it.
-// What became of it otherwise (another holder, another guard) frees it.
+// Capacity is reserved for a task from its placement until its guard lists it.
+// Drops reservations of tasks that are no longer placed there, e.g. after a
+// change of shard owner or guard.
 void task_core::drop_stale_reservations()
 {
     for (auto& reserved : reservations_)
@@ -185,8 +186,8 @@
     return all;
 }
 
-// A worker where the task failed is tried again only if no other can hold
-// it.
+// Chooses the least loaded of a random sample of fitting guards. A worker on
+// which the task failed is tried again only if the task fits on no other.
 std::optional<guard_name> task_core::choose_guard(time_point now,
                                                   const task_record& record,
                                                   const guard_views& guards)
--- a/packages/entry/src/task_shards.cpp
+++ b/packages/entry/src/task_shards.cpp
@@ -1,5 +1,5 @@
-// Which shards an entry holds: its lease, the holders' keys, taking a shard
-// and reading its journal, giving it up.
+// Shard ownership: the entry's lease, the owners' keys, acquiring a shard,
+// loading its journal and releasing it.
 
 #include "task_keys.hpp"
 
@@ -14,7 +14,8 @@
 namespace
 {
 
-// Every entry ranks the others alike, without a word between them.
+// Rendezvous hashing: every entry computes the same owner without
+// communication.
 std::string preferred_owner(std::int64_t shard,
                             const std::set<std::string>& entries)
 {
@@ -83,7 +84,7 @@
 }
 
 // ---------------------------------------------------------------------------
-// Holders' keys
+// Owners' keys
 // ---------------------------------------------------------------------------
 
 void task_core::poll_shard_owners(time_point now, task_actions& actions)
@@ -147,7 +148,8 @@
         }
         if (owner != nullptr && owner->value == self)
         {
-            shard.epoch = owner->create_revision; // the answer had been lost
+            shard.epoch =
+                owner->create_revision; // the answer to the claim was lost
             load_shard(number, actions);
         }
         else if (owner == nullptr)
@@ -239,7 +241,7 @@
             std::stoll(item.key.substr(prefix.size()));
         if (sequence < shard.next_segment)
         {
-            continue; // in the snapshot already
+            continue; // already in the snapshot
         }
         const json segment = json::parse(item.value);
         for (const json& step : segment.at("steps"))
@@ -293,7 +295,7 @@
 }
 
 // ---------------------------------------------------------------------------
-// Answers of the store
+// Store answers
 // ---------------------------------------------------------------------------
 
 void task_core::on_store(time_point now, store_token token,
--- a/packages/tasks/include/springstair/detail/tasks/shard_tasks.hpp
+++ b/packages/tasks/include/springstair/detail/tasks/shard_tasks.hpp
@@ -12,24 +12,24 @@
 namespace springstair
 {
 
-/// @brief What a workspace asks to have run.
+/// @brief A task as submitted by a workspace.
 struct task_spec
 {
-    std::string id; ///< `t<shard>-<random>`, given at submission
+    std::string id; ///< `t<shard>-<random>`, assigned at submission
     class_name of;
     resources needs;
-    std::int64_t run_ms = 0; ///< as declared; often far from the truth
-    bool urgent = false;     ///< to start within 1.9 s, by evicting if need be
-    std::string payload;     ///< handed to the worker unread
+    std::int64_t run_ms = 0; ///< as declared; often far from the actual time
+    bool urgent = false;     ///< must start within 1.9 s, by eviction if needed
+    std::string payload;     ///< passed to the worker unparsed
 
     bool operator==(const task_spec&) const = default;
 };
 
-/// @brief Where a task stands.
+/// @brief The state of a task.
 enum class task_state : std::uint8_t
 {
     queued,
-    placed, ///< given to a guard, which runs it or will
+    placed, ///< assigned to a guard that runs or will run it
     finished,
     failed,
     cancelled
@@ -38,39 +38,39 @@
 /// @copydoc to_string(class_kind)
 std::string_view to_string(task_state value) noexcept;
 
-/// @brief Whether nothing more happens to a task in this state.
+/// @brief Whether a task never leaves this state.
 constexpr bool is_final(task_state state) noexcept
 {
     return state != task_state::queued && state != task_state::placed;
 }
 
-/// @brief All that is on record about a task.
+/// @brief The state and history of a task.
 struct task_record
 {
     task_spec spec;
     task_state state = task_state::queued;
-    std::int64_t attempt = 0; ///< number of the last one placed
-    std::string guard;        ///< where it was placed last
-    std::string incarnation;  ///< of that guard then
-    std::string checkpoint;   ///< to resume from; empty: from the start
+    std::int64_t attempt = 0; ///< number of the last placed attempt
+    std::string guard;        ///< where it was last placed
+    std::string incarnation;  ///< of that guard at the time
+    std::string checkpoint; ///< to resume from; empty: start from the beginning
     std::int64_t failures = 0;
     std::int64_t evictions = 0;
-    std::string detail; ///< the result, or why it failed
+    std::string detail; ///< the result, or the reason of the failure
 
     bool operator==(const task_record&) const = default;
 };
 
-/// @brief One step of a task, as the journal keeps it.
+/// @brief A state transition of a task, as stored in the journal.
 struct task_transition
 {
-    /// @brief What the step is.
+    /// @brief The kinds of transitions.
     enum class step : std::uint8_t
     {
         accept,
         place,
-        evict, ///< stopped with a checkpoint, to be resumed
-        lose,  ///< known to have died without a result
-        retry, ///< it failed, and may fail elsewhere or not
+        evict, ///< stopped with a checkpoint; resumed later
+        lose,  ///< the attempt is known to have ended without a result
+        retry, ///< the attempt failed; another one follows
         finish,
         fail,
         cancel
@@ -90,18 +90,19 @@
 /// @copydoc to_string(class_kind)
 std::string_view to_string(task_transition::step value) noexcept;
 
-/// @brief The tasks of one shard, as the journal tells them.
+/// @brief The tasks of one shard, as recorded in the journal.
 ///
-/// Applying the same transitions in the same order gives the same book, at
-/// whichever entry. A transition that does not follow from the present
-/// state is passed over, so replaying is harmless.
+/// The same transitions in the same order produce the same tasks on every
+/// entry. A transition that is invalid in the current state is ignored, so
+/// replay is idempotent.
 class shard_tasks
 {
 public:
-    /// @brief How many ended tasks are remembered.
+    /// @brief Max number of ended tasks that are kept.
     static constexpr std::size_t kept_ended = 500;
 
-    /// @brief Applies a step. @return whether it followed from the state
+    /// @brief Applies a step.
+    /// @return whether the step was valid in the task's current state
     bool apply(const task_transition& step);
     /// @brief A task's record, or null.
     [[nodiscard]] const task_record* find(const std::string& task) const;
@@ -110,10 +111,10 @@
     {
         return records_;
     }
-    /// @brief The whole book as a document, and back.
+    /// @brief Serializes all tasks.
     [[nodiscard]] json to_document() const;
-    /// @brief Reads to_document()'s document.
-    /// @throw nlohmann's exceptions if it is not one
+    /// @brief Parses the output of to_document().
+    /// @throw json::exception if the document is malformed
     static shard_tasks parse(const json& document);
 
     bool operator==(const shard_tasks&) const = default;
@@ -132,7 +133,7 @@
 void to_json(json& document, const task_transition& value);
 void from_json(const json& document, task_transition& value);
 
-/// @brief The shard in a task's id, or nothing if it is not an id.
+/// @brief The shard number in a task's id; std::nullopt if it is no valid id.
 std::optional<std::int64_t> shard_of(const std::string& task);
 
 } // namespace springstair
--- a/packages/tasks/include/springstair/tasks.hpp
+++ b/packages/tasks/include/springstair/tasks.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Tasks, the transitions of their states, and the books of shards.
+/// Tasks, their state transitions, and the tasks of a shard.
 
 #include <springstair/detail/tasks/shard_tasks.hpp>
 #include <springstair/detail/tasks/task_messages.hpp>
--- a/packages/tasks/src/shard_tasks.cpp
+++ b/packages/tasks/src/shard_tasks.cpp
@@ -22,7 +22,7 @@
     {
         return *value;
     }
-    throw document_error(name + " is not known");
+    throw document_error(name + " is not a known value");
 }
 
 } // namespace
@@ -113,7 +113,7 @@
         }
         return follows;
     }
-    // The rest is about the attempt that is placed now, and no other.
+    // The remaining steps are valid only for the currently placed attempt.
     if (record.state != task_state::placed || step.attempt != record.attempt)
     {
         return false;
@@ -173,7 +173,7 @@
 }
 
 // ---------------------------------------------------------------------------
-// Wire form
+// Serialization
 // ---------------------------------------------------------------------------
 
 void to_json(json& document, const task_spec& value)
--- a/tests/unit/memory_store.hpp
+++ b/tests/unit/memory_store.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// The store's operations on a map, for tests of the state machines.
+/// In-memory implementation of the store for tests of the state machines.
 
 #include <springstair/store.hpp>
 
@@ -13,7 +13,8 @@
 class memory_store
 {
 public:
-    /// @brief Carries out an operation. @param now the store's clock
+    /// @brief Executes an operation.
+    /// @param now time on the store's clock
     kv_answer call(time_point now, const kv_operation& operation)
     {
         expire_leases(now);
@@ -21,7 +22,7 @@
                           operation);
     }
 
-    /// @brief Values by key, for checks.
+    /// @brief All items by key, for checks.
     [[nodiscard]] const std::map<std::string, kv_item>& items() const
     {
         return items_;
--- a/tests/unit/request_simulation_tests.cpp
+++ b/tests/unit/request_simulation_tests.cpp
@@ -1,5 +1,6 @@
-// Entries, guards and executors under delay, loss, duplication, restart and
-// drain: the promises of the request path, checked by what was recorded.
+// Simulates entries, guards and executors under delay, loss, duplication,
+// restart and drain, and checks the guarantees of the request path against the
+// recorded history.
 
 #include <doctest/doctest.h>
 #include <rapidcheck.h>
@@ -34,7 +35,7 @@
            {"b/heavy", {{"kind", "heavy"}, {"max_queue", 4}}}}}});
 }
 
-// Shares of a hundred at which things go wrong.
+// Probabilities of faults in percent.
 struct fault_rates
 {
     int refused = 0;
@@ -164,7 +165,8 @@
         guard.stopped = false;
     }
 
-    // A kill breaks every connection of the guard; its executor goes on.
+    // A restart breaks every connection of the guard; its executor keeps
+    // running.
     void restart_or_drain(std::size_t index)
     {
         simulated_guard& guard = guards_[index];
@@ -188,7 +190,7 @@
         if (guard.drained && !guard.stopped && guard.core->idle() &&
             guard.open.empty())
         {
-            guard.stopped = true; // the process is gone; a new one starts
+            guard.stopped = true; // the process ended; a new one starts later
             schedule(milliseconds(50), [this, index] { start_guard(index); });
         }
     }
@@ -263,9 +265,9 @@
                  [this, index, send, reply] { arrive(index, send, reply); });
         if (send.repeatable && chance(rates_.duplicated))
         {
-            // A copy on a connection that nobody reads from, as a client
-            // library makes when a reused connection dies. What must not
-            // be repeated goes over one connection of its own.
+            // A duplicate whose answer nobody reads, as a client library sends
+            // it when a reused connection dies. Requests that are not
+            // repeatable are sent over a dedicated connection.
             schedule(delay(400), [this, index, send]
                      { arrive(index, send, [](const guard_action&) {}); });
         }
@@ -318,7 +320,7 @@
                            .may_wait = send.may_wait});
         if (copy)
         {
-            return; // the copy's own connection got the answer
+            return; // the answer goes to the duplicate's connection
         }
         carry_out(index, actions);
     }
@@ -468,10 +470,10 @@
 
 } // namespace
 
-TEST_CASE("the request path keeps its promises under faults")
+TEST_CASE("the request path keeps its guarantees under faults")
 {
     const bool passed = rc::check(
-        "one answer each, not_run never ran, once at most, slots held",
+        "one answer each, not_run never ran, at most one run, slots respected",
         [](std::uint32_t seed)
         {
             const auto rate = [](int limit)
@@ -492,7 +494,7 @@
     CHECK(passed);
 }
 
-TEST_CASE("without faults everything but overload is answered")
+TEST_CASE("without faults every request is answered once")
 {
     request_simulation simulation(3, {});
     simulation.run(400);
--- a/tests/unit/table_synchronizer_tests.cpp
+++ b/tests/unit/table_synchronizer_tests.cpp
@@ -1,4 +1,4 @@
-// Operators' edits against a store that delays, loses answers and is away.
+// Operators' edits against a store that delays calls and loses answers.
 
 #include "memory_store.hpp"
 
@@ -17,8 +17,9 @@
 
 using std::chrono::milliseconds;
 
-// Several keepers on one store; every answer may be late, lost before or
-// after its effect, and whole calls may take effect long after their loss.
+// Several synchronizers on one store. Any answer may be delayed; any call may
+// be lost before or after it takes effect, or take effect long after the
+// caller received an unknown outcome.
 class edit_simulation
 {
 public:
@@ -64,7 +65,7 @@
             const bool done = end.how == edit_outcome::ending::committed;
             committed += done ? 1 : 0;
             RC_ASSERT(!done || revisions.insert(end.revision).second);
-            // The history tells which edits took effect, and in what order.
+            // The history contains the edits that took effect.
             const bool in_history = effects_of(number) > 0;
             RC_ASSERT(effects_of(number) <= 1);
             RC_ASSERT(!done || in_history);
@@ -205,15 +206,15 @@
 
 } // namespace
 
-TEST_CASE("racing operators on a lying store lose nothing and double nothing")
+TEST_CASE("concurrent edits on an unreliable store are applied at most once")
 {
-    const bool passed = rc::check("each edit ends once and as it was told",
-                                  [](std::uint32_t seed)
-                                  {
-                                      edit_simulation simulation(
-                                          seed, *rc::gen::inRange(0, 50));
-                                      simulation.run(30);
-                                      simulation.check();
-                                  });
+    const bool passed = rc::check(
+        "each edit ends once and its outcome matches the history",
+        [](std::uint32_t seed)
+        {
+            edit_simulation simulation(seed, *rc::gen::inRange(0, 50));
+            simulation.run(30);
+            simulation.check();
+        });
     CHECK(passed);
 }
--- a/tests/unit/task_simulation_tests.cpp
+++ b/tests/unit/task_simulation_tests.cpp
@@ -1,5 +1,6 @@
-// Entries, guards and workers that pause, die and lose messages, on a store
-// that lies: tasks are never lost, never in two places, and end once.
+// Simulates entries, guards and workers that pause, die and lose messages, on a
+// store that loses answers. Checks that no task is lost, runs in two places at
+// once, or finishes twice.
 
 #include "memory_store.hpp"
 
@@ -26,7 +27,7 @@
 constexpr resources worker_capacity{.cpu_millis = 4000, .memory_mb = 4000};
 constexpr duration worker_lease = seconds(10);
 
-// Shares of a thousand, at each step or message, at which things go wrong.
+// Probabilities of faults per thousand, for each step or message.
 struct task_faults
 {
     int lost = 0;
@@ -50,7 +51,7 @@
     std::size_t worker = 0;
 };
 
-// A worker: runs attempts under leases on its own clock.
+// A worker that runs attempts under leases and lists them with their ends.
 class fake_worker
 {
 public:
@@ -166,7 +167,7 @@
         }
         for (int count = 0; count < 400; ++count)
         {
-            advance(); // what was cancelled is stopped as well
+            advance(); // until cancelled tasks are stopped as well
         }
     }
 
@@ -271,7 +272,8 @@
         due_.emplace(clock_.now() + wait, std::move(action));
     }
 
-    // A message to a process: lost with it, kept while it is paused.
+    // Sends a message to a process: lost if the process dies, queued while it
+    // is paused.
     template <class Process>
     void send(Process& process, std::function<void()> action)
     {
@@ -297,7 +299,8 @@
                  });
     }
 
-    // To a guard's address: whichever process is there when it arrives.
+    // Sends to a guard's address; the process that runs there on arrival
+    // receives the message.
     void send_to_guard(std::size_t index, std::function<void()> action)
     {
         if (chance(faults_.lost))
@@ -837,12 +840,12 @@
 
 } // namespace
 
-TEST_CASE("tasks survive everything, in one place, to one end")
+TEST_CASE("tasks are not lost, do not overlap and finish once under faults")
 {
     std::size_t accepted = 0;
     std::size_t simulations = 0;
     const bool passed =
-        rc::check("no overlap, no loss, one end, capacity held",
+        rc::check("no overlap, no loss, one end, capacity respected",
                   [&](std::uint32_t seed)
                   {
                       const auto rate = [](int limit)
@@ -866,6 +869,6 @@
                       ++simulations;
                   });
     CHECK(passed);
-    CHECK(accepted > 20 * simulations); // the checks were about something
-    MESSAGE(accepted << " tasks in " << simulations << " worlds");
+    CHECK(accepted > 20 * simulations); // the checks had tasks to check
+    MESSAGE(accepted << " tasks in " << simulations << " simulations");
 }
