--- a/packages/guard/include/springstair/detail/guard/attempt_tracker.hpp
+++ b/packages/guard/include/springstair/detail/guard/attempt_tracker.hpp
@@ -12,60 +12,63 @@
 namespace springstair
 {
 
-/// @brief What a guard is told by its settings about tasks.
+/// @brief Settings of an attempt_tracker.
 struct attempt_tracker_options
 {
     std::string incarnation;
-    resources capacity; ///< of the worker, less what its executor needs
+    resources capacity; ///< of the worker, without its executor's own needs
     duration renew_interval = std::chrono::seconds(2);
-    /// For how long, on the worker's own clock, it may act on a start.
+    /// Time within which the worker may act on a start, on the worker's clock.
     duration start_window = std::chrono::seconds(3);
+    /// How long closed attempts are remembered.
     duration tombstone_ttl = std::chrono::minutes(10);
 };
 
-/// @brief The ledger of a worker, and the attempts that run on it.
+/// @brief Tracks the attempts on one worker and the capacity they use.
 ///
-/// An attempt's needs are booked before the worker is asked to start it and
-/// freed only when the worker lists it as ended, so the sum of what runs
-/// never exceeds the capacity. Ends come from the worker's list alone.
+/// Capacity for an attempt is booked before the worker is asked to start it,
+/// and freed only when the worker lists the attempt as ended or no longer lists
+/// it. The sum of what runs therefore never exceeds the capacity. Only the
+/// worker's list ends an attempt.
 class attempt_tracker
 {
 public:
     /// @param options from the settings
     explicit attempt_tracker(attempt_tracker_options options);
 
-    /// @brief An entry asks for a start.
+    /// @brief Handles an entry's request to start an attempt.
     task_reply on_start(time_point now, const start_task& what,
                         worker_actions& actions);
-    /// @brief An entry asks for a stop.
+    /// @brief Handles an entry's request to stop an attempt.
     task_reply on_stop(time_point now, const stop_task& what,
                        worker_actions& actions);
-    /// @brief The worker's list.
-    /// @param worker_clock the worker's own reading when it made the list
+    /// @brief Applies the worker's list of its tasks.
+    /// @param worker_clock the worker's clock when it made the list
     void on_worker_list(time_point now, duration worker_clock,
                         const std::vector<listed_task>& list,
                         worker_actions& actions);
-    /// @brief An entry has these ends on record.
+    /// @brief Forgets attempts whose end an entry has acknowledged.
     void on_acked(time_point now, const std::vector<attempt_ack>& acked,
                   worker_actions& actions);
-    /// @brief A planned stop began.
+    /// @brief Begins to drain: further starts are refused.
     void on_drain() noexcept
     {
         draining_ = true;
     }
-    /// @brief Time passes: leases are renewed.
+    /// @brief Renews the leases of running attempts, forgets old tombstones.
     void on_tick(time_point now, worker_actions& actions);
 
-    /// @brief What entries are told in heartbeats.
+    /// @brief Attempt states to send in heartbeats to the entries.
     [[nodiscard]] std::vector<attempt_report> reports() const;
-    /// @brief What is not booked.
+    /// @brief Capacity that is not booked.
     [[nodiscard]] resources free() const;
-    /// @brief What there is in all.
+    /// @brief Total capacity.
     [[nodiscard]] const resources& capacity() const noexcept
     {
         return options_.capacity;
     }
-    /// @brief Whether the worker's tasks are known.
+    /// @brief Whether the worker's tasks are known, so that starts can be
+    /// accepted.
     [[nodiscard]] bool ready() const noexcept
     {
         return listed_;
@@ -83,7 +86,7 @@
     {
         resources needs;
         phase at = phase::starting;
-        duration not_after{0}; ///< of its start, on the worker's clock
+        duration not_after{0}; ///< start deadline on the worker's clock
         std::string end_state;
         std::string detail;
         bool stopping = false;
@@ -102,10 +105,10 @@
     std::map<task_attempt, kept_attempt> attempts_;
     std::map<task_attempt, time_point> closed_;
     std::map<std::int64_t, std::int64_t> epochs_;
-    std::optional<duration> first_clock_; ///< of the worker's first list
+    std::optional<duration> first_clock_; ///< worker's clock at its first list
     time_point next_renewal_{};
     time_point clock_read_{};
-    duration worker_clock_{0}; ///< as of clock_read_
+    duration worker_clock_{0}; ///< at clock_read_
     bool listed_ = false;
     bool draining_ = false;
 };
--- a/packages/guard/include/springstair/detail/guard/guard_core.hpp
+++ b/packages/guard/include/springstair/detail/guard/guard_core.hpp
@@ -13,15 +13,17 @@
 namespace springstair
 {
 
-/// @brief What a guard is told by its settings.
+/// @brief Settings of a guard_core.
 struct guard_options
 {
     guard_name name;
     std::string incarnation;
     admission_options admission;
-    /// How long attempt names are remembered after they ended.
+    /// Time for which an attempt is remembered, from its admission or refusal,
+    /// to detect duplicates.
     duration remember_attempts = std::chrono::minutes(1);
-    /// What a dead predecessor sent has reached the executor by then.
+    /// Time after which whatever a previous guard process sent has reached the
+    /// executor.
     duration settle = std::chrono::milliseconds(300);
     std::uint64_t seed = 1;
 };
@@ -30,37 +32,37 @@
 struct attempt_request
 {
     attempt_name attempt;
-    std::string entry; ///< that sent it
+    std::string entry; ///< sender
     class_name of;
-    std::string incarnation; ///< the one the entry believes it talks to
+    std::string incarnation; ///< of the guard, as known to the entry
     duration remaining{0};   ///< until the caller's deadline
-    bool may_wait = true;    ///< else it starts at once or is refused
+    bool may_wait = true;    ///< false: start at once or refuse
 };
 
-/// @brief What the executor did with an attempt.
+/// @brief Outcome of an attempt at the executor.
 enum class executor_result : std::uint8_t
 {
-    answered, ///< a whole answer, 4xx included
-    failed,   ///< a whole answer of 5xx
+    answered, ///< complete answer, including 4xx
+    failed,   ///< complete answer with 5xx
     not_sent, ///< no connection to the executor
-    unknown   ///< sent, no whole answer
+    unknown   ///< sent, but no complete answer
 };
 
-/// @brief Hand the attempt to the executor now.
+/// @brief Send the attempt to the executor now.
 struct run_attempt
 {
     attempt_name attempt;
     bool operator==(const run_attempt&) const = default;
 };
 
-/// @brief Give the entry the executor's answer.
+/// @brief Send the executor's answer to the entry.
 struct reply_answer
 {
     attempt_name attempt;
     bool operator==(const reply_answer&) const = default;
 };
 
-/// @brief Give the entry a problem instead.
+/// @brief Send the entry a problem report instead of an answer.
 struct reply_problem
 {
     attempt_name attempt;
@@ -68,66 +70,69 @@
     bool operator==(const reply_problem&) const = default;
 };
 
-/// @brief What a guard does next.
+/// @brief An action for the caller of guard_core to carry out.
 using guard_action = std::variant<run_attempt, reply_answer, reply_problem>;
 
-/// @brief Several of them, in order.
+/// @brief Actions in the order in which to carry them out.
 using guard_actions = std::vector<guard_action>;
 
-/// @brief The state machine of a guard's request path.
+/// @brief State machine of a guard's request path.
 ///
-/// No I/O: events with the present time go in, actions come out. An
-/// attempt that was refused `not_run` is taken from the queue in the same
-/// step, so nothing can start it afterwards.
+/// Does no I/O: it receives events with the current time and returns actions.
+/// An attempt refused as `not_run` leaves the queue in the same step, so
+/// nothing can start it afterwards.
 class guard_core
 {
 public:
-    /// @param options from the settings @param now when the process began
+    /// @param options from the settings
+    /// @param now when the process started
     guard_core(guard_options options, time_point now);
 
-    /// @brief An entry sent an attempt.
+    /// @brief Handles an attempt from an entry.
     guard_actions on_attempt(time_point now, const attempt_request& request);
-    /// @brief The executor is done with an attempt.
+    /// @brief Handles the outcome of an attempt at the executor.
     guard_actions on_executor(time_point now, const attempt_name& attempt,
                               executor_result result);
-    /// @brief The worker lists the attempts its executor works on.
-    /// @param asked when the worker was asked
+    /// @brief Applies the worker's list of attempts that its executor works on.
+    /// @param asked when the worker was asked for the list
     guard_actions on_executor_list(time_point now, time_point asked,
                                    const std::set<std::string>& attempts);
-    /// @brief A newer table; an older one is passed over.
-    /// @return whether it is in force now
+    /// @brief Applies a table unless it is no newer than the current one.
+    /// @return whether it was applied
     bool on_table(const table& rows);
-    /// @brief A planned stop began.
+    /// @brief Begins to drain: further attempts are refused.
     void on_drain() noexcept;
-    /// @brief Time passes: gives up what can no longer meet its deadline.
+    /// @brief Refuses queued attempts that can no longer meet their deadline.
     guard_actions on_tick(time_point now);
 
-    /// @brief Whether a planned stop began.
+    /// @brief Whether the guard drains.
     [[nodiscard]] bool draining() const noexcept
     {
         return draining_;
     }
-    /// @brief Whether what runs on the worker is known.
+    /// @brief Whether the attempts on the worker are known and a table is in
+    /// force.
     [[nodiscard]] bool ready() const noexcept
     {
         return listed_ && table_.revision() > 0;
     }
-    /// @brief Whether the executor may work on attempts not known here.
+    /// @brief Whether the executor may work on attempts that are not in the
+    /// slots: orphans, or attempts whose outcome is unknown.
     [[nodiscard]] bool has_orphans() const noexcept
     {
         return !orphans_.empty() || !in_doubt_.empty();
     }
-    /// @brief Whether nothing runs or waits.
+    /// @brief Whether no attempt runs or waits.
     [[nodiscard]] bool idle() const;
-    /// @brief What runs and waits.
-    /// @param entry that is told
+    /// @brief Running and queued attempts.
+    /// @param entry the entry that receives the report
     [[nodiscard]] load_report load(const std::string& entry) const;
     /// @brief The table in force.
     [[nodiscard]] const table& rows() const noexcept
     {
         return table_;
     }
-    /// @brief When an attempt in the slots started, for metrics.
+    /// @brief Start time of an attempt that occupies a slot, for metrics.
     [[nodiscard]] std::optional<time_point>
     started(const attempt_name& attempt) const;
 
@@ -164,7 +169,7 @@
     std::map<attempt_name, running_attempt> running_;
     std::map<attempt_name, admitted_attempt> admitted_;
     std::map<std::string, load_report> by_entry_;
-    /// Attempts that came, and how they were refused if they were.
+    /// Attempts received; with the refusal if refused.
     std::map<attempt_name, std::optional<problem_report>> seen_;
     std::map<time_point, std::vector<attempt_name>> forget_at_;
     std::set<std::string> orphans_;
--- a/packages/guard/include/springstair/detail/guard/leader_finder.hpp
+++ b/packages/guard/include/springstair/detail/guard/leader_finder.hpp
@@ -8,21 +8,21 @@
 namespace springstair
 {
 
-/// @brief Decides whom a guard reports to: the holder, or while that one does
-/// not answer, any entry that may know of another.
+/// @brief Chooses the entry that a guard reports to: the leader or, while the
+/// leader does not answer, any entry that may know another leader.
 class leader_finder
 {
 public:
-    /// @param entries addresses that the settings name; maybe outdated
+    /// @param entries addresses from the settings; may be outdated
     explicit leader_finder(std::vector<std::string> entries)
         : entries_(std::move(entries))
     {
     }
 
-    /// @brief Where the next report goes; empty if nobody is known.
+    /// @brief Address for the next report; empty if none is known.
     ///
-    /// While the holder does not answer, it is still asked every other time:
-    /// it may be back at the same address.
+    /// While the leader does not answer, it is still tried every other time: it
+    /// may return at the same address.
     std::string target()
     {
         const bool ask_others =
@@ -34,7 +34,8 @@
         return entries_[asked_++ % entries_.size()];
     }
 
-    /// @brief Somebody names the holder. @return whether it is another one
+    /// @brief Records the leader's address as named by an entry.
+    /// @return whether it differs from the previous one
     bool follow(const std::string& address)
     {
         if (address.empty() || address == leader_)
@@ -46,14 +47,14 @@
         return true;
     }
 
-    /// @brief The holder answered.
+    /// @brief The leader answered.
     void answered() noexcept
     {
         failures_ = 0;
     }
 
-    /// @brief Whoever was asked is not the holder, or gave no answer.
-    /// @return whether the holder counts as lost from now on
+    /// @brief The target is not the leader or did not answer.
+    /// @return whether this failure makes the leader count as lost
     bool failed() noexcept
     {
         return ++failures_ == lost_after;
@@ -63,9 +64,9 @@
     {
         return failures_ >= lost_after;
     }
-    /// @brief Whether only the platform's store can tell who holds: neither the
-    /// holder nor the entries that were asked could. Each look is a priced call
-    /// of every guard.
+    /// @brief Whether only the platform's store can name the leader: neither
+    /// the leader nor the entries could. Each store read is a billed call by
+    /// every guard.
     [[nodiscard]] bool needs_store() const noexcept
     {
         return is_lost() || (leader_.empty() && entries_.empty());
@@ -80,7 +81,7 @@
     }
 
 private:
-    /// One lost report is not rare; a second one is news.
+    /// A single lost report is common; two in a row are not.
     static constexpr std::int64_t lost_after = 2;
 
     std::vector<std::string> entries_;
--- a/packages/guard/include/springstair/detail/guard/run_reconciler.hpp
+++ b/packages/guard/include/springstair/detail/guard/run_reconciler.hpp
@@ -13,92 +13,96 @@
 namespace springstair
 {
 
-/// @brief Timings of a guard's dealings with its worker.
+/// @brief Timings of a guard's calls to its worker.
 struct run_reconciler_options
 {
-    /// Longest lease that the worker takes (platform setting).
+    /// Longest lease that the worker accepts (platform setting).
     duration max_lease = std::chrono::seconds(6);
-    /// Lease that is asked for with each look, within the holder's permit: a
-    /// worker that dies silently holds its tasks up for so long, and a guard
-    /// that restarts has so long to return.
+    /// Lease requested with each poll, within the leader's lease grant. A
+    /// worker that dies silently delays its tasks by this time, and a
+    /// restarting guard must be back within it.
     duration lease = std::chrono::milliseconds(3000);
-    /// A worker that has not answered for so long gets no longer lease and
-    /// no starts: two looks, and some delay.
+    /// A worker that has not answered for this time gets no lease extension and
+    /// no starts: two polls plus some delay.
     duration silence = std::chrono::milliseconds(1200);
-    /// The worker's clock may run slower by this share (platform).
+    /// Share by which the worker's clock may run slow (platform).
     double clock_drift = 0.02;
-    /// Delays of messages and timers, on top of a lease.
+    /// Allowance for message and timer delays, on top of a lease.
     duration lease_slack = std::chrono::milliseconds(150);
-    /// A start that reaches the worker later than this does nothing. Bounds
-    /// orders that are carried out late; above any answer in time.
+    /// A start that reaches the worker later than this has no effect. Bounds
+    /// late execution of orders; above the time of any regular answer.
     duration start_limit = std::chrono::milliseconds(2000);
-    /// Pause before an order without an answer is sent again.
+    /// Delay before an unanswered order is sent again.
     duration retry_after = std::chrono::milliseconds(100);
-    /// Unanswered starts of one run before it is given back.
+    /// Number of unanswered starts after which a run is refused.
     std::int64_t max_unanswered = 4;
-    /// Longest time that the worker takes to stop a run (platform setting).
+    /// Maximum time that the worker needs to stop a run (platform setting).
     duration stop_time = std::chrono::milliseconds(400);
-    /// Ends that the worker lists in one answer at most, the oldest first
-    /// (platform). A list as long as this may leave some out.
+    /// Maximum number of ends that the worker lists in one answer, oldest first
+    /// (platform). A list of this length may be incomplete.
     std::size_t max_ends_listed = 500;
-    /// How long the worker may wait for an end before it answers a look.
-    /// Sets the age of what reports say and how often leases are extended.
+    /// Maximum time that the worker waits for an end before it answers a poll.
+    /// Determines the age of reported data and the interval between lease
+    /// extensions.
     duration poll_wait = std::chrono::milliseconds(500);
-    /// Pause after a look that got no answer.
+    /// Delay after an unanswered poll.
     duration poll_retry = std::chrono::milliseconds(100);
-    /// Pause between looks while ends wait for their acknowledgement: about
-    /// a write to the store and a report's way.
+    /// Delay between polls while ends await acknowledgement: about the time of
+    /// a store write and a report.
     duration unacknowledged_pause = std::chrono::milliseconds(30);
-    /// A holder hears so often what runs. The figures of what runs are those
-    /// of half a second. With the lists in each report of an end, too, reports
-    /// took 62 ms of the holder's processor time a second at 160 workers and
-    /// 440 starts a second, and 1.26 MB; without, 30 ms and 0.86 MB.
+    /// Interval between reports that list what runs; the figures in the lists
+    /// cover half a second. With the lists also in each report of an end,
+    /// reports took 62 ms of the leader's processor time per second and 1.26 MB
+    /// per second, at 160 workers and 440 starts per second; without them, 30
+    /// ms and 0.86 MB.
     duration full_report_interval = std::chrono::milliseconds(400);
-    /// What went with a former life is told for so long after a holder has
-    /// first heard it: above the time that a new one needs to hear its guards.
+    /// Time for which a past incarnation is reported again after the first
+    /// report that a leader received: above the time in which a new leader
+    /// collects reports from its guards.
     duration repeat_past_for = std::chrono::seconds(6);
-    /// A run that was given back, or has ended, is remembered for so long. An
-    /// order for it that was made before the holder heard so holds no longer
-    /// than the permit on the last report before, 4 s.
+    /// Time for which a refused or ended run is remembered. A start order sent
+    /// before the leader received that report is valid at most for the lease
+    /// grant on the previous report, 4 s.
     duration remember_refusals = std::chrono::milliseconds(5000);
-    /// Former lives that are told of at most: a guard that no holder hears
-    /// for a minute, while its executor crashes every few seconds.
+    /// Maximum number of past incarnations to report. Reached when no leader
+    /// receives a guard's reports for a minute while its executor crashes every
+    /// few seconds.
     std::size_t max_past_incarnations = 16;
     interference_options interference_controller;
 };
 
-/// @brief Whether and why the worker took an order.
+/// @brief Result of an order, or of a poll, at the executor.
 enum class order_result : std::uint8_t
 {
     accepted,
-    fenced, ///< a newer holder's order has been seen there
-    stale,  ///< this run or a newer one has ended or was stopped there
-    late,   ///< its time limit had passed
+    fenced, ///< the executor has seen a higher fence
+    stale,  ///< this or a newer run has ended or was stopped there
+    late,   ///< its deadline had passed
     no_room,
     no_ticket,
-    rejected,   ///< it cannot be read; it never will be
-    unhealthy,  ///< nothing was done
-    other_life, ///< another executor is there
-    unanswered  ///< it may be done now, later or never
+    rejected,   ///< malformed; a retry will not help
+    unhealthy,  ///< the executor accepts nothing; no effect
+    other_life, ///< another executor is at the address
+    unanswered  ///< outcome unknown; it may still take effect
 };
 
-/// @brief The name of a result, for the log.
+/// @brief Name of a result, for the log.
 std::string_view to_string(order_result value) noexcept;
 
-/// @brief The worker's lists and its clock.
+/// @brief Answer to a poll: the executor's clock and its lists of runs.
 struct executor_snapshot
 {
     std::int64_t clock_ms = 0;
-    std::int64_t born_ms = 0; ///< of who answered; 0: not told
+    std::int64_t born_ms = 0; ///< start of the answering executor; 0: unknown
     std::vector<running_task> running;
     std::vector<ended_task> ended;
 
     bool operator==(const executor_snapshot&) const = default;
 };
 
-// What a guard has its worker do. Each call names the life that is meant, of
-// which the executor compares the id alone. Once an executor has taken a call
-// of one fence, it takes none of a lower one: see run_reconciler::fence().
+// Calls from a guard to its executor. Each names the intended incarnation; the
+// executor compares only its id. Once an executor has accepted a call with one
+// fence, it rejects calls with a lower one: see run_reconciler::fence().
 
 /// @brief Start a run. @a deadline_ms is on the worker's clock.
 struct start_run
@@ -117,7 +121,7 @@
     executor_incarnation executor;
 };
 
-/// @brief Let a run work at a share of its speed, in percent.
+/// @brief Throttle a run to a percentage of its full speed.
 struct throttle_run
 {
     std::string task;
@@ -127,81 +131,88 @@
     executor_incarnation executor;
 };
 
-/// @brief Extend the lease, acknowledge ends and ask for both lists.
+/// @brief Extend the lease, acknowledge ends and request both lists of runs.
 struct poll_executor
 {
     std::optional<std::int64_t> deadline_ms;
     std::int64_t acknowledged = 0;
-    /// With an acknowledgement: it may reach only who was there at that time,
-    /// when the newest look that this life has answered was sent.
+    /// Set with an acknowledgement: the call may only use a connection opened
+    /// before this time, which is when the newest poll answered by this
+    /// incarnation was sent. This keeps the acknowledgement from the next
+    /// incarnation.
     std::optional<time_point> connected_before;
     std::int64_t wait_ms = 0;
     std::int64_t fence = 0;
     executor_incarnation executor;
 };
 
-/// @brief One thing to do.
+/// @brief One call to make.
 using executor_action =
     std::variant<start_run, stop_run, throttle_run, poll_executor>;
 
-/// @brief Keeps the runs of one worker as the holder of its jobs orders.
+/// @brief Makes the runs of one worker match the leader's orders.
 ///
-/// It decides nothing about jobs: it repeats orders until their effect is
-/// certain, extends the lease as far as the holder permits, and reports.
+/// It takes no scheduling decisions: it repeats orders until their outcome is
+/// certain, extends the lease as far as the lease grant allows, and reports.
 class run_reconciler
 {
 public:
-    /// @param incarnation of the guard's process; differs from all others'
+    /// @param incarnation unique id of this guard process
     explicit run_reconciler(run_reconciler_options options = {},
                             std::string incarnation = {});
 
-    /// @brief The executor beside this guard said who it is.
+    /// @brief Handles a heartbeat of the executor.
     void on_worker(const worker_description& what, std::int64_t clock_ms,
                    time_point now);
-    /// @brief The executor said that it ends.
+    /// @brief Handles the executor's notice that it is shutting down.
     void on_leave(const executor_incarnation& executor);
-    /// @brief Orders came. @return false if they are of an older holder or
-    /// for another incarnation
+    /// @brief Handles orders of a leader.
+    /// @return false if they are from an older leader or for another
+    /// incarnation of the executor
     bool on_orders(const guard_orders& orders, time_point now);
-    /// @brief A report was answered. @param sent when it was sent
+    /// @brief Handles the answer to a report.
+    /// @param sent when the report was sent
     void on_answer(const report_answer& answer, const worker_report& report,
                    time_point sent, time_point now);
-    /// @brief A start ended.
+    /// @brief Handles the result of a start.
     void on_started(const start_run& what, order_result result, time_point now);
-    /// @brief A stop ended.
+    /// @brief Handles the result of a stop.
     void on_stopped(const stop_run& what, order_result result, time_point now);
-    /// @brief A pace ended.
+    /// @brief Handles the result of a throttle call.
     void on_paced(const throttle_run& what, order_result result);
-    /// @brief A look ended. @param asked the life that was meant
-    /// @param look nothing if it got no answer
+    /// @brief Handles the result of a poll.
+    /// @param asked the polled incarnation
+    /// @param look empty if the poll got no answer
     void on_polled(const executor_incarnation& asked, order_result result,
                    const std::optional<executor_snapshot>& look,
                    time_point sent, time_point now);
 
-    /// @brief What to do now.
+    /// @brief Returns the calls to make now.
     std::vector<executor_action> due(time_point now);
     [[nodiscard]] const std::string& incarnation() const noexcept
     {
         return incarnation_;
     }
-    /// @brief The present report, without the guard's own name and address.
+    /// @brief The current report, without the guard's own name and address.
     [[nodiscard]] worker_report report(time_point now) const;
-    /// @brief Whether something is new since the last call; clears it.
+    /// @brief Whether there is something new to report since the last call;
+    /// clears the flag.
     bool take_report_due() noexcept;
 
     [[nodiscard]] std::int64_t epoch() const noexcept
     {
         return epoch_;
     }
-    /// @brief What orders calls to the executor: by the holder's epoch, then
-    /// the guard's processes, then the executor's lives that a process has met.
+    /// @brief Fencing number of calls to the executor. It grows with the
+    /// leader's epoch, then with the guard process, then with the executor
+    /// incarnations that this process has seen.
     ///
-    /// A call that was meant for a former life of the same id can be carried
-    /// out late by the next one. It would extend the lease there by the longest
-    /// one, or begin a run. Once the next life has answered a call of its own
-    /// fence, it does nothing for those of before.
+    /// A call meant for a past incarnation with the same id can reach the next
+    /// one late. There it would extend the lease by up to the maximum, or begin
+    /// a run. Once the next incarnation has answered a call with its own fence,
+    /// it rejects earlier calls.
     [[nodiscard]] std::int64_t fence() const noexcept;
-    /// @brief Fences of one epoch; those of the next epoch follow.
+    /// @brief Number of fences per epoch; those of the next epoch follow.
     static constexpr std::int64_t fences_an_epoch = std::int64_t{1} << 24;
     [[nodiscard]] time_point lease_granted_until() const noexcept
     {
@@ -211,12 +222,13 @@
     {
         return worker_;
     }
-    /// @brief Changes of the fills' pace since the last call, for the log.
+    /// @brief Returns and clears the pace changes since the last call, for the
+    /// log.
     std::vector<pace_change> take_pace_changes()
     {
         return interference_.take_changes();
     }
-    /// @brief Whether ends are listed that the holder has not acknowledged.
+    /// @brief Whether ends are listed that the leader has not acknowledged.
     [[nodiscard]] bool has_ends() const noexcept
     {
         return !ended_.empty();
@@ -228,58 +240,61 @@
         starting, ///< until the worker confirms the start
         running,
         stopping, ///< until the worker confirms the stop
-        stopped   ///< until a later look shows that it is gone
+        stopped   ///< until a later poll shows that it is gone
     };
 
     struct tracked_run
     {
         start_order order;
         stage at = stage::starting;
-        std::int64_t start_until_ms = 0; ///< see guard_orders; 0: no bound
+        std::int64_t start_until_ms = 0; ///< see guard_orders; 0: no limit
         bool call_open = false;
-        /// A copy of its start may be at the worker of which no answer will
-        /// tell: it can begin, or has, whatever another copy is answered.
+        /// A start without an answer may be at the worker. The run may have
+        /// begun or may still begin, whatever later copies of the start are
+        /// answered.
         bool in_doubt = false;
         std::int64_t unanswered = 0;
         time_point next_call{};
-        /// When a start was sent that the worker, which had answered just
-        /// before, may have taken; one that has been gone for longer than a
-        /// look takes cannot have.
+        /// When a start was sent that the worker may have accepted. Set only if
+        /// the worker had answered shortly before: one that has been
+        /// unresponsive for longer than a poll takes cannot have accepted it.
         std::optional<time_point> start_sent;
-        std::optional<time_point> begun; ///< it has, or may have, since then
-        bool start_confirmed = false;    ///< the worker said so
-        time_point listed{};             ///< by the newest look that shows it
-        time_point confirmed{};  ///< when the present stage was confirmed
-        std::string refusal;     ///< why it is given back once it is gone
-        std::int64_t pace = 100; ///< percent that the worker has taken
+        std::optional<time_point> begun; ///< it has, or may have, run since
+        bool start_confirmed = false;    ///< by the worker
+        time_point listed{};             ///< newest poll that shows it
+        time_point confirmed{};  ///< when the current stage was confirmed
+        std::string refusal;     ///< reason to report once it is gone
+        std::int64_t pace = 100; ///< percent accepted by the worker
         bool pace_open = false;
     };
 
-    /// A run that surely never begins, and when the worker made that sure.
+    /// A run that certainly never begins, and when that became certain.
     struct past_refusal
     {
         refused_run what;
         time_point at{};
     };
 
-    /// The newest run of a task that is over here, and when that was last seen.
+    /// The newest run of a task that has ended here, and when its end was last
+    /// seen.
     struct ended_run
     {
         std::int64_t run = 0;
         time_point at{};
     };
 
-    /// A life that is over, and when a holder first heard of it.
+    /// A past incarnation, and when a leader first received it.
     struct reported_incarnation
     {
         past_incarnation what;
         std::optional<time_point> told;
     };
 
-    /// An executor of another life, until its address has told who is there.
+    /// An executor with another incarnation in its heartbeat, until a poll of
+    /// its address confirms which one is there.
     struct unconfirmed_incarnation
     {
-        worker_description what; ///< without a life: there is none
+        worker_description what; ///< no incarnation: nothing to confirm
         std::int64_t clock_ms = 0;
         time_point heard{};
         bool asking = false;
@@ -337,39 +352,41 @@
     std::string incarnation_;
     worker_description worker_;
     unconfirmed_incarnation unconfirmed_;
-    std::set<executor_incarnation> ended_incarnations_; ///< surely over
-    std::int64_t incarnation_count_ = 0; ///< that this process has met
+    std::set<executor_incarnation> ended_incarnations_; ///< certainly ended
+    std::int64_t incarnation_count_ = 0; ///< seen by this process
     std::vector<reported_incarnation> former_;
-    past_incarnation over_; ///< what surely went with the present life
+    past_incarnation over_; ///< runs certainly lost with the incarnation
     guard_admission admission_;
     std::int64_t clock_ms_ = 0; ///< the worker's clock at clock_at_
     time_point clock_at_{};
-    bool knows_clock_ = false; ///< that of the present life
+    bool knows_clock_ = false; ///< of the current incarnation
     std::int64_t epoch_ = 0;
-    bool closed_ = false; ///< the data centre, by the newest orders
+    bool closed_ = false; ///< data centre closed, per the newest orders
     time_point permit_until_{};
-    time_point answered_{};     ///< when the worker last answered or spoke
-    time_point leased_until_{}; ///< no lease asked for lasts longer
+    time_point answered_{};     ///< last answer or heartbeat of the worker
+    time_point leased_until_{}; ///< upper bound of all requested leases
     std::int64_t acknowledged_ = 0;
     std::map<std::string, tracked_run> runs_;
     bool polled_ = false;
-    time_point polled_at_{};   ///< when its lists came last
-    bool poll_failed_ = false; ///< the newest one; the next is to tell more
-    std::optional<time_point> failing_since_; ///< of looks that all failed
-    time_point vouched_at_{};                 ///< see poll_executor
+    time_point polled_at_{};   ///< when its lists were last received
+    bool poll_failed_ = false; ///< the newest poll; the next does not wait
+    std::optional<time_point>
+        failing_since_;       ///< start of the present series of failed polls
+    time_point vouched_at_{}; ///< see poll_executor
     bool poll_open_ = false;
     time_point next_look_{};
     std::vector<running_task> running_;
     std::vector<ended_task> ended_;
-    /// Of runs that the worker shows beside newer ones that are kept.
+    /// Stops for older runs that the worker lists beside a newer tracked run.
     std::vector<stop_order> superseded_stops_;
-    std::vector<refused_run> refused_; ///< not told to a holder yet
+    std::vector<refused_run> refused_; ///< not yet received by a leader
     std::map<std::string, past_refusal> past_refusals_; ///< newest, by task
     std::map<std::string, ended_run> ended_runs_;       ///< by task
     interference_controller interference_;
-    time_point full_reported_at_{}; ///< when the holder last heard what runs
-    /// The worker's newest answer was that it does nothing, or nobody takes
-    /// calls at its address.
+    time_point full_reported_at_{}; ///< newest report with lists that a leader
+                                    ///< received
+    /// The newest answer of the worker was that it accepts nothing, or nothing
+    /// accepts connections at its address.
     bool unhealthy_ = false;
     bool report_due_ = false;
 };
--- a/packages/guard/include/springstair/guard.hpp
+++ b/packages/guard/include/springstair/guard.hpp
@@ -1,6 +1,7 @@
 #pragma once
 /// @file
-/// The guard's decisions: the only admission to one executor and worker.
+/// The guard's decision logic. Only the guard admits work to its executor and
+/// worker.
 
 #include <springstair/detail/guard/attempt_tracker.hpp>
 #include <springstair/detail/guard/guard_core.hpp>
--- a/packages/guard/src/attempt_tracker.cpp
+++ b/packages/guard/src/attempt_tracker.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-// How an end is called in a heartbeat.
+// Name of a state in heartbeats.
 std::string report_state(listed_task::state how)
 {
     switch (how)
@@ -51,8 +51,8 @@
 // Commands of entries
 // ---------------------------------------------------------------------------
 
-// Whoever holds a shard has a higher epoch than all who held it before, so
-// a holder that was frozen and overtaken is told apart by it.
+// Each shard owner has a higher epoch than all previous owners. This rejects
+// messages from an owner that was paused and superseded.
 bool attempt_tracker::stale(std::int64_t shard, std::int64_t epoch)
 {
     std::int64_t& newest = epochs_[shard];
@@ -113,7 +113,7 @@
             reason != "starting" && reason != "wrong_incarnation";
         if (for_good)
         {
-            close(now, name); // a delayed copy must not fare better
+            close(now, name); // a delayed duplicate must not be accepted
         }
         return {.accepted = false, .reason = std::move(reason)};
     }
@@ -149,7 +149,7 @@
     const auto found = attempts_.find(name);
     if (found == attempts_.end())
     {
-        close(now, name); // a start that is still on its way comes too late
+        close(now, name); // refuses a start that is still in flight
         return {.accepted = true, .reason = "not_here"};
     }
     if (found->second.at != phase::ended && !found->second.stopping)
@@ -171,7 +171,7 @@
     {
         if (stale(ack.shard, ack.epoch))
         {
-            continue; // a holder that was overtaken knows less
+            continue; // from a superseded shard owner
         }
         const task_attempt name{ack.task, ack.attempt};
         const auto found = attempts_.find(name);
@@ -197,7 +197,7 @@
 {
     if (closed_.contains(item.name))
     {
-        return; // on record; the worker has yet to forget it
+        return; // acknowledged; the worker has yet to forget it
     }
     const auto [position, adopted] = attempts_.try_emplace(item.name);
     kept_attempt& kept = position->second;
@@ -215,7 +215,7 @@
     kept.detail = item.detail;
 }
 
-// A stop that overtook its start found nothing to stop.
+// Repeats a stop that reached the worker before its start and so had no effect.
 void attempt_tracker::stop_again(const listed_task& item,
                                  worker_actions& actions) const
 {
@@ -230,9 +230,9 @@
     }
 }
 
-// An attempt that the worker listed before and lists no more has died. One
-// that it never listed may still start until its window has closed on the
-// worker's own clock, however long either side was paused.
+// An attempt that the worker listed before and no longer lists is lost. One
+// that was never listed may still start until its start window has closed on
+// the worker's clock; that holds even if either side was paused.
 void attempt_tracker::end_missing(duration worker_clock,
                                   const std::set<task_attempt>& listed)
 {
@@ -270,7 +270,7 @@
                 recorded.push_back(item.name);
                 continue;
             }
-            // A start that was closed got through all the same.
+            // The start reached the worker although the attempt is closed.
             actions.emplace_back(
                 worker_stop{.name = item.name, .keep_checkpoint = false});
         }
@@ -282,8 +282,8 @@
     {
         actions.emplace_back(worker_forget{std::move(recorded)});
     }
-    // What a dead predecessor asked to start may still begin until its window
-    // has closed; by then it is listed, or never will be.
+    // Starts sent by a previous guard process may still begin until their
+    // window has closed. After that they are listed or never begin.
     if (!first_clock_)
     {
         first_clock_ = worker_clock;
--- a/packages/guard/src/guard_core.cpp
+++ b/packages/guard/src/guard_core.cpp
@@ -23,7 +23,7 @@
 {
     if (request.incarnation != options_.incarnation)
     {
-        // A copy of it may have reached the process that was here before.
+        // A duplicate may have reached the previous guard process.
         return problem_report{.result = outcome::unknown,
                               .reason = refusal::wrong_incarnation,
                               .retry_after = retry_soon};
@@ -53,8 +53,8 @@
     return {reply_problem{.attempt = attempt, .what = std::move(why)}};
 }
 
-// A copy of an attempt fares as the first one did: what was refused stays
-// refused, and what may run is not called not_run.
+// A duplicate gets the outcome of the first copy: a refusal is repeated, and an
+// attempt that may run is never reported as not_run.
 guard_actions guard_core::answer_duplicate(const attempt_name& attempt)
 {
     const auto& refused = seen_.at(attempt);
@@ -133,7 +133,7 @@
             .what = not_run(refusal::connection_lost, retry_soon)});
         break;
     case executor_result::unknown:
-        // Its slot stays taken until the worker says it is free.
+        // The slot stays occupied until the worker lists the attempt no more.
         admission_.abandon(attempt);
         in_doubt_[attempt.value] = now;
         count_orphans();
@@ -155,7 +155,7 @@
 {
     if (asked < last_asked_)
     {
-        return {}; // overtaken by a later list
+        return {}; // stale: a later list was applied
     }
     last_asked_ = asked;
     std::set<std::string> foreign;
@@ -170,7 +170,8 @@
             foreign.insert(name);
         }
     }
-    // Doubt that arose after the worker was asked is not settled by this.
+    // Attempts whose outcome became unknown after the worker was asked stay in
+    // doubt: this list may predate them.
     std::erase_if(in_doubt_,
                   [&](const auto& item) { return item.second <= asked; });
     orphans_ = std::move(foreign);
--- a/packages/guard/src/interference.cpp
+++ b/packages/guard/src/interference.cpp
@@ -11,10 +11,10 @@
 {
 
 constexpr double full_pace = 100;
-// Paces are rounded to this, so that small changes cost no orders.
+// Paces are rounded to this, so that small changes send no orders.
 constexpr double pace_grain = 5;
-// Share of a worker's processors that fills of an image are taken to use at
-// full pace while they stand still and show no figure.
+// Share of the worker's processors that an image's best-effort tasks are
+// assumed to use at full pace while they are stopped and have no figure.
 constexpr double unknown_use = 0.1;
 
 } // namespace
@@ -136,8 +136,8 @@
     return sum;
 }
 
-// Fills that are known to harm are slowed if they explain what is missing;
-// else all fills, but only once a target is missed.
+// Slows the images with known interference if they explain the missing
+// headroom; else all best-effort images, but only once a target is missed.
 void interference_controller::slow_for(const std::string& serving,
                                        double headroom, const figures& now)
 {
@@ -152,8 +152,8 @@
     }
 }
 
-// The fill that harms most for its work goes first, until what is missing is
-// won back: the least work is slowed for it.
+// Slows the images with the highest interference per unit of work first, until
+// the missing headroom is regained. This slows the least work.
 void interference_controller::slow_known(const std::string& serving,
                                          double headroom, const figures& now)
 {
@@ -214,8 +214,8 @@
     return std::exchange(changes_, {});
 }
 
-// By how much a fill may get faster, in percent of its full pace, at which it
-// uses a share of the worker's processors.
+// Maximum increase of an image's pace, in percentage points. `full` is the
+// share of the worker's processors that it uses at full pace.
 double interference_controller::bearable_raise(const std::string& filling,
                                                double full,
                                                const figures& now) const
@@ -237,8 +237,9 @@
     return raise;
 }
 
-// Those that harm least first; what one takes of a headroom is gone for the
-// next, so that together they do not bring a tail over its target.
+// Speeds up the images with the least interference first. The headroom that one
+// uses is subtracted before the next, so that together they do not push a tail
+// over its target.
 void interference_controller::raise(const figures& now)
 {
     std::vector<std::pair<double, std::string>> order;
--- a/packages/guard/src/run_reconciler.cpp
+++ b/packages/guard/src/run_reconciler.cpp
@@ -36,8 +36,8 @@
 namespace
 {
 
-// Processes of a guard that an epoch tells apart, and lives that a process
-// does; the last ones share a fence.
+// Number of guard processes that an epoch distinguishes, and of executor
+// incarnations that a process does. Any beyond share the last fence.
 constexpr std::int64_t fences_a_level = std::int64_t{1} << 12;
 static_assert(fences_a_level * fences_a_level ==
               run_reconciler::fences_an_epoch);
@@ -70,7 +70,8 @@
     return to_milliseconds(now - time_point{});
 }
 
-// The permit may still be used; what was asked for may be in force.
+// The lease may still be extended up to the grant, and a requested extension
+// may be in force.
 std::int64_t run_reconciler::lease_left(time_point now) const
 {
     const duration permitted = from_seconds(to_seconds(permit_until_ - now) *
@@ -79,8 +80,9 @@
         std::max({duration{0}, permitted, leased_until_ - now}));
 }
 
-// The worker's time at which a lease of a length from now ends. Its clock
-// may be behind the estimate, and slow: the lease can last a little longer.
+// Returns the deadline, on the worker's clock, of a lease of length `left`.
+// That clock may be behind the estimate and may run slow, so the lease can last
+// slightly longer.
 std::int64_t run_reconciler::lease_to(duration left, time_point now)
 {
     const duration behind =
@@ -92,8 +94,8 @@
     return worker_clock(now) + to_milliseconds(left);
 }
 
-// Calls of before, of an earlier guard or meant for the life before, may have
-// asked for any lease: only the longest one bounds it.
+// Earlier calls, of a previous guard process or meant for the previous
+// incarnation, may have requested any lease. Only the maximum lease bounds it.
 void run_reconciler::expect_longest_lease(time_point from)
 {
     const duration longest = from_seconds(to_seconds(options_.max_lease) *
@@ -102,8 +104,9 @@
         std::max(leased_until_, from + longest + options_.lease_slack);
 }
 
-// A lease is a time on the clock of the present life. Not while that clock is
-// unknown, or while the executor may have started again.
+// A lease deadline is a time on the clock of the current incarnation. No lease
+// is requested while that clock is unknown or while the executor may have
+// restarted.
 bool run_reconciler::may_lease(time_point now) const
 {
     const bool may_be_over =
@@ -111,9 +114,9 @@
     return knows_clock_ && !may_be_over && !is_silent(now);
 }
 
-// The processes of a guard are told apart by the holder's admissions. Without
-// one of the present epoch, a process may use fences below those of the one
-// before it; it is refused until the holder has admitted it.
+// The leader's admissions number the processes of a guard. Without an admission
+// of the current epoch, a process may use fences below those of its
+// predecessor; the executor rejects its calls until the leader has admitted it.
 std::int64_t run_reconciler::fence() const noexcept
 {
     const std::int64_t process =
@@ -138,7 +141,7 @@
 }
 
 // ---------------------------------------------------------------------------
-// The holder
+// The leader
 // ---------------------------------------------------------------------------
 
 bool run_reconciler::on_orders(const guard_orders& orders, time_point now)
@@ -194,9 +197,10 @@
     return true;
 }
 
-// A stop for a newer run than the one that is kept stops that one: its holder
-// has given it up. Taken for the newer one, the answer to the kept one's start
-// was dropped for its number, its call stayed open for good, and it ran on.
+// A stop for a newer run than the tracked one stops the tracked one: the leader
+// has given it up. The tracked run must keep its number. When it took over the
+// number of the stop, the answer to its start was dropped, its call stayed in
+// flight forever, and it ran on.
 void run_reconciler::take_stop(const stop_order& order, time_point now)
 {
     const auto [found, is_new] = runs_.try_emplace(order.task);
@@ -223,7 +227,7 @@
     kept.next_call = now;
 }
 
-// The holder repeats these until the worker shows the run no more.
+// The leader repeats these stops until the worker no longer lists the run.
 void run_reconciler::stop_superseded(std::vector<executor_action>& out)
 {
     for (stop_order& order : std::exchange(superseded_stops_, {}))
@@ -244,13 +248,13 @@
     }
     if (answer.orders.epoch > epoch_)
     {
-        full_reported_at_ = {}; // not to this holder
+        full_reported_at_ = {}; // a new leader has received none
     }
     if (answer.admission.number > 0)
     {
         epoch_ = answer.orders.epoch;
         admission_ = answer.admission;
-        report_due_ = true; // to be repeated at once
+        report_due_ = true; // repeat it with the admission
         return;
     }
     forget_reported_incarnations(report, now);
@@ -272,7 +276,7 @@
 }
 
 // ---------------------------------------------------------------------------
-// What to do
+// Calls to make
 // ---------------------------------------------------------------------------
 
 std::vector<executor_action> run_reconciler::due(time_point now)
@@ -303,10 +307,10 @@
     return until_ms > 0 && vm_clock_ms(now) > until_ms;
 }
 
-// Whether a holder was told that the run never begins, or is to be told. An
-// order for it can be on its way meanwhile, or come a second time; begun again,
-// the task would run where its holder no longer looks for it. A holder that
-// still counts on the run hears of it again.
+// Whether the run was refused. An order for it can be in flight at that time or
+// arrive twice; if the run began again, the task would run where its leader no
+// longer expects it. If the leader still orders the run, the refusal is
+// reported again.
 bool run_reconciler::was_refused(const start_order& order)
 {
     const auto found = past_refusals_.find(order.task);
@@ -325,17 +329,17 @@
     return true;
 }
 
-// Whether a run has ended here. The executor knows so too, unless it has
-// started again since: a second copy of the order began a run there that had
-// ended as done. It is stopped instead, and given back if it is still wanted.
+// Whether the run has ended here. The executor knows that too, unless it has
+// restarted: there, a duplicate order began a run that had already succeeded.
+// Such a run is stopped instead, and refused if it is still wanted.
 bool run_reconciler::has_ended(const start_order& order) const
 {
     const auto found = ended_runs_.find(order.task);
     return found != ended_runs_.end() && order.run <= found->second.run;
 }
 
-// A draining worker begins nothing more, nor does one in a closed data centre,
-// and no worker what the holder may have given up by now.
+// Refuses starts on a draining worker, in a closed data centre, or after the
+// time limit of their orders, when the leader may have given them up.
 void run_reconciler::refuse_unstarted(time_point now)
 {
     std::vector<std::string> draining;
@@ -425,9 +429,10 @@
                                .executor = worker_.executor});
 }
 
-// The next life of an executor counts its ends from 1 again. It would forget
-// those up to a number of the former one, which nobody has read: so what is
-// acknowledged goes to the life that has listed it, or nowhere.
+// The next incarnation of an executor numbers its ends from 1 again. An
+// acknowledgement meant for the past one would make it drop ends that nobody
+// has read, so an acknowledgement is sent only to the incarnation that listed
+// the ends.
 void run_reconciler::act_on_worker(time_point now,
                                    std::vector<executor_action>& out)
 {
@@ -482,7 +487,8 @@
     }
     for (const reported_incarnation& one : former_)
     {
-        // With the news of the next life, so that nothing is placed between.
+        // Sent along with the next incarnation, so that nothing is placed in
+        // between.
         if (out.whole || !one.told)
         {
             out.former.push_back(one.what);
--- a/packages/guard/src/run_reconciler_incarnations.cpp
+++ b/packages/guard/src/run_reconciler_incarnations.cpp
@@ -1,5 +1,5 @@
-// Lives of the executor beside a guard: which is there, and what went with the
-// one before.
+// Incarnations of the executor: which one is at its address, and which runs
+// were lost with the previous one.
 
 #include <springstair/guard.hpp>
 
@@ -32,9 +32,10 @@
     answered_ = now;
 }
 
-// Whether the present life is over is not known yet. If the same executor has
-// started again, calls that were meant for the life before may be taken there,
-// with the longest lease: their times are on another clock.
+// It is not known yet whether the current incarnation has ended. If the same
+// executor has restarted, it may accept calls meant for the previous
+// incarnation. Their deadlines are on another clock, so they may extend the
+// lease by up to the maximum.
 void run_reconciler::on_unconfirmed_heartbeat(const worker_description& what,
                                               std::int64_t clock_ms,
                                               time_point now)
@@ -52,8 +53,9 @@
     }
 }
 
-// A new life has seen no order. It runs nothing, unless it is of the same
-// executor: then it may have taken starts that were meant for the life before.
+// A new incarnation has received no order and runs nothing, unless it is the
+// same executor restarted: then it may have accepted starts meant for the
+// previous incarnation.
 void run_reconciler::begin_incarnation(const executor_incarnation& next,
                                        time_point now)
 {
@@ -79,7 +81,7 @@
     poll_failed_ = false;
     knows_clock_ = false;
     vouched_at_ = {};
-    // The first report of a life has to show what it took.
+    // The first report of an incarnation must list its runs.
     full_reported_at_ = {};
     poll_open_ = false;
     acknowledged_ = 0;
@@ -90,9 +92,9 @@
     interference_ = interference_controller(options_.interference_controller);
 }
 
-// A start without an answer may be at the next life of the executor, now or
-// later; its stop is repeated there. Remembered at the former life alone, such
-// a run began beside the one that had taken its place.
+// A start without an answer may reach the next incarnation of the executor, now
+// or later, so its stop is repeated there. When such a run was remembered only
+// for the past incarnation, it began beside the run that had replaced it.
 void run_reconciler::carry_uncertain_starts(time_point now)
 {
     std::erase_if(runs_,
@@ -113,9 +115,9 @@
     }
 }
 
-// A look that another life was meant by tells who lives at the address. Only
-// an answer decides between two lives: a heartbeat that was held back can come
-// after its sender's end, and lives have no order.
+// Handles the result of a poll that asks which incarnation is at the address.
+// Only an answer decides between two incarnations: a delayed heartbeat can
+// arrive after its sender has ended, and incarnations have no order.
 void run_reconciler::on_unconfirmed_polled(
     order_result result, const std::optional<executor_snapshot>& look,
     time_point now)
@@ -151,9 +153,9 @@
     }
 }
 
-// Another life has answered. Until its own heartbeat has told what it can run,
-// it gets nothing to run; until it has told its clock, no lease. A time on the
-// clock of the life before is far ahead on its own.
+// Another incarnation has answered. Until its own heartbeat reports what it can
+// run, it gets no work; until its clock is known, it gets no lease. A deadline
+// on the previous clock would be far ahead on its own.
 void run_reconciler::switch_incarnation(const executor_incarnation& who,
                                         time_point now)
 {
@@ -200,10 +202,10 @@
 }
 
 // ---------------------------------------------------------------------------
-// Former lives of the executor
+// Past incarnations of the executor
 // ---------------------------------------------------------------------------
 
-// A run that began here and did not end goes with the life.
+// A run that began here and has not ended is lost with the incarnation.
 void run_reconciler::remember_run(const std::string& task,
                                   const tracked_run& run)
 {
@@ -237,8 +239,8 @@
     }
 }
 
-// A start that was taken for one of the life before may have been the next
-// one's: its lists show it, and no crash speaks of it.
+// A start counted for the past incarnation may have been accepted by the next
+// one. If its lists show the run, the run was not lost in the crash.
 void run_reconciler::drop_surviving_runs()
 {
     if (former_.empty() ||
@@ -253,8 +255,9 @@
                   });
 }
 
-// A holder has heard a report. It may fall before it has written what it
-// makes of that, so its successor hears the same for a while.
+// Notes which past incarnations a leader has received. It may fail before it
+// has committed the consequences, so they are reported to its successor for a
+// while.
 void run_reconciler::forget_reported_incarnations(const worker_report& report,
                                                   time_point now)
 {
--- a/packages/guard/src/run_reconciler_results.cpp
+++ b/packages/guard/src/run_reconciler_results.cpp
@@ -1,4 +1,4 @@
-// What came of a guard's orders and looks.
+// Results of a guard's calls to its executor.
 
 #include <springstair/guard.hpp>
 
@@ -10,7 +10,7 @@
 namespace
 {
 
-// Of the newest end in a list; ends are listed in their order.
+// Number of the newest end; the list is in order.
 std::int64_t last_number(const std::vector<ended_task>& ends)
 {
     return ends.empty() ? 0 : ends.back().number;
@@ -18,10 +18,11 @@
 
 } // namespace
 
-// Gives a run back. While it is in doubt, the worker is told first never to
-// begin it. What a former process of this guard sent puts it in doubt too: with
-// only the own calls remembered, a worker that was busy for a moment after its
-// guard's restart had its runs given back while they ran, and they ran twice.
+// Refuses a run. While the run is in doubt, the worker is first told to stop
+// it, so that it can never begin. Starts sent by a previous process of this
+// guard also put it in doubt. When only the process's own calls counted, a
+// worker that was busy briefly after a guard restart had its runs refused while
+// they ran, and they ran twice.
 void run_reconciler::refuse(const std::string& task, tracked_run& run,
                             const std::string& reason, time_point now)
 {
@@ -47,9 +48,10 @@
     report_due_ = true;
 }
 
-// The holder hears at once that a worker takes nothing. Until its silence was
-// noticed, 1.2 s, an executor that was down got whatever waited, and each start
-// came back refused: 192 of 313 in two seconds of a day with many crashes.
+// Reports to the leader at once that a worker accepts nothing. When the leader
+// learnt it only from unresponsiveness, after 1.2 s, a failed executor was
+// given all waiting work and each start was refused: 192 of 313 in two seconds
+// of a day with many crashes.
 void run_reconciler::note_health(order_result result)
 {
     const bool refuses = result == order_result::unhealthy;
@@ -106,11 +108,11 @@
         remember_run(task, kept);
         [[fallthrough]];
     case order_result::fenced:
-        runs_.erase(found); // a newer holder or life decides
+        runs_.erase(found); // left to a newer leader or incarnation
         report_due_ = true;
         return;
     case order_result::stale:
-        // It has ended here, or was stopped: the next look tells.
+        // It has ended here or was stopped; the next poll shows which.
         kept.at = stage::stopped;
         kept.refusal = "stale";
         kept.confirmed = now - options_.stop_time;
@@ -168,7 +170,7 @@
         on_unconfirmed_polled(result, look, now);
         if (!is_of_another_executor)
         {
-            return; // starts that it took meanwhile may be missing
+            return; // may lack starts that it accepted meanwhile
         }
     }
     if (asked != worker_.executor)
@@ -186,12 +188,12 @@
     next_look_ = now;
     if (result == order_result::other_life && !polled_)
     {
-        worker_ = {}; // its heartbeat was late: it never was there
+        worker_ = {}; // stale heartbeat: this executor is not there
         return;
     }
     if (look && look->ended == ended_ && !ended_.empty())
     {
-        // A look returns at once while ends are not acknowledged.
+        // Polls return at once while ends are unacknowledged.
         next_look_ = now + options_.unacknowledged_pause;
     }
     if (!look)
@@ -252,9 +254,9 @@
     of = {.run = std::max(of.run, run), .at = now};
 }
 
-// Compares the runs with a look that was sent at a time. A run that it does not
-// show has an acknowledged end, or never began; but nothing can be told of it
-// from a list that may leave its end out.
+// Compares the tracked runs with a snapshot whose poll was sent at `sent`. A
+// run that it does not show has an acknowledged end or never began. A list that
+// may omit ends proves neither.
 void run_reconciler::settle(time_point sent, time_point now)
 {
     const bool lists_all_ends = ended_.size() < options_.max_ends_listed;
