--- a/packages/guard/include/springstair/detail/guard/attempt_tracker.hpp
+++ b/packages/guard/include/springstair/detail/guard/attempt_tracker.hpp
@@ -37,10 +37,10 @@
     explicit attempt_tracker(attempt_tracker_options options);
 
     /// @brief Handles an entry's request to start an attempt.
-    task_reply on_start(time_point now, const start_task& what,
+    task_reply on_start(time_point now, const start_task& request,
                         worker_actions& actions);
     /// @brief Handles an entry's request to stop an attempt.
-    task_reply on_stop(time_point now, const stop_task& what,
+    task_reply on_stop(time_point now, const stop_task& request,
                        worker_actions& actions);
     /// @brief Applies the worker's list of its tasks.
     /// @param worker_clock the worker's clock when it made the list
@@ -75,17 +75,17 @@
     }
 
 private:
-    enum class phase : std::uint8_t
+    enum class attempt_state : std::uint8_t
     {
         starting,
         running,
         ended
     };
 
-    struct kept_attempt
+    struct tracked_attempt
     {
         resources needs;
-        phase at = phase::starting;
+        attempt_state state = attempt_state::starting;
         duration not_after{0}; ///< start deadline on the worker's clock
         std::string end_state;
         std::string detail;
@@ -93,16 +93,16 @@
         bool keep_checkpoint = false;
     };
 
-    bool stale(std::int64_t shard, std::int64_t epoch);
-    [[nodiscard]] std::string objection(const start_task& what) const;
+    bool is_stale(std::int64_t shard, std::int64_t epoch);
+    [[nodiscard]] std::string refusal_reason(const start_task& request) const;
     void close(time_point now, const task_attempt& name);
-    void take_listed(const listed_task& item);
-    void stop_again(const listed_task& item, worker_actions& actions) const;
-    void end_missing(duration worker_clock,
-                     const std::set<task_attempt>& listed);
+    void apply_listed(const listed_task& item);
+    void repeat_stop(const listed_task& item, worker_actions& actions) const;
+    void mark_missing_lost(duration worker_clock,
+                           const std::set<task_attempt>& listed);
 
     attempt_tracker_options options_;
-    std::map<task_attempt, kept_attempt> attempts_;
+    std::map<task_attempt, tracked_attempt> attempts_;
     std::map<task_attempt, time_point> closed_;
     std::map<std::int64_t, std::int64_t> epochs_;
     std::optional<duration> first_clock_; ///< worker's clock at its first list
--- a/packages/guard/include/springstair/detail/guard/guard_core.hpp
+++ b/packages/guard/include/springstair/detail/guard/guard_core.hpp
@@ -154,7 +154,7 @@
     void remember(time_point now, const attempt_name& attempt,
                   std::optional<problem_report> refused);
     guard_actions refuse(time_point now, const attempt_name& attempt,
-                         problem_report why);
+                         problem_report problem);
     guard_actions answer_duplicate(const attempt_name& attempt);
     void start_ready(time_point now, guard_actions& actions);
     void count_orphans();
--- a/packages/guard/include/springstair/detail/guard/interference.hpp
+++ b/packages/guard/include/springstair/detail/guard/interference.hpp
@@ -81,7 +81,7 @@
 
     /// @brief Stores the leader's newest interference values for pairs of
     /// images on this worker.
-    void learn(const std::vector<pair_interference>& harms);
+    void learn(const std::vector<pair_interference>& pairs);
 
     /// @brief Adjusts the paces to the rows of an executor snapshot.
     /// @param traits of the known runs, by task
@@ -110,17 +110,17 @@
     [[nodiscard]] double interference_of(const std::string& serving,
                                          const std::string& filling) const;
     [[nodiscard]] double known_interference_of(const std::string& serving,
-                                               const figures& now) const;
+                                               const figures& seen) const;
     void slow_for(const std::string& serving, double headroom,
-                  const figures& now);
+                  const figures& seen);
     void slow_known(const std::string& serving, double headroom,
-                    const figures& now);
+                    const figures& seen);
     void slow_all(const std::string& serving, double headroom,
-                  const figures& now);
-    void slow(const std::string& filling, double factor, pace_change why);
-    void raise(const figures& now);
-    [[nodiscard]] double bearable_raise(const std::string& filling, double full,
-                                        const figures& now) const;
+                  const figures& seen);
+    void slow(const std::string& filling, double factor, pace_change change);
+    void raise(const figures& seen);
+    [[nodiscard]] double max_raise(const std::string& filling, double full,
+                                   const figures& seen) const;
 
     interference_options options_;
     std::map<std::string, std::map<std::string, double>> known_interference_;
--- a/packages/guard/include/springstair/detail/guard/run_reconciler.hpp
+++ b/packages/guard/include/springstair/detail/guard/run_reconciler.hpp
@@ -24,7 +24,7 @@
     duration lease = std::chrono::milliseconds(3000);
     /// A worker that has not answered for this time gets no lease extension and
     /// no starts: two polls plus some delay.
-    duration silence = std::chrono::milliseconds(1200);
+    duration unresponsive_after = std::chrono::milliseconds(1200);
     /// Share by which the worker's clock may run slow (platform).
     double clock_drift = 0.02;
     /// Allowance for message and timer delays, on top of a lease.
@@ -162,7 +162,7 @@
                             std::string incarnation = {});
 
     /// @brief Handles a heartbeat of the executor.
-    void on_worker(const worker_description& what, std::int64_t clock_ms,
+    void on_worker(const worker_description& description, std::int64_t clock_ms,
                    time_point now);
     /// @brief Handles the executor's notice that it is shutting down.
     void on_leave(const executor_incarnation& executor);
@@ -175,16 +175,17 @@
     void on_answer(const report_answer& answer, const worker_report& report,
                    time_point sent, time_point now);
     /// @brief Handles the result of a start.
-    void on_started(const start_run& what, order_result result, time_point now);
+    void on_started(const start_run& start, order_result result,
+                    time_point now);
     /// @brief Handles the result of a stop.
-    void on_stopped(const stop_run& what, order_result result, time_point now);
+    void on_stopped(const stop_run& stop, order_result result, time_point now);
     /// @brief Handles the result of a throttle call.
-    void on_paced(const throttle_run& what, order_result result);
+    void on_paced(const throttle_run& throttle, order_result result);
     /// @brief Handles the result of a poll.
     /// @param asked the polled incarnation
-    /// @param look empty if the poll got no answer
+    /// @param snapshot empty if the poll got no answer
     void on_polled(const executor_incarnation& asked, order_result result,
-                   const std::optional<executor_snapshot>& look,
+                   const std::optional<executor_snapshot>& snapshot,
                    time_point sent, time_point now);
 
     /// @brief Returns the calls to make now.
@@ -213,10 +214,10 @@
     /// it rejects earlier calls.
     [[nodiscard]] std::int64_t fence() const noexcept;
     /// @brief Number of fences per epoch; those of the next epoch follow.
-    static constexpr std::int64_t fences_an_epoch = std::int64_t{1} << 24;
+    static constexpr std::int64_t fences_per_epoch = std::int64_t{1} << 24;
     [[nodiscard]] time_point lease_granted_until() const noexcept
     {
-        return permit_until_;
+        return lease_granted_until_;
     }
     [[nodiscard]] const worker_description& worker() const noexcept
     {
@@ -235,7 +236,7 @@
     }
 
 private:
-    enum class stage : std::uint8_t
+    enum class run_stage : std::uint8_t
     {
         starting, ///< until the worker confirms the start
         running,
@@ -246,9 +247,9 @@
     struct tracked_run
     {
         start_order order;
-        stage at = stage::starting;
+        run_stage stage = run_stage::starting;
         std::int64_t start_until_ms = 0; ///< see guard_orders; 0: no limit
-        bool call_open = false;
+        bool call_in_flight = false;
         /// A start without an answer may be at the worker. The run may have
         /// begun or may still begin, whatever later copies of the start are
         /// answered.
@@ -265,14 +266,14 @@
         time_point confirmed{};  ///< when the current stage was confirmed
         std::string refusal;     ///< reason to report once it is gone
         std::int64_t pace = 100; ///< percent accepted by the worker
-        bool pace_open = false;
+        bool pace_in_flight = false;
     };
 
     /// A run that certainly never begins, and when that became certain.
     struct past_refusal
     {
-        refused_run what;
-        time_point at{};
+        refused_run refused;
+        time_point refused_at{};
     };
 
     /// The newest run of a task that has ended here, and when its end was last
@@ -280,41 +281,41 @@
     struct ended_run
     {
         std::int64_t run = 0;
-        time_point at{};
+        time_point seen_at{};
     };
 
     /// A past incarnation, and when a leader first received it.
     struct reported_incarnation
     {
-        past_incarnation what;
-        std::optional<time_point> told;
+        past_incarnation incarnation;
+        std::optional<time_point> reported_at;
     };
 
     /// An executor with another incarnation in its heartbeat, until a poll of
     /// its address confirms which one is there.
     struct unconfirmed_incarnation
     {
-        worker_description what; ///< no incarnation: nothing to confirm
+        worker_description description; ///< no incarnation: nothing to confirm
         std::int64_t clock_ms = 0;
-        time_point heard{};
-        bool asking = false;
-        time_point next_ask{};
+        time_point received_at{};
+        bool polling = false;
+        time_point next_poll{};
     };
 
-    void on_unconfirmed_heartbeat(const worker_description& what,
+    void on_unconfirmed_heartbeat(const worker_description& description,
                                   std::int64_t clock_ms, time_point now);
     void begin_incarnation(const executor_incarnation& next, time_point now);
     void carry_uncertain_starts(time_point now);
     void on_unconfirmed_polled(order_result result,
-                               const std::optional<executor_snapshot>& look,
+                               const std::optional<executor_snapshot>& snapshot,
                                time_point now);
     void switch_incarnation(const executor_incarnation& who, time_point now);
     void drop_surviving_runs();
     void poll_unconfirmed(time_point now, std::vector<executor_action>& out);
     void refuse(const std::string& task, tracked_run& run,
                 const std::string& reason, time_point now);
-    void settle(time_point sent, time_point now);
-    void note_health(order_result result);
+    void reconcile_runs(time_point sent, time_point now);
+    void update_health(order_result result);
     void remember_incarnation(time_point now);
     void remember_run(const std::string& task, const tracked_run& run);
     void forget_reported_incarnations(const worker_report& report,
@@ -324,24 +325,24 @@
                     std::vector<executor_action>& out);
     void act_on_worker(time_point now, std::vector<executor_action>& out);
     void refuse_unstarted(time_point now);
-    void take_stop(const stop_order& order, time_point now);
+    void apply_stop(const stop_order& order, time_point now);
     void stop_superseded(std::vector<executor_action>& out);
-    void report_refusal(refused_run what, time_point now);
+    void report_refusal(refused_run refused, time_point now);
     [[nodiscard]] bool was_refused(const start_order& order);
     [[nodiscard]] bool has_ended(const start_order& order) const;
     void record_ended(const std::string& task, std::int64_t run,
                       time_point now);
-    void give_back(const std::vector<std::string>& tasks, const char* why,
-                   time_point now);
-    [[nodiscard]] static bool is_void(std::int64_t until_ms, time_point now);
+    void refuse_all(const std::vector<std::string>& tasks, const char* reason,
+                    time_point now);
+    [[nodiscard]] static bool is_expired(std::int64_t until_ms, time_point now);
     void act_on_pace(const std::string& task, tracked_run& run,
                      std::vector<executor_action>& out);
     [[nodiscard]] std::int64_t worker_clock(time_point now) const;
     [[nodiscard]] static std::int64_t vm_clock_ms(time_point now);
-    [[nodiscard]] bool is_silent(time_point now) const;
-    std::int64_t lease_to(duration left, time_point now);
-    void expect_longest_lease(time_point from);
-    [[nodiscard]] bool may_lease(time_point now) const;
+    [[nodiscard]] bool is_unresponsive(time_point now) const;
+    std::int64_t lease_deadline(duration left, time_point now);
+    void assume_max_lease(time_point since);
+    [[nodiscard]] bool can_grant_lease(time_point now) const;
     [[nodiscard]] std::int64_t lease_left(time_point now) const;
     [[nodiscard]] bool is_running(const std::string& task,
                                   std::int64_t run) const;
@@ -354,27 +355,28 @@
     unconfirmed_incarnation unconfirmed_;
     std::set<executor_incarnation> ended_incarnations_; ///< certainly ended
     std::int64_t incarnation_count_ = 0; ///< seen by this process
-    std::vector<reported_incarnation> former_;
-    past_incarnation over_; ///< runs certainly lost with the incarnation
+    std::vector<reported_incarnation> past_incarnations_;
+    /// Runs that are certainly lost with the current incarnation.
+    past_incarnation ending_incarnation_;
     guard_admission admission_;
     std::int64_t clock_ms_ = 0; ///< the worker's clock at clock_at_
     time_point clock_at_{};
-    bool knows_clock_ = false; ///< of the current incarnation
+    bool clock_known_ = false; ///< of the current incarnation
     std::int64_t epoch_ = 0;
     bool closed_ = false; ///< data centre closed, per the newest orders
-    time_point permit_until_{};
-    time_point answered_{};     ///< last answer or heartbeat of the worker
-    time_point leased_until_{}; ///< upper bound of all requested leases
+    time_point lease_granted_until_{};
+    time_point last_answer_at_{}; ///< last answer or heartbeat of the worker
+    time_point max_lease_end_{};  ///< upper bound of all requested leases
     std::int64_t acknowledged_ = 0;
     std::map<std::string, tracked_run> runs_;
     bool polled_ = false;
     time_point polled_at_{};   ///< when its lists were last received
     bool poll_failed_ = false; ///< the newest poll; the next does not wait
-    std::optional<time_point>
-        failing_since_;       ///< start of the present series of failed polls
-    time_point vouched_at_{}; ///< see poll_executor
-    bool poll_open_ = false;
-    time_point next_look_{};
+    /// Start of the current series of failed polls.
+    std::optional<time_point> failing_since_;
+    time_point connected_before_{}; ///< see poll_executor
+    bool poll_in_flight_ = false;
+    time_point next_poll_{};
     std::vector<running_task> running_;
     std::vector<ended_task> ended_;
     /// Stops for older runs that the worker lists beside a newer tracked run.
@@ -383,8 +385,8 @@
     std::map<std::string, past_refusal> past_refusals_; ///< newest, by task
     std::map<std::string, ended_run> ended_runs_;       ///< by task
     interference_controller interference_;
-    time_point full_reported_at_{}; ///< newest report with lists that a leader
-                                    ///< received
+    /// When the newest report with lists that a leader received was sent.
+    time_point full_reported_at_{};
     /// The newest answer of the worker was that it accepts nothing, or nothing
     /// accepts connections at its address.
     bool unhealthy_ = false;
--- a/packages/guard/src/attempt_tracker.cpp
+++ b/packages/guard/src/attempt_tracker.cpp
@@ -37,11 +37,11 @@
 resources attempt_tracker::free() const
 {
     resources left = options_.capacity;
-    for (const auto& [name, kept] : attempts_)
+    for (const auto& [name, attempt] : attempts_)
     {
-        if (kept.at != phase::ended)
+        if (attempt.state != attempt_state::ended)
         {
-            left -= kept.needs;
+            left -= attempt.needs;
         }
     }
     return left;
@@ -53,7 +53,7 @@
 
 // Each shard owner has a higher epoch than all previous owners. This rejects
 // messages from an owner that was paused and superseded.
-bool attempt_tracker::stale(std::int64_t shard, std::int64_t epoch)
+bool attempt_tracker::is_stale(std::int64_t shard, std::int64_t epoch)
 {
     std::int64_t& newest = epochs_[shard];
     if (epoch < newest)
@@ -64,9 +64,9 @@
     return false;
 }
 
-std::string attempt_tracker::objection(const start_task& what) const
+std::string attempt_tracker::refusal_reason(const start_task& request) const
 {
-    if (what.incarnation != options_.incarnation)
+    if (request.incarnation != options_.incarnation)
     {
         return "wrong_incarnation";
     }
@@ -74,7 +74,7 @@
     {
         return "starting";
     }
-    if (closed_.contains({what.spec.id, what.attempt}))
+    if (closed_.contains({request.spec.id, request.attempt}))
     {
         return "closed";
     }
@@ -84,34 +84,35 @@
     }
     const auto same_task =
         std::any_of(attempts_.begin(), attempts_.end(),
-                    [&](const auto& item) {
-                        return item.first.first == what.spec.id &&
-                               item.second.at != phase::ended;
+                    [&](const auto& item)
+                    {
+                        return item.first.first == request.spec.id &&
+                               item.second.state != attempt_state::ended;
                     });
     if (same_task)
     {
         return "other_attempt";
     }
-    return what.spec.needs.fits(free()) ? "" : "no_room";
+    return request.spec.needs.fits(free()) ? "" : "no_room";
 }
 
-task_reply attempt_tracker::on_start(time_point now, const start_task& what,
+task_reply attempt_tracker::on_start(time_point now, const start_task& request,
                                      worker_actions& actions)
 {
-    if (stale(what.shard, what.epoch))
+    if (is_stale(request.shard, request.epoch))
     {
         return {.accepted = false, .reason = "stale_epoch"};
     }
-    const task_attempt name{what.spec.id, what.attempt};
+    const task_attempt name{request.spec.id, request.attempt};
     if (attempts_.contains(name))
     {
         return {.accepted = true, .reason = {}};
     }
-    if (std::string reason = objection(what); !reason.empty())
+    if (std::string reason = refusal_reason(request); !reason.empty())
     {
-        const bool for_good =
+        const bool is_final =
             reason != "starting" && reason != "wrong_incarnation";
-        if (for_good)
+        if (is_final)
         {
             close(now, name); // a delayed duplicate must not be accepted
         }
@@ -119,13 +120,13 @@
     }
     const duration not_after =
         worker_clock_ + (now - clock_read_) + options_.start_window;
-    attempts_[name] = {.needs = what.spec.needs,
-                       .at = phase::starting,
+    attempts_[name] = {.needs = request.spec.needs,
+                       .state = attempt_state::starting,
                        .not_after = not_after,
                        .end_state = {},
                        .detail = {},
                        .stopping = false};
-    actions.emplace_back(worker_start{.what = what, .not_after = not_after});
+    actions.emplace_back(worker_start{.what = request, .not_after = not_after});
     return {.accepted = true, .reason = {}};
 }
 
@@ -134,10 +135,10 @@
     closed_[name] = now;
 }
 
-task_reply attempt_tracker::on_stop(time_point now, const stop_task& what,
+task_reply attempt_tracker::on_stop(time_point now, const stop_task& request,
                                     worker_actions& actions)
 {
-    if (stale(what.shard, what.epoch))
+    if (is_stale(request.shard, request.epoch))
     {
         return {.accepted = false, .reason = "stale_epoch"};
     }
@@ -145,19 +146,19 @@
     {
         return {.accepted = false, .reason = "starting"};
     }
-    const task_attempt name{what.task, what.attempt};
+    const task_attempt name{request.task, request.attempt};
     const auto found = attempts_.find(name);
     if (found == attempts_.end())
     {
         close(now, name); // refuses a start that is still in flight
         return {.accepted = true, .reason = "not_here"};
     }
-    if (found->second.at != phase::ended && !found->second.stopping)
+    if (found->second.state != attempt_state::ended && !found->second.stopping)
     {
         found->second.stopping = true;
-        found->second.keep_checkpoint = what.keep_checkpoint;
-        actions.emplace_back(
-            worker_stop{.name = name, .keep_checkpoint = what.keep_checkpoint});
+        found->second.keep_checkpoint = request.keep_checkpoint;
+        actions.emplace_back(worker_stop{
+            .name = name, .keep_checkpoint = request.keep_checkpoint});
     }
     return {.accepted = true, .reason = {}};
 }
@@ -169,13 +170,14 @@
     std::vector<task_attempt> gone;
     for (const attempt_ack& ack : acked)
     {
-        if (stale(ack.shard, ack.epoch))
+        if (is_stale(ack.shard, ack.epoch))
         {
             continue; // from a superseded shard owner
         }
         const task_attempt name{ack.task, ack.attempt};
         const auto found = attempts_.find(name);
-        if (found == attempts_.end() || found->second.at != phase::ended)
+        if (found == attempts_.end() ||
+            found->second.state != attempt_state::ended)
         {
             continue;
         }
@@ -193,35 +195,36 @@
 // The worker's list
 // ---------------------------------------------------------------------------
 
-void attempt_tracker::take_listed(const listed_task& item)
+void attempt_tracker::apply_listed(const listed_task& item)
 {
     if (closed_.contains(item.name))
     {
         return; // acknowledged; the worker has yet to forget it
     }
     const auto [position, adopted] = attempts_.try_emplace(item.name);
-    kept_attempt& kept = position->second;
+    tracked_attempt& attempt = position->second;
     if (adopted)
     {
-        kept.needs = item.needs;
+        attempt.needs = item.needs;
     }
-    if (kept.at == phase::ended)
+    if (attempt.state == attempt_state::ended)
     {
         return;
     }
-    kept.at =
-        item.how == listed_task::state::running ? phase::running : phase::ended;
-    kept.end_state = report_state(item.how);
-    kept.detail = item.detail;
+    attempt.state = item.how == listed_task::state::running
+                        ? attempt_state::running
+                        : attempt_state::ended;
+    attempt.end_state = report_state(item.how);
+    attempt.detail = item.detail;
 }
 
 // Repeats a stop that reached the worker before its start and so had no effect.
-void attempt_tracker::stop_again(const listed_task& item,
-                                 worker_actions& actions) const
+void attempt_tracker::repeat_stop(const listed_task& item,
+                                  worker_actions& actions) const
 {
     const auto found = attempts_.find(item.name);
     const bool due = found != attempts_.end() && found->second.stopping &&
-                     found->second.at == phase::running;
+                     found->second.state == attempt_state::running;
     if (due)
     {
         actions.emplace_back(
@@ -233,20 +236,21 @@
 // An attempt that the worker listed before and no longer lists is lost. One
 // that was never listed may still start until its start window has closed on
 // the worker's clock; that holds even if either side was paused.
-void attempt_tracker::end_missing(duration worker_clock,
-                                  const std::set<task_attempt>& listed)
+void attempt_tracker::mark_missing_lost(duration worker_clock,
+                                        const std::set<task_attempt>& listed)
 {
-    for (auto& [name, kept] : attempts_)
+    for (auto& [name, attempt] : attempts_)
     {
-        if (kept.at == phase::ended || listed.contains(name))
+        if (attempt.state == attempt_state::ended || listed.contains(name))
         {
             continue;
         }
-        if (kept.at == phase::running || worker_clock > kept.not_after)
+        if (attempt.state == attempt_state::running ||
+            worker_clock > attempt.not_after)
         {
-            kept.at = phase::ended;
-            kept.end_state = "lost";
-            kept.detail = "the worker does not list it";
+            attempt.state = attempt_state::ended;
+            attempt.end_state = "lost";
+            attempt.detail = "the worker does not list it";
         }
     }
 }
@@ -274,10 +278,10 @@
             actions.emplace_back(
                 worker_stop{.name = item.name, .keep_checkpoint = false});
         }
-        take_listed(item);
-        stop_again(item, actions);
+        apply_listed(item);
+        repeat_stop(item, actions);
     }
-    end_missing(worker_clock, listed);
+    mark_missing_lost(worker_clock, listed);
     if (!recorded.empty())
     {
         actions.emplace_back(worker_forget{std::move(recorded)});
@@ -305,9 +309,9 @@
     }
     next_renewal_ = now + options_.renew_interval;
     std::vector<task_attempt> running;
-    for (const auto& [name, kept] : attempts_)
+    for (const auto& [name, attempt] : attempts_)
     {
-        if (kept.at == phase::running)
+        if (attempt.state == attempt_state::running)
         {
             running.push_back(name);
         }
@@ -322,15 +326,16 @@
 {
     std::vector<attempt_report> all;
     all.reserve(attempts_.size());
-    for (const auto& [name, kept] : attempts_)
+    for (const auto& [name, attempt] : attempts_)
     {
-        const std::string state = kept.at == phase::ended     ? kept.end_state
-                                  : kept.at == phase::running ? "running"
-                                                              : "starting";
+        const std::string state =
+            attempt.state == attempt_state::ended     ? attempt.end_state
+            : attempt.state == attempt_state::running ? "running"
+                                                      : "starting";
         all.push_back({.task = name.first,
                        .attempt = name.second,
                        .state = state,
-                       .detail = kept.detail});
+                       .detail = attempt.detail});
     }
     return all;
 }
--- a/packages/guard/src/guard_core.cpp
+++ b/packages/guard/src/guard_core.cpp
@@ -47,10 +47,10 @@
 }
 
 guard_actions guard_core::refuse(time_point now, const attempt_name& attempt,
-                                 problem_report why)
+                                 problem_report problem)
 {
-    remember(now, attempt, why);
-    return {reply_problem{.attempt = attempt, .what = std::move(why)}};
+    remember(now, attempt, problem);
+    return {reply_problem{.attempt = attempt, .what = std::move(problem)}};
 }
 
 // A duplicate gets the outcome of the first copy: a refusal is repeated, and an
@@ -158,7 +158,7 @@
         return {}; // stale: a later list was applied
     }
     last_asked_ = asked;
-    std::set<std::string> foreign;
+    std::set<std::string> orphans;
     for (const std::string& name : attempts)
     {
         const attempt_name attempt{name};
@@ -167,14 +167,14 @@
                                 !orphans_.contains(name);
         if (!running_.contains(attempt) && !ended_here)
         {
-            foreign.insert(name);
+            orphans.insert(name);
         }
     }
     // Attempts whose outcome became unknown after the worker was asked stay in
     // doubt: this list may predate them.
     std::erase_if(in_doubt_,
                   [&](const auto& item) { return item.second <= asked; });
-    orphans_ = std::move(foreign);
+    orphans_ = std::move(orphans);
     if (asked - started_ >= options_.settle)
     {
         listed_ = true;
--- a/packages/guard/src/interference.cpp
+++ b/packages/guard/src/interference.cpp
@@ -12,7 +12,7 @@
 
 constexpr double full_pace = 100;
 // Paces are rounded to this, so that small changes send no orders.
-constexpr double pace_grain = 5;
+constexpr double pace_step = 5;
 // Share of the worker's processors that an image's best-effort tasks are
 // assumed to use at full pace while they are stopped and have no figure.
 constexpr double unknown_use = 0.1;
@@ -24,9 +24,9 @@
 {
 }
 
-void interference_controller::learn(const std::vector<pair_interference>& harms)
+void interference_controller::learn(const std::vector<pair_interference>& pairs)
 {
-    for (const pair_interference& one : harms)
+    for (const pair_interference& one : pairs)
     {
         known_interference_[one.serving][one.filling] = one.harm;
     }
@@ -36,8 +36,7 @@
 {
     const auto found = pace_.find(image);
     const double pace = found == pace_.end() ? full_pace : found->second;
-    return static_cast<std::int64_t>(std::round(pace / pace_grain) *
-                                     pace_grain);
+    return static_cast<std::int64_t>(std::round(pace / pace_step) * pace_step);
 }
 
 std::map<std::string, std::int64_t> interference_controller::paces() const
@@ -82,20 +81,20 @@
         {
             continue;
         }
-        const run_traits& of = found->second;
-        if (of.fills)
+        const run_traits& run = found->second;
+        if (run.fills)
         {
-            seen.use[of.image] +=
+            seen.use[run.image] +=
                 static_cast<double>(row.load) /
                 static_cast<double>(std::max<std::int64_t>(capacity, 1));
         }
-        else if (of.latency_target_ms > 0)
+        else if (run.latency_target_ms > 0)
         {
             const double headroom =
-                static_cast<double>(of.latency_target_ms) /
+                static_cast<double>(run.latency_target_ms) /
                 static_cast<double>(std::max<std::int64_t>(row.load, 1));
             const auto [least, fresh] =
-                seen.headroom.try_emplace(of.image, headroom);
+                seen.headroom.try_emplace(run.image, headroom);
             least->second = std::min(least->second, headroom);
         }
     }
@@ -126,10 +125,10 @@
 
 double
 interference_controller::known_interference_of(const std::string& serving,
-                                               const figures& now) const
+                                               const figures& seen) const
 {
     double sum = 0;
-    for (const auto& [filling, use] : now.use)
+    for (const auto& [filling, use] : seen.use)
     {
         sum += interference_of(serving, filling) * use;
     }
@@ -139,26 +138,26 @@
 // Slows the images with known interference if they explain the missing
 // headroom; else all best-effort images, but only once a target is missed.
 void interference_controller::slow_for(const std::string& serving,
-                                       double headroom, const figures& now)
+                                       double headroom, const figures& seen)
 {
     const double missing = options_.slow_to - headroom;
-    if (known_interference_of(serving, now) >= options_.explained * missing)
+    if (known_interference_of(serving, seen) >= options_.explained * missing)
     {
-        slow_known(serving, headroom, now);
+        slow_known(serving, headroom, seen);
     }
     else if (headroom < options_.slow_all_below)
     {
-        slow_all(serving, headroom, now);
+        slow_all(serving, headroom, seen);
     }
 }
 
 // Slows the images with the highest interference per unit of work first, until
 // the missing headroom is regained. This slows the least work.
 void interference_controller::slow_known(const std::string& serving,
-                                         double headroom, const figures& now)
+                                         double headroom, const figures& seen)
 {
     std::vector<std::pair<double, std::string>> worst;
-    for (const auto& [filling, use] : now.use)
+    for (const auto& [filling, use] : seen.use)
     {
         const double harm = interference_of(serving, filling);
         if (harm > 0 && use > 0)
@@ -174,10 +173,10 @@
         {
             return;
         }
-        const double use = now.use.at(filling);
-        const double less = std::min(use, missing / harm);
-        missing -= less * harm;
-        slow(filling, std::max(1 - less / use, options_.min_factor),
+        const double use = seen.use.at(filling);
+        const double reduction = std::min(use, missing / harm);
+        missing -= reduction * harm;
+        slow(filling, std::max(1 - reduction / use, options_.min_factor),
              {.serving = serving,
               .headroom = headroom,
               .known = true,
@@ -186,9 +185,9 @@
 }
 
 void interference_controller::slow_all(const std::string& serving,
-                                       double headroom, const figures& now)
+                                       double headroom, const figures& seen)
 {
-    for (const auto& [filling, use] : now.use)
+    for (const auto& [filling, use] : seen.use)
     {
         slow(filling, options_.slow_all_factor,
              {.serving = serving, .headroom = headroom, .use = use});
@@ -196,7 +195,7 @@
 }
 
 void interference_controller::slow(const std::string& filling, double factor,
-                                   pace_change why)
+                                   pace_change change)
 {
     const auto [found, fresh] = pace_.try_emplace(filling, full_pace);
     found->second *= factor;
@@ -204,9 +203,9 @@
     {
         found->second = 0;
     }
-    why.filling = filling;
-    why.pace = found->second;
-    changes_.push_back(std::move(why));
+    change.filling = filling;
+    change.pace = found->second;
+    changes_.push_back(std::move(change));
 }
 
 std::vector<pace_change> interference_controller::take_changes()
@@ -216,12 +215,12 @@
 
 // Maximum increase of an image's pace, in percentage points. `full` is the
 // share of the worker's processors that it uses at full pace.
-double interference_controller::bearable_raise(const std::string& filling,
-                                               double full,
-                                               const figures& now) const
+double interference_controller::max_raise(const std::string& filling,
+                                          double full,
+                                          const figures& seen) const
 {
     double raise = full_pace;
-    for (const auto& [serving, headroom] : now.headroom)
+    for (const auto& [serving, headroom] : seen.headroom)
     {
         const double harm = interference_of(serving, filling);
         if (harm > 0)
@@ -240,35 +239,35 @@
 // Speeds up the images with the least interference first. The headroom that one
 // uses is subtracted before the next, so that together they do not push a tail
 // over its target.
-void interference_controller::raise(const figures& now)
+void interference_controller::raise(const figures& seen)
 {
     std::vector<std::pair<double, std::string>> order;
     for (const auto& [filling, pace_now] : pace_)
     {
         double most = 0;
-        for (const auto& [serving, headroom] : now.headroom)
+        for (const auto& [serving, headroom] : seen.headroom)
         {
             most = std::max(most, interference_of(serving, filling));
         }
         order.emplace_back(most, filling);
     }
     std::sort(order.begin(), order.end());
-    figures left = now;
+    figures remaining = seen;
     for (const auto& [most, filling] : order)
     {
         double& pace_now = pace_.at(filling);
-        const auto found = now.use.find(filling);
-        const bool seen =
-            pace_now > 0 && found != now.use.end() && found->second > 0;
+        const auto found = seen.use.find(filling);
+        const bool has_use =
+            pace_now > 0 && found != seen.use.end() && found->second > 0;
         const double full =
-            seen ? found->second * full_pace / pace_now : unknown_use;
-        const double bearable = bearable_raise(filling, full, left);
-        if (bearable < pace_grain)
+            has_use ? found->second * full_pace / pace_now : unknown_use;
+        const double allowed = max_raise(filling, full, remaining);
+        if (allowed < pace_step)
         {
             continue;
         }
-        const double step = std::min(bearable, full_pace - pace_now);
-        for (auto& [serving, headroom] : left.headroom)
+        const double step = std::min(allowed, full_pace - pace_now);
+        for (auto& [serving, headroom] : remaining.headroom)
         {
             headroom -=
                 interference_of(serving, filling) * full * step / full_pace;
--- a/packages/guard/src/run_reconciler.cpp
+++ b/packages/guard/src/run_reconciler.cpp
@@ -38,9 +38,9 @@
 
 // Number of guard processes that an epoch distinguishes, and of executor
 // incarnations that a process does. Any beyond share the last fence.
-constexpr std::int64_t fences_a_level = std::int64_t{1} << 12;
-static_assert(fences_a_level * fences_a_level ==
-              run_reconciler::fences_an_epoch);
+constexpr std::int64_t fences_per_level = std::int64_t{1} << 12;
+static_assert(fences_per_level * fences_per_level ==
+              run_reconciler::fences_per_epoch);
 
 } // namespace
 
@@ -60,9 +60,9 @@
     return clock_ms_ + to_milliseconds(now - clock_at_);
 }
 
-bool run_reconciler::is_silent(time_point now) const
+bool run_reconciler::is_unresponsive(time_point now) const
 {
-    return now - answered_ > options_.silence;
+    return now - last_answer_at_ > options_.unresponsive_after;
 }
 
 std::int64_t run_reconciler::vm_clock_ms(time_point now)
@@ -74,44 +74,44 @@
 // may be in force.
 std::int64_t run_reconciler::lease_left(time_point now) const
 {
-    const duration permitted = from_seconds(to_seconds(permit_until_ - now) *
-                                            (1 + options_.clock_drift));
+    const duration granted = from_seconds(
+        to_seconds(lease_granted_until_ - now) * (1 + options_.clock_drift));
     return to_milliseconds(
-        std::max({duration{0}, permitted, leased_until_ - now}));
+        std::max({duration{0}, granted, max_lease_end_ - now}));
 }
 
 // Returns the deadline, on the worker's clock, of a lease of length `left`.
 // That clock may be behind the estimate and may run slow, so the lease can last
 // slightly longer.
-std::int64_t run_reconciler::lease_to(duration left, time_point now)
+std::int64_t run_reconciler::lease_deadline(duration left, time_point now)
 {
     const duration behind =
         from_seconds(to_seconds(now - clock_at_) * options_.clock_drift);
     const duration longest =
         from_seconds(to_seconds(left + behind) * (1 + options_.clock_drift)) +
         options_.lease_slack;
-    leased_until_ = std::max(leased_until_, now + longest);
+    max_lease_end_ = std::max(max_lease_end_, now + longest);
     return worker_clock(now) + to_milliseconds(left);
 }
 
 // Earlier calls, of a previous guard process or meant for the previous
 // incarnation, may have requested any lease. Only the maximum lease bounds it.
-void run_reconciler::expect_longest_lease(time_point from)
+void run_reconciler::assume_max_lease(time_point since)
 {
     const duration longest = from_seconds(to_seconds(options_.max_lease) *
                                           (1 + options_.clock_drift));
-    leased_until_ =
-        std::max(leased_until_, from + longest + options_.lease_slack);
+    max_lease_end_ =
+        std::max(max_lease_end_, since + longest + options_.lease_slack);
 }
 
 // A lease deadline is a time on the clock of the current incarnation. No lease
 // is requested while that clock is unknown or while the executor may have
 // restarted.
-bool run_reconciler::may_lease(time_point now) const
+bool run_reconciler::can_grant_lease(time_point now) const
 {
     const bool may_be_over =
-        unconfirmed_.what.executor.id == worker_.executor.id;
-    return knows_clock_ && !may_be_over && !is_silent(now);
+        unconfirmed_.description.executor.id == worker_.executor.id;
+    return clock_known_ && !may_be_over && !is_unresponsive(now);
 }
 
 // The leader's admissions number the processes of a guard. Without an admission
@@ -121,9 +121,9 @@
 {
     const std::int64_t process =
         admission_.epoch == epoch_ ? admission_.number : 0;
-    return epoch_ * fences_an_epoch +
-           std::min(process, fences_a_level - 1) * fences_a_level +
-           std::min(incarnation_count_, fences_a_level - 1);
+    return epoch_ * fences_per_epoch +
+           std::min(process, fences_per_level - 1) * fences_per_level +
+           std::min(incarnation_count_, fences_per_level - 1);
 }
 
 bool run_reconciler::is_running(const std::string& task, std::int64_t run) const
@@ -157,42 +157,44 @@
     }
     acknowledged_ = std::max(acknowledged_, orders.acknowledged);
     closed_ = orders.closed;
-    const bool are_void = orders.incarnation != incarnation_ ||
-                          is_void(orders.starts_until_ms, now);
+    const bool starts_void = orders.incarnation != incarnation_ ||
+                             is_expired(orders.starts_until_ms, now);
     for (const start_order& order : orders.starts)
     {
-        if (are_void || was_refused(order) || is_ended(order.task, order.run))
+        if (starts_void || was_refused(order) ||
+            is_ended(order.task, order.run))
         {
             continue;
         }
-        tracked_run& kept = runs_[order.task];
-        if (order.run < kept.order.run)
+        tracked_run& tracked = runs_[order.task];
+        if (order.run < tracked.order.run)
         {
             continue;
         }
-        if (order.run > kept.order.run)
+        if (order.run > tracked.order.run)
         {
-            kept = {.order = order,
-                    .in_doubt = order.told_incarnation != incarnation_,
-                    .next_call = now};
+            tracked = {.order = order,
+                       .in_doubt = order.told_incarnation != incarnation_,
+                       .next_call = now};
             if (has_ended(order))
             {
-                kept.at = stage::stopping;
-                kept.refusal = to_string(order_result::stale);
+                tracked.stage = run_stage::stopping;
+                tracked.refusal = to_string(order_result::stale);
             }
         }
-        kept.start_until_ms =
-            std::max(kept.start_until_ms, orders.starts_until_ms);
-        if (is_running(order.task, order.run) && kept.at == stage::starting)
+        tracked.start_until_ms =
+            std::max(tracked.start_until_ms, orders.starts_until_ms);
+        if (is_running(order.task, order.run) &&
+            tracked.stage == run_stage::starting)
         {
-            kept.at = stage::running;
-            kept.confirmed = now;
+            tracked.stage = run_stage::running;
+            tracked.confirmed = now;
         }
-        kept.order = order;
+        tracked.order = order;
     }
     for (const stop_order& order : orders.stops)
     {
-        take_stop(order, now);
+        apply_stop(order, now);
     }
     return true;
 }
@@ -201,11 +203,11 @@
 // has given it up. The tracked run must keep its number. When it took over the
 // number of the stop, the answer to its start was dropped, its call stayed in
 // flight forever, and it ran on.
-void run_reconciler::take_stop(const stop_order& order, time_point now)
+void run_reconciler::apply_stop(const stop_order& order, time_point now)
 {
     const auto [found, is_new] = runs_.try_emplace(order.task);
-    tracked_run& kept = found->second;
-    if (order.run < kept.order.run)
+    tracked_run& tracked = found->second;
+    if (order.run < tracked.order.run)
     {
         if (is_running(order.task, order.run))
         {
@@ -213,18 +215,19 @@
         }
         return;
     }
-    if (kept.at == stage::stopping || kept.at == stage::stopped)
+    if (tracked.stage == run_stage::stopping ||
+        tracked.stage == run_stage::stopped)
     {
         return;
     }
     if (is_new)
     {
-        kept.order.task = order.task;
-        kept.order.run = order.run;
+        tracked.order.task = order.task;
+        tracked.order.run = order.run;
     }
-    kept.at = stage::stopping;
-    kept.refusal = "stopped";
-    kept.next_call = now;
+    tracked.stage = run_stage::stopping;
+    tracked.refusal = "stopped";
+    tracked.next_call = now;
 }
 
 // The leader repeats these stops until the worker no longer lists the run.
@@ -258,8 +261,9 @@
         return;
     }
     forget_reported_incarnations(report, now);
-    permit_until_ = std::max(
-        permit_until_, sent + std::chrono::milliseconds(answer.permit_ms));
+    lease_granted_until_ =
+        std::max(lease_granted_until_,
+                 sent + std::chrono::milliseconds(answer.permit_ms));
     std::erase_if(refused_,
                   [&](const refused_run& one)
                   {
@@ -286,23 +290,25 @@
     {
         return out;
     }
-    std::erase_if(past_refusals_, [&](const auto& one)
-                  { return now - one.second.at > options_.remember_refusals; });
-    std::erase_if(ended_runs_, [&](const auto& one)
-                  { return now - one.second.at > options_.remember_refusals; });
+    std::erase_if(
+        past_refusals_, [&](const auto& one)
+        { return now - one.second.refused_at > options_.remember_refusals; });
+    std::erase_if(
+        ended_runs_, [&](const auto& one)
+        { return now - one.second.seen_at > options_.remember_refusals; });
     refuse_unstarted(now);
     stop_superseded(out);
-    for (auto& [task, kept] : runs_)
+    for (auto& [task, tracked] : runs_)
     {
-        act_on_run(task, kept, now, out);
-        act_on_pace(task, kept, out);
+        act_on_run(task, tracked, now, out);
+        act_on_pace(task, tracked, out);
     }
     act_on_worker(now, out);
     poll_unconfirmed(now, out);
     return out;
 }
 
-bool run_reconciler::is_void(std::int64_t until_ms, time_point now)
+bool run_reconciler::is_expired(std::int64_t until_ms, time_point now)
 {
     return until_ms > 0 && vm_clock_ms(now) > until_ms;
 }
@@ -314,16 +320,16 @@
 bool run_reconciler::was_refused(const start_order& order)
 {
     const auto found = past_refusals_.find(order.task);
-    if (found == past_refusals_.end() || found->second.what.run < order.run)
+    if (found == past_refusals_.end() || found->second.refused.run < order.run)
     {
         return false;
     }
-    const refused_run& what = found->second.what;
+    const refused_run& refused = found->second.refused;
     const bool is_listed =
-        std::find(refused_.begin(), refused_.end(), what) != refused_.end();
-    if (what.run == order.run && !is_listed)
+        std::find(refused_.begin(), refused_.end(), refused) != refused_.end();
+    if (refused.run == order.run && !is_listed)
     {
-        refused_.push_back(what);
+        refused_.push_back(refused);
         report_due_ = true;
     }
     return true;
@@ -345,13 +351,13 @@
     std::vector<std::string> draining;
     std::vector<std::string> closed;
     std::vector<std::string> too_late;
-    for (const auto& [task, kept] : runs_)
+    for (const auto& [task, tracked] : runs_)
     {
-        if (kept.at != stage::starting || kept.call_open)
+        if (tracked.stage != run_stage::starting || tracked.call_in_flight)
         {
             continue;
         }
-        if (is_void(kept.start_until_ms, now))
+        if (is_expired(tracked.start_until_ms, now))
         {
             too_late.push_back(task);
         }
@@ -364,17 +370,17 @@
             closed.push_back(task);
         }
     }
-    give_back(draining, "draining", now);
-    give_back(closed, "data_centre_closed", now);
-    give_back(too_late, "too_late", now);
+    refuse_all(draining, "draining", now);
+    refuse_all(closed, "data_centre_closed", now);
+    refuse_all(too_late, "too_late", now);
 }
 
-void run_reconciler::give_back(const std::vector<std::string>& tasks,
-                               const char* why, time_point now)
+void run_reconciler::refuse_all(const std::vector<std::string>& tasks,
+                                const char* reason, time_point now)
 {
     for (const std::string& task : tasks)
     {
-        refuse(task, runs_.at(task), why, now);
+        refuse(task, runs_.at(task), reason, now);
     }
 }
 
@@ -382,13 +388,13 @@
                                  std::vector<executor_action>& out)
 {
     const std::int64_t wanted = interference_.pace(run.order.image);
-    const bool due = run.at == stage::running && run.order.fills &&
-                     !run.pace_open && run.pace != wanted;
+    const bool due = run.stage == run_stage::running && run.order.fills &&
+                     !run.pace_in_flight && run.pace != wanted;
     if (!due)
     {
         return;
     }
-    run.pace_open = true;
+    run.pace_in_flight = true;
     out.emplace_back(throttle_run{.task = task,
                                   .run = run.order.run,
                                   .percent = wanted,
@@ -400,31 +406,32 @@
                                 time_point now,
                                 std::vector<executor_action>& out)
 {
-    if (run.call_open || now < run.next_call)
+    if (run.call_in_flight || now < run.next_call)
     {
         return;
     }
-    if (run.at == stage::stopping)
+    if (run.stage == run_stage::stopping)
     {
-        run.call_open = true;
+        run.call_in_flight = true;
         out.emplace_back(stop_run{.order = {.task = task, .run = run.order.run},
                                   .fence = fence(),
                                   .executor = worker_.executor});
         return;
     }
-    const duration left = std::min(permit_until_ - now, options_.start_limit);
-    if (run.at != stage::starting || left <= duration{0} || worker_.draining ||
-        closed_ || !may_lease(now))
+    const duration left =
+        std::min(lease_granted_until_ - now, options_.start_limit);
+    if (run.stage != run_stage::starting || left <= duration{0} ||
+        worker_.draining || closed_ || !can_grant_lease(now))
     {
         return;
     }
-    run.call_open = true;
-    if (now - answered_ <= options_.poll_wait + options_.poll_retry)
+    run.call_in_flight = true;
+    if (now - last_answer_at_ <= options_.poll_wait + options_.poll_retry)
     {
         run.start_sent = run.start_sent.value_or(now);
     }
     out.emplace_back(start_run{.order = run.order,
-                               .deadline_ms = lease_to(left, now),
+                               .deadline_ms = lease_deadline(left, now),
                                .fence = fence(),
                                .executor = worker_.executor});
 }
@@ -436,31 +443,31 @@
 void run_reconciler::act_on_worker(time_point now,
                                    std::vector<executor_action>& out)
 {
-    if (poll_open_ || now < next_look_)
+    if (poll_in_flight_ || now < next_poll_)
     {
         return;
     }
-    poll_open_ = true;
-    poll_executor look{.acknowledged = acknowledged_,
+    poll_in_flight_ = true;
+    poll_executor poll{.acknowledged = acknowledged_,
                        .wait_ms = to_milliseconds(options_.poll_wait),
                        .fence = fence(),
                        .executor = worker_.executor};
-    const duration left =
-        std::min({permit_until_ - now, options_.lease, options_.max_lease});
-    if (left > duration{0} && may_lease(now))
+    const duration left = std::min(
+        {lease_granted_until_ - now, options_.lease, options_.max_lease});
+    if (left > duration{0} && can_grant_lease(now))
     {
-        look.deadline_ms = lease_to(left, now);
+        poll.deadline_ms = lease_deadline(left, now);
     }
     if (!polled_ || poll_failed_)
     {
-        look.wait_ms = 0;
-        look.acknowledged = 0;
+        poll.wait_ms = 0;
+        poll.acknowledged = 0;
     }
-    if (look.acknowledged > 0)
+    if (poll.acknowledged > 0)
     {
-        look.connected_before = vouched_at_;
+        poll.connected_before = connected_before_;
     }
-    out.emplace_back(std::move(look));
+    out.emplace_back(std::move(poll));
 }
 
 worker_report run_reconciler::report(time_point now) const
@@ -475,8 +482,8 @@
         .lists_age_ms = to_milliseconds(now - polled_at_),
         .failing_ms = to_milliseconds(now - failing_since_.value_or(now)),
         .whole = now - full_reported_at_ >= options_.full_report_interval,
-        .answering = !is_silent(now) && !unhealthy_,
-        .lapsed = is_silent(now) && now >= leased_until_,
+        .answering = !is_unresponsive(now) && !unhealthy_,
+        .lapsed = is_unresponsive(now) && now >= max_lease_end_,
         .lease_ms = lease_left(now),
         .ended = ended_,
         .refused = refused_,
@@ -485,13 +492,13 @@
     {
         list_runs(out);
     }
-    for (const reported_incarnation& one : former_)
+    for (const reported_incarnation& one : past_incarnations_)
     {
         // Sent along with the next incarnation, so that nothing is placed in
         // between.
-        if (out.whole || !one.told)
+        if (out.whole || !one.reported_at)
         {
-            out.former.push_back(one.what);
+            out.former.push_back(one.incarnation);
         }
     }
     return out;
@@ -500,9 +507,9 @@
 void run_reconciler::list_runs(worker_report& out) const
 {
     out.running = running_;
-    for (const auto& [task, kept] : runs_)
+    for (const auto& [task, tracked] : runs_)
     {
-        if (kept.at != stage::running)
+        if (tracked.stage != run_stage::running)
         {
             out.starting.push_back(task);
         }
--- a/packages/guard/src/run_reconciler_incarnations.cpp
+++ b/packages/guard/src/run_reconciler_incarnations.cpp
@@ -8,48 +8,48 @@
 namespace springstair
 {
 
-void run_reconciler::on_worker(const worker_description& what,
+void run_reconciler::on_worker(const worker_description& description,
                                std::int64_t clock_ms, time_point now)
 {
-    if (worker_.executor != what.executor)
+    if (worker_.executor != description.executor)
     {
-        if (ended_incarnations_.contains(what.executor))
+        if (ended_incarnations_.contains(description.executor))
         {
             return;
         }
         if (polled_)
         {
-            on_unconfirmed_heartbeat(what, clock_ms, now);
+            on_unconfirmed_heartbeat(description, clock_ms, now);
             return;
         }
-        begin_incarnation(what.executor, now);
+        begin_incarnation(description.executor, now);
     }
-    report_due_ = report_due_ || worker_ != what;
-    worker_ = what;
+    report_due_ = report_due_ || worker_ != description;
+    worker_ = description;
     clock_ms_ = clock_ms;
     clock_at_ = now;
-    knows_clock_ = true;
-    answered_ = now;
+    clock_known_ = true;
+    last_answer_at_ = now;
 }
 
 // It is not known yet whether the current incarnation has ended. If the same
 // executor has restarted, it may accept calls meant for the previous
 // incarnation. Their deadlines are on another clock, so they may extend the
 // lease by up to the maximum.
-void run_reconciler::on_unconfirmed_heartbeat(const worker_description& what,
-                                              std::int64_t clock_ms,
-                                              time_point now)
+void run_reconciler::on_unconfirmed_heartbeat(
+    const worker_description& description, std::int64_t clock_ms,
+    time_point now)
 {
-    if (unconfirmed_.what.executor != what.executor)
+    if (unconfirmed_.description.executor != description.executor)
     {
         unconfirmed_ = {};
     }
-    unconfirmed_.what = what;
+    unconfirmed_.description = description;
     unconfirmed_.clock_ms = clock_ms;
-    unconfirmed_.heard = now;
-    if (what.executor.id == worker_.executor.id)
+    unconfirmed_.received_at = now;
+    if (description.executor.id == worker_.executor.id)
     {
-        expect_longest_lease(now + options_.silence);
+        assume_max_lease(now + options_.unresponsive_after);
     }
 }
 
@@ -79,16 +79,16 @@
     polled_ = false;
     polled_at_ = now;
     poll_failed_ = false;
-    knows_clock_ = false;
-    vouched_at_ = {};
+    clock_known_ = false;
+    connected_before_ = {};
     // The first report of an incarnation must list its runs.
     full_reported_at_ = {};
-    poll_open_ = false;
+    poll_in_flight_ = false;
     acknowledged_ = 0;
     ++incarnation_count_;
-    leased_until_ = {};
-    expect_longest_lease(now);
-    next_look_ = now;
+    max_lease_end_ = {};
+    assume_max_lease(now);
+    next_poll_ = now;
     interference_ = interference_controller(options_.interference_controller);
 }
 
@@ -101,14 +101,14 @@
                   [](const auto& one)
                   {
                       const tracked_run& run = one.second;
-                      return !run.in_doubt && !run.call_open &&
-                             run.at != stage::stopping;
+                      return !run.in_doubt && !run.call_in_flight &&
+                             run.stage != run_stage::stopping;
                   });
     for (auto& [task, run] : runs_)
     {
         start_order order = std::move(run.order);
         run = {.order = std::move(order),
-               .at = stage::stopping,
+               .stage = run_stage::stopping,
                .in_doubt = true,
                .next_call = now,
                .refusal = "executor_restarted"};
@@ -119,15 +119,15 @@
 // Only an answer decides between two incarnations: a delayed heartbeat can
 // arrive after its sender has ended, and incarnations have no order.
 void run_reconciler::on_unconfirmed_polled(
-    order_result result, const std::optional<executor_snapshot>& look,
+    order_result result, const std::optional<executor_snapshot>& snapshot,
     time_point now)
 {
-    unconfirmed_.asking = false;
-    const executor_incarnation& asked = unconfirmed_.what.executor;
+    unconfirmed_.polling = false;
+    const executor_incarnation& asked = unconfirmed_.description.executor;
     const bool names_it = asked.id != worker_.executor.id;
-    if (look)
+    if (snapshot)
     {
-        const executor_incarnation there(asked.id, look->born_ms);
+        const executor_incarnation there(asked.id, snapshot->born_ms);
         if (!names_it && there.may_be(worker_.executor))
         {
             ended_incarnations_.insert(asked);
@@ -149,7 +149,7 @@
     }
     else
     {
-        unconfirmed_.next_ask = now + options_.poll_retry;
+        unconfirmed_.next_poll = now + options_.poll_retry;
     }
 }
 
@@ -166,15 +166,15 @@
     next.leaves_ms = 0;
     ended_incarnations_.insert(worker_.executor);
     begin_incarnation(who, now);
-    if (who == unconfirmed_.what.executor)
+    if (who == unconfirmed_.description.executor)
     {
-        next = unconfirmed_.what;
+        next = unconfirmed_.description;
         clock_ms_ = unconfirmed_.clock_ms;
-        clock_at_ = unconfirmed_.heard;
-        knows_clock_ = true;
+        clock_at_ = unconfirmed_.received_at;
+        clock_known_ = true;
     }
     worker_ = std::move(next);
-    answered_ = now;
+    last_answer_at_ = now;
     unconfirmed_ = {};
     report_due_ = true;
 }
@@ -191,14 +191,14 @@
 void run_reconciler::poll_unconfirmed(time_point now,
                                       std::vector<executor_action>& out)
 {
-    if (unconfirmed_.what.executor.empty() || unconfirmed_.asking ||
-        now < unconfirmed_.next_ask)
+    if (unconfirmed_.description.executor.empty() || unconfirmed_.polling ||
+        now < unconfirmed_.next_poll)
     {
         return;
     }
-    unconfirmed_.asking = true;
-    out.emplace_back(poll_executor{.fence = fence(),
-                                   .executor = unconfirmed_.what.executor});
+    unconfirmed_.polling = true;
+    out.emplace_back(poll_executor{
+        .fence = fence(), .executor = unconfirmed_.description.executor});
 }
 
 // ---------------------------------------------------------------------------
@@ -215,27 +215,28 @@
         return;
     }
     const duration shown = std::max(duration{0}, run.listed - *begun);
-    over_.begun.push_back({.task = task,
-                           .run = run.order.run,
-                           .at_work_ms = to_milliseconds(shown),
-                           .is_sure = run.start_confirmed});
+    ending_incarnation_.begun.push_back({.task = task,
+                                         .run = run.order.run,
+                                         .at_work_ms = to_milliseconds(shown),
+                                         .is_sure = run.start_confirmed});
 }
 
 void run_reconciler::remember_incarnation(time_point now)
 {
-    for (const auto& [task, kept] : runs_)
+    for (const auto& [task, tracked] : runs_)
     {
-        remember_run(task, kept);
+        remember_run(task, tracked);
     }
-    if (!over_.begun.empty())
+    if (!ending_incarnation_.begun.empty())
     {
-        over_.executor = worker_.executor;
-        over_.lost_ms = vm_clock_ms(failing_since_.value_or(now));
-        former_.push_back({.what = std::exchange(over_, {})});
+        ending_incarnation_.executor = worker_.executor;
+        ending_incarnation_.lost_ms = vm_clock_ms(failing_since_.value_or(now));
+        past_incarnations_.push_back(
+            {.incarnation = std::exchange(ending_incarnation_, {})});
     }
-    if (former_.size() > options_.max_past_incarnations)
+    if (past_incarnations_.size() > options_.max_past_incarnations)
     {
-        former_.erase(former_.begin());
+        past_incarnations_.erase(past_incarnations_.begin());
     }
 }
 
@@ -243,12 +244,13 @@
 // one. If its lists show the run, the run was not lost in the crash.
 void run_reconciler::drop_surviving_runs()
 {
-    if (former_.empty() ||
-        former_.back().what.executor.id != worker_.executor.id)
+    if (past_incarnations_.empty() ||
+        past_incarnations_.back().incarnation.executor.id !=
+            worker_.executor.id)
     {
         return;
     }
-    std::erase_if(former_.back().what.begun,
+    std::erase_if(past_incarnations_.back().incarnation.begun,
                   [this](const begun_run& one) {
                       return is_running(one.task, one.run) ||
                              is_ended(one.task, one.run);
@@ -261,19 +263,22 @@
 void run_reconciler::forget_reported_incarnations(const worker_report& report,
                                                   time_point now)
 {
-    for (reported_incarnation& one : former_)
+    for (reported_incarnation& one : past_incarnations_)
     {
-        const bool was_told =
-            std::find(report.former.begin(), report.former.end(), one.what) !=
-            report.former.end();
-        if (was_told && !one.told)
+        const bool was_reported =
+            std::find(report.former.begin(), report.former.end(),
+                      one.incarnation) != report.former.end();
+        if (was_reported && !one.reported_at)
         {
-            one.told = now;
+            one.reported_at = now;
         }
     }
-    std::erase_if(
-        former_, [&](const reported_incarnation& one)
-        { return one.told && now - *one.told > options_.repeat_past_for; });
+    std::erase_if(past_incarnations_,
+                  [&](const reported_incarnation& one)
+                  {
+                      return one.reported_at &&
+                             now - *one.reported_at > options_.repeat_past_for;
+                  });
 }
 
 } // namespace springstair
--- a/packages/guard/src/run_reconciler_results.cpp
+++ b/packages/guard/src/run_reconciler_results.cpp
@@ -28,7 +28,7 @@
 {
     if (run.in_doubt)
     {
-        run.at = stage::stopping;
+        run.stage = run_stage::stopping;
         run.refusal = reason;
         run.next_call = now;
         return;
@@ -37,14 +37,14 @@
     runs_.erase(task);
 }
 
-void run_reconciler::report_refusal(refused_run what, time_point now)
+void run_reconciler::report_refusal(refused_run refused, time_point now)
 {
-    past_refusal& newest = past_refusals_[what.task];
-    if (what.run >= newest.what.run)
+    past_refusal& newest = past_refusals_[refused.task];
+    if (refused.run >= newest.refused.run)
     {
-        newest = {.what = what, .at = now};
+        newest = {.refused = refused, .refused_at = now};
     }
-    refused_.push_back(std::move(what));
+    refused_.push_back(std::move(refused));
     report_due_ = true;
 }
 
@@ -52,7 +52,7 @@
 // learnt it only from unresponsiveness, after 1.2 s, a failed executor was
 // given all waiting work and each start was refused: 192 of 313 in two seconds
 // of a day with many crashes.
-void run_reconciler::note_health(order_result result)
+void run_reconciler::update_health(order_result result)
 {
     const bool refuses = result == order_result::unhealthy;
     if (refuses || result == order_result::accepted)
@@ -62,50 +62,50 @@
     }
 }
 
-void run_reconciler::on_started(const start_run& what, order_result result,
+void run_reconciler::on_started(const start_run& start, order_result result,
                                 time_point now)
 {
-    const std::string& task = what.order.task;
+    const std::string& task = start.order.task;
     const auto found = runs_.find(task);
-    if (found == runs_.end() || found->second.order.run != what.order.run ||
-        what.executor != worker_.executor)
+    if (found == runs_.end() || found->second.order.run != start.order.run ||
+        start.executor != worker_.executor)
     {
         return;
     }
-    note_health(result);
-    tracked_run& kept = found->second;
-    kept.call_open = false;
+    update_health(result);
+    tracked_run& tracked = found->second;
+    tracked.call_in_flight = false;
     if (result == order_result::unanswered)
     {
-        kept.begun = kept.begun ? kept.begun : kept.start_sent;
+        tracked.begun = tracked.begun ? tracked.begun : tracked.start_sent;
     }
-    kept.start_sent.reset();
-    if (kept.at != stage::starting)
+    tracked.start_sent.reset();
+    if (tracked.stage != run_stage::starting)
     {
         return; // a stop was ordered meanwhile
     }
     switch (result)
     {
     case order_result::accepted:
-        kept.at = stage::running;
-        kept.confirmed = now;
-        kept.begun = kept.begun.value_or(now);
-        kept.start_confirmed = true;
+        tracked.stage = run_stage::running;
+        tracked.confirmed = now;
+        tracked.begun = tracked.begun.value_or(now);
+        tracked.start_confirmed = true;
         return;
     case order_result::late:
-        kept.next_call = now + options_.retry_after;
+        tracked.next_call = now + options_.retry_after;
         return;
     case order_result::unanswered:
-        kept.in_doubt = true;
-        ++kept.unanswered;
-        kept.next_call = now + options_.retry_after;
-        if (kept.unanswered >= options_.max_unanswered)
+        tracked.in_doubt = true;
+        ++tracked.unanswered;
+        tracked.next_call = now + options_.retry_after;
+        if (tracked.unanswered >= options_.max_unanswered)
         {
-            refuse(task, kept, std::string(to_string(result)), now);
+            refuse(task, tracked, std::string(to_string(result)), now);
         }
         return;
     case order_result::other_life:
-        remember_run(task, kept);
+        remember_run(task, tracked);
         [[fallthrough]];
     case order_result::fenced:
         runs_.erase(found); // left to a newer leader or incarnation
@@ -113,10 +113,10 @@
         return;
     case order_result::stale:
         // It has ended here or was stopped; the next poll shows which.
-        kept.at = stage::stopped;
-        kept.refusal = "stale";
-        kept.confirmed = now - options_.stop_time;
-        next_look_ = now;
+        tracked.stage = run_stage::stopped;
+        tracked.refusal = "stale";
+        tracked.confirmed = now - options_.stop_time;
+        next_poll_ = now;
         return;
     case order_result::no_room:
     case order_result::no_ticket:
@@ -124,50 +124,50 @@
     case order_result::unhealthy:
         break;
     }
-    refuse(task, kept, std::string(to_string(result)), now);
+    refuse(task, tracked, std::string(to_string(result)), now);
 }
 
-void run_reconciler::on_stopped(const stop_run& what, order_result result,
+void run_reconciler::on_stopped(const stop_run& stop, order_result result,
                                 time_point now)
 {
-    const std::string& task = what.order.task;
+    const std::string& task = stop.order.task;
     const auto found = runs_.find(task);
-    if (found == runs_.end() || found->second.order.run != what.order.run ||
-        found->second.at != stage::stopping ||
-        what.executor != worker_.executor)
+    if (found == runs_.end() || found->second.order.run != stop.order.run ||
+        found->second.stage != run_stage::stopping ||
+        stop.executor != worker_.executor)
     {
         return;
     }
-    tracked_run& kept = found->second;
-    kept.call_open = false;
+    tracked_run& tracked = found->second;
+    tracked.call_in_flight = false;
     if (result == order_result::accepted || result == order_result::stale)
     {
-        kept.at = stage::stopped;
-        kept.confirmed = now;
+        tracked.stage = run_stage::stopped;
+        tracked.confirmed = now;
         return;
     }
     if (result == order_result::other_life)
     {
-        remember_run(task, kept);
+        remember_run(task, tracked);
     }
     if (result == order_result::fenced || result == order_result::other_life)
     {
         runs_.erase(found);
         return;
     }
-    kept.next_call = now + options_.retry_after;
+    tracked.next_call = now + options_.retry_after;
 }
 
 void run_reconciler::on_polled(const executor_incarnation& asked,
                                order_result result,
-                               const std::optional<executor_snapshot>& look,
+                               const std::optional<executor_snapshot>& snapshot,
                                time_point sent, time_point now)
 {
-    if (!unconfirmed_.what.executor.empty() &&
-        asked == unconfirmed_.what.executor)
+    if (!unconfirmed_.description.executor.empty() &&
+        asked == unconfirmed_.description.executor)
     {
         const bool is_of_another_executor = asked.id != worker_.executor.id;
-        on_unconfirmed_polled(result, look, now);
+        on_unconfirmed_polled(result, snapshot, now);
         if (!is_of_another_executor)
         {
             return; // may lack starts that it accepted meanwhile
@@ -177,87 +177,88 @@
     {
         return;
     }
-    const executor_incarnation there(asked.id, look ? look->born_ms : 0);
+    const executor_incarnation there(asked.id,
+                                     snapshot ? snapshot->born_ms : 0);
     if (!there.may_be(asked))
     {
         switch_incarnation(there, now);
         return;
     }
-    note_health(result);
-    poll_open_ = false;
-    next_look_ = now;
+    update_health(result);
+    poll_in_flight_ = false;
+    next_poll_ = now;
     if (result == order_result::other_life && !polled_)
     {
         worker_ = {}; // stale heartbeat: this executor is not there
         return;
     }
-    if (look && look->ended == ended_ && !ended_.empty())
+    if (snapshot && snapshot->ended == ended_ && !ended_.empty())
     {
         // Polls return at once while ends are unacknowledged.
-        next_look_ = now + options_.unacknowledged_pause;
+        next_poll_ = now + options_.unacknowledged_pause;
     }
-    if (!look)
+    if (!snapshot)
     {
         poll_failed_ = true;
         failing_since_ = failing_since_.value_or(now);
-        next_look_ = now + options_.poll_retry;
+        next_poll_ = now + options_.poll_retry;
         return;
     }
-    clock_ms_ = look->clock_ms;
+    clock_ms_ = snapshot->clock_ms;
     clock_at_ = now;
-    knows_clock_ = true;
-    answered_ = now;
+    clock_known_ = true;
+    last_answer_at_ = now;
     const bool is_first = !polled_;
     report_due_ = report_due_ || is_first ||
-                  last_number(look->ended) > last_number(ended_);
+                  last_number(snapshot->ended) > last_number(ended_);
     polled_ = true;
     polled_at_ = now;
     poll_failed_ = false;
     failing_since_.reset();
-    vouched_at_ = sent;
-    running_ = look->running;
-    ended_ = look->ended;
+    connected_before_ = sent;
+    running_ = snapshot->running;
+    ended_ = snapshot->ended;
     if (is_first)
     {
-        expect_longest_lease(now);
+        assume_max_lease(now);
         drop_surviving_runs();
     }
-    settle(sent, now);
+    reconcile_runs(sent, now);
     std::map<std::string, run_traits> traits;
-    for (const auto& [task, kept] : runs_)
+    for (const auto& [task, tracked] : runs_)
     {
-        traits[task] = {.fills = kept.order.fills,
-                        .latency_target_ms = kept.order.latency_target_ms,
-                        .image = kept.order.image};
+        traits[task] = {.fills = tracked.order.fills,
+                        .latency_target_ms = tracked.order.latency_target_ms,
+                        .image = tracked.order.image};
     }
     interference_.observe(running_, traits, worker_.capacity.cpu_millis, now);
 }
 
-void run_reconciler::on_paced(const throttle_run& what, order_result result)
+void run_reconciler::on_paced(const throttle_run& throttle, order_result result)
 {
-    const auto found = runs_.find(what.task);
-    if (found == runs_.end() || found->second.order.run != what.run)
+    const auto found = runs_.find(throttle.task);
+    if (found == runs_.end() || found->second.order.run != throttle.run)
     {
         return;
     }
-    found->second.pace_open = false;
+    found->second.pace_in_flight = false;
     if (result == order_result::accepted)
     {
-        found->second.pace = what.percent;
+        found->second.pace = throttle.percent;
     }
 }
 
 void run_reconciler::record_ended(const std::string& task, std::int64_t run,
                                   time_point now)
 {
-    ended_run& of = ended_runs_[task];
-    of = {.run = std::max(of.run, run), .at = now};
+    ended_run& newest = ended_runs_[task];
+    newest = {.run = std::max(newest.run, run), .seen_at = now};
 }
 
 // Compares the tracked runs with a snapshot whose poll was sent at `sent`. A
 // run that it does not show has an acknowledged end or never began. A list that
 // may omit ends proves neither.
-void run_reconciler::settle(time_point sent, time_point now)
+void run_reconciler::reconcile_runs(time_point sent, time_point now)
 {
     const bool lists_all_ends = ended_.size() < options_.max_ends_listed;
     for (const ended_task& row : ended_)
@@ -265,9 +266,9 @@
         record_ended(row.task, row.run, now);
     }
     std::vector<std::string> gone;
-    for (auto& [task, kept] : runs_)
+    for (auto& [task, tracked] : runs_)
     {
-        const std::int64_t run = kept.order.run;
+        const std::int64_t run = tracked.order.run;
         if (is_ended(task, run))
         {
             gone.push_back(task);
@@ -276,29 +277,29 @@
         const bool there = is_running(task, run);
         if (there)
         {
-            kept.begun = kept.begun.value_or(sent);
-            kept.start_confirmed = true;
-            kept.listed = sent;
+            tracked.begun = tracked.begun.value_or(sent);
+            tracked.start_confirmed = true;
+            tracked.listed = sent;
         }
-        if (there && kept.at == stage::starting)
+        if (there && tracked.stage == run_stage::starting)
         {
-            kept.at = stage::running;
-            kept.confirmed = sent;
+            tracked.stage = run_stage::running;
+            tracked.confirmed = sent;
         }
         if (there || !lists_all_ends)
         {
             continue;
         }
-        if (kept.at == stage::running && kept.confirmed < sent)
+        if (tracked.stage == run_stage::running && tracked.confirmed < sent)
         {
             record_ended(task, run, now);
             gone.push_back(task); // its end was acknowledged
         }
-        if (kept.at == stage::stopped &&
-            kept.confirmed + options_.stop_time < sent)
+        if (tracked.stage == run_stage::stopped &&
+            tracked.confirmed + options_.stop_time < sent)
         {
-            report_refusal({.task = task, .run = run, .reason = kept.refusal},
-                           now);
+            report_refusal(
+                {.task = task, .run = run, .reason = tracked.refusal}, now);
             gone.push_back(task);
         }
     }
--- a/tests/unit/run_reconciler_tests.cpp
+++ b/tests/unit/run_reconciler_tests.cpp
@@ -1,5 +1,5 @@
-// The guard's dealings with its worker: leases, fences, orders that get no
-// answer, and the pace of fills.
+// Tests of a guard's calls to its worker: leases, fences, unanswered orders,
+// and the pace of best-effort tasks.
 
 #include <doctest/doctest.h>
 
@@ -28,7 +28,7 @@
         answer({});
     }
 
-    // The holder answers a report.
+    // Delivers the leader's answer to a report.
     void answer(const guard_orders& orders, std::int64_t epoch = 5,
                 std::int64_t permit_ms = 4000)
     {
@@ -85,16 +85,16 @@
 
 } // namespace
 
-TEST_CASE("a lease lasts no longer than the holder's permit")
+TEST_CASE("a lease lasts no longer than the lease grant")
 {
     guard at;
     at.answer({}, 5, 800);
     const auto looks = at.due<poll_executor>();
     REQUIRE(looks.size() == 1);
     REQUIRE(looks[0].deadline_ms.has_value());
-    // The permit of the first answer is the longer one and still holds.
+    // The lease grant of the first answer is longer and still valid.
     CHECK(*looks[0].deadline_ms <= at.clock() + 4000);
-    CHECK(looks[0].fence / run_reconciler::fences_an_epoch == 5);
+    CHECK(looks[0].fence / run_reconciler::fences_per_epoch == 5);
     at.looked({});
     at.now += seconds(4);
     const auto later = at.due<poll_executor>();
@@ -102,7 +102,7 @@
     CHECK_FALSE(later[0].deadline_ms.has_value());
 }
 
-TEST_CASE("a start is asked for until it is answered, then given back")
+TEST_CASE("an unanswered start is repeated, then the run is refused")
 {
     guard at;
     at.start("j.0.0.0");
@@ -117,7 +117,8 @@
         at.now += milliseconds(150);
         at.looked({});
     }
-    // A late copy could still begin: it is stopped before it is given back.
+    // A delayed start could still begin the run, so it is stopped before it is
+    // refused.
     CHECK(at.keeper.report(at.now).refused.empty());
     REQUIRE(at.due<stop_run>().size() == 1);
     at.keeper.on_stopped({.order = {.task = "j.0.0.0", .run = 1},
@@ -134,7 +135,7 @@
     CHECK(at.keeper.report(at.now).refused.empty());
 }
 
-TEST_CASE("what a worker's answer to a start leads to")
+TEST_CASE("each result of a start is retried, refused or dropped")
 {
     struct row
     {
@@ -165,7 +166,7 @@
     }
 }
 
-TEST_CASE("orders of an older holder or for another life are not taken")
+TEST_CASE("orders of an older leader or for another incarnation are rejected")
 {
     guard at;
     CHECK_FALSE(at.keeper.on_orders({.epoch = 4, .executor = "w1"}, at.now));
@@ -174,7 +175,7 @@
     CHECK_FALSE(at.keeper.on_orders({.epoch = 5, .executor = "w1"}, at.now));
 }
 
-TEST_CASE("an older holder's answer renews no permit")
+TEST_CASE("an older leader's answer does not extend the lease grant")
 {
     guard at;
     at.keeper.on_orders({.epoch = 9, .executor = "w1"}, at.now);
@@ -184,7 +185,7 @@
     CHECK(at.keeper.lease_granted_until() == before);
 }
 
-TEST_CASE("a silent worker gets no longer lease, and lapses surely")
+TEST_CASE("an unresponsive worker's lease is not extended and expires")
 {
     guard at;
     const auto looks = at.due<poll_executor>();
@@ -198,13 +199,13 @@
     CHECK_FALSE(silent[0].deadline_ms.has_value());
     CHECK_FALSE(at.keeper.report(at.now).answering);
     CHECK_FALSE(at.keeper.report(at.now).lapsed);
-    at.now += seconds(6); // an earlier guard may have asked for the longest
+    at.now += seconds(6); // an earlier guard may have requested max_lease
     CHECK(at.keeper.report(at.now).lapsed);
     at.looked({});
     CHECK_FALSE(at.keeper.report(at.now).lapsed);
 }
 
-TEST_CASE("a draining worker begins nothing more")
+TEST_CASE("a draining worker starts nothing more")
 {
     guard at;
     at.start("j.0.0.0");
@@ -214,7 +215,7 @@
     CHECK(at.keeper.report(at.now).refused.size() == 1);
 }
 
-TEST_CASE("runs that a restarted guard finds are told to the holder")
+TEST_CASE("a restarted guard reports the runs that it finds")
 {
     guard at;
     at.looked({{.task = "j.0.0.0", .run = 3}});
@@ -225,7 +226,7 @@
     CHECK(at.keeper.report(at.now).unknown.empty());
 }
 
-TEST_CASE("another life of the worker has none of the runs")
+TEST_CASE("the next executor of a worker has none of the runs")
 {
     guard at;
     at.start("j.0.0.0");
@@ -242,7 +243,7 @@
     CHECK_FALSE(report.looked);
 }
 
-TEST_CASE("a holder that is back at its address is found again")
+TEST_CASE("a leader that returns at its address is found again")
 {
     leader_finder finder({"a:1", "b:1"});
     CHECK(finder.target() == "a:1");
@@ -250,7 +251,7 @@
     CHECK(finder.target() == "c:1");
     CHECK_FALSE(finder.failed());
     CHECK(finder.failed());
-    // The others still name the same holder; it is asked itself as well.
+    // The other entries still name the same leader; it is also asked itself.
     std::set<std::string> asked;
     for (int count = 0; count < 4; ++count)
     {
@@ -274,7 +275,7 @@
 
 } // namespace
 
-TEST_CASE("fills are slowed while a tail is high, known ones first")
+TEST_CASE("best-effort tasks are slowed while a tail is high, known ones first")
 {
     interference_controller control;
     control.learn({{.serving = "s", .filling = "bad", .harm = 4}});
@@ -308,13 +309,14 @@
     CHECK(control.pace("bad") == 100);
 }
 
-TEST_CASE("the fill that harms most for its work is slowed first")
+TEST_CASE("the image with most interference per work is slowed first")
 {
     interference_controller control;
     control.learn({{.serving = "s", .filling = "worse", .harm = 6},
                    {.serving = "s", .filling = "bad", .harm = 2}});
     const time_point now{std::chrono::hours(1)};
-    // Headroom 1: a quarter is missing, and "worse" takes 0.6 of it.
+    // Headroom 1: 0.25 is missing; "worse" uses 0.1 of the processors and
+    // accounts for 0.6.
     control.observe({{.task = "serve", .load = 100},
                      {.task = "one", .load = 400},
                      {.task = "two", .load = 400}},
@@ -323,7 +325,7 @@
     CHECK(control.pace("bad") == 100);
 }
 
-TEST_CASE("fills that get faster together leave the tail its headroom")
+TEST_CASE("best-effort tasks that speed up together keep the tail in bounds")
 {
     interference_controller control;
     control.learn({{.serving = "s", .filling = "worse", .harm = 6},
@@ -341,13 +343,13 @@
     look(500, 400);
     REQUIRE(control.pace("worse") == 0);
     REQUIRE(control.pace("bad") == 0);
-    // Headroom 1.45: 0.2 to spare, all of it for the less harmful one, which
-    // at full pace costs 0.4.
+    // Headroom 1.45: 0.2 to spare, all given to the less interfering image,
+    // which costs 0.4 at full pace.
     look(69, 0);
     CHECK(control.pace("bad") == 50);
     CHECK(control.pace("worse") == 0);
     control.take_changes();
-    // Nothing in the way: both are back at once, and told so.
+    // Ample headroom: both return to full pace at once and report it.
     look(10, 0);
     const auto changes = control.take_changes();
     REQUIRE(changes.size() == 2);
@@ -356,7 +358,7 @@
     CHECK(control.paces().empty());
 }
 
-TEST_CASE("without knowledge all fills are slowed, and stopped in time")
+TEST_CASE("with unknown interference all best-effort tasks slow and then stop")
 {
     interference_controller control;
     const std::map<std::string, run_traits> traits{
@@ -375,7 +377,7 @@
     CHECK(now - since <= milliseconds(2500));
 }
 
-TEST_CASE("a worker that refuses calls gets nothing new until it answers")
+TEST_CASE("a worker that refuses calls is not answering until it accepts one")
 {
     guard at;
     at.looked({});
@@ -388,7 +390,7 @@
                               .executor = at.keeper.worker().executor},
                              order_result::unhealthy, at.now);
     }
-    SUBCASE("a look")
+    SUBCASE("a poll")
     {
         at.keeper.on_polled("w1", order_result::unhealthy, std::nullopt, at.now,
                             at.now);
@@ -399,7 +401,7 @@
     CHECK(at.keeper.report(at.now).answering);
 }
 
-TEST_CASE("what had begun when its executor began another life is told")
+TEST_CASE("runs that had begun in a past incarnation are reported")
 {
     guard at;
     at.looked({});
@@ -432,7 +434,7 @@
         {.task = "taken", .run = 1, .at_work_ms = 500, .is_sure = true},
         {.task = "under way", .run = 1}};
     CHECK(former[0].begun == begun);
-    // Told again for a successor of the holder that heard it, then no more.
+    // Reported again, as the leader that received it may fail, then no more.
     at.answer({}, 6);
     at.now += seconds(5);
     CHECK(at.keeper.report(at.now).former == former);
