--- a/packages/guard/include/springstair/detail/guard/interference.hpp
+++ b/packages/guard/include/springstair/detail/guard/interference.hpp
@@ -32,8 +32,8 @@
     /// Best-effort tasks are sped up only as far as all tasks they interfere
     /// with keep this headroom.
     double raise_above = 1.25;
-    /// Minimum factor of one slowing step for images with known interference;
-    /// slow_all_factor applies to all while the cause is not known.
+    /// Minimum factor of one slowing step for images with known interference.
+    /// While the cause is unknown, slow_all_factor applies to all images.
     double min_factor = 0.1;
     double slow_all_factor = 0.6;
     /// Known interference below this share of the missing headroom does not
@@ -65,7 +65,7 @@
 {
     std::string filling; ///< image of the best-effort tasks
     double pace = 100;   ///< new pace, percent
-    std::string serving; ///< image whose tail is too high; empty: none
+    std::string serving; ///< image whose tail is too high; empty: raised
     double headroom = 0; ///< of `serving`
     bool known = false;  ///< interference of the pair is known
     double use = 0;      ///< by `filling`, share of the processors
--- a/packages/guard/include/springstair/detail/guard/run_reconciler.hpp
+++ b/packages/guard/include/springstair/detail/guard/run_reconciler.hpp
@@ -385,7 +385,7 @@
     std::map<std::string, past_refusal> past_refusals_; ///< newest, by task
     std::map<std::string, ended_run> ended_runs_;       ///< by task
     interference_controller interference_;
-    /// When the newest report with lists that a leader received was sent.
+    /// Send time of the newest report with lists that the leader has received.
     time_point full_reported_at_{};
     /// The newest answer of the worker was that it accepts nothing, or nothing
     /// accepts connections at its address.
--- a/packages/guard/src/guard_core.cpp
+++ b/packages/guard/src/guard_core.cpp
@@ -133,7 +133,7 @@
             .what = not_run(refusal::connection_lost, retry_soon)});
         break;
     case executor_result::unknown:
-        // The slot stays occupied until the worker lists the attempt no more.
+        // The slot stays occupied until the worker no longer lists the attempt.
         admission_.abandon(attempt);
         in_doubt_[attempt.value] = now;
         count_orphans();
--- a/packages/guard/src/run_reconciler_results.cpp
+++ b/packages/guard/src/run_reconciler_results.cpp
@@ -18,11 +18,11 @@
 
 } // namespace
 
-// Refuses a run. While the run is in doubt, the worker is first told to stop
-// it, so that it can never begin. Starts sent by a previous process of this
-// guard also put it in doubt. When only the process's own calls counted, a
-// worker that was busy briefly after a guard restart had its runs refused while
-// they ran, and they ran twice.
+// Refuses a run. While the run is in doubt, the worker is first sent a stop, so
+// that the run can never begin. Starts sent by a previous process of this guard
+// also put it in doubt. When only the process's own calls counted, a worker
+// that was busy briefly after a guard restart had its runs refused while they
+// ran, and they ran twice.
 void run_reconciler::refuse(const std::string& task, tracked_run& run,
                             const std::string& reason, time_point now)
 {
@@ -49,9 +49,9 @@
 }
 
 // Reports to the leader at once that a worker accepts nothing. When the leader
-// learnt it only from unresponsiveness, after 1.2 s, a failed executor was
-// given all waiting work and each start was refused: 192 of 313 in two seconds
-// of a day with many crashes.
+// noticed only that the worker was unresponsive, after 1.2 s, a failed executor
+// was given all waiting work and each start was refused: 192 of 313 in two
+// seconds of a day with many crashes.
 void run_reconciler::update_health(order_result result)
 {
     const bool refuses = result == order_result::unhealthy;
