--- a/packages/guard/src/run_reconciler_incarnations.cpp
+++ b/packages/guard/src/run_reconciler_incarnations.cpp
@@ -1,5 +1,5 @@
-// Lives of the executor beside a guard: which is there, and what went with the
-// one before.
+// Incarnations of the executor: which one is at its address, and which runs
+// were lost with the previous one.
 
 #include <springstair/guard.hpp>
 
@@ -8,52 +8,54 @@
 namespace springstair
 {
 
-void run_reconciler::on_worker(const worker_description& what,
+void run_reconciler::on_worker(const worker_description& description,
                                std::int64_t clock_ms, time_point now)
 {
-    if (worker_.executor != what.executor)
+    if (worker_.executor != description.executor)
     {
-        if (ended_incarnations_.contains(what.executor))
+        if (ended_incarnations_.contains(description.executor))
         {
             return;
         }
         if (polled_)
         {
-            on_unconfirmed_heartbeat(what, clock_ms, now);
+            on_unconfirmed_heartbeat(description, clock_ms, now);
             return;
         }
-        begin_incarnation(what.executor, now);
+        begin_incarnation(description.executor, now);
     }
-    report_due_ = report_due_ || worker_ != what;
-    worker_ = what;
+    report_due_ = report_due_ || worker_ != description;
+    worker_ = description;
     clock_ms_ = clock_ms;
     clock_at_ = now;
-    knows_clock_ = true;
-    answered_ = now;
+    clock_known_ = true;
+    last_answer_at_ = now;
 }
 
-// Whether the present life is over is not known yet. If the same executor has
-// started again, calls that were meant for the life before may be taken there,
-// with the longest lease: their times are on another clock.
-void run_reconciler::on_unconfirmed_heartbeat(const worker_description& what,
-                                              std::int64_t clock_ms,
-                                              time_point now)
+// It is not known yet whether the current incarnation has ended. If the same
+// executor has restarted, it may accept calls meant for the previous
+// incarnation. Their deadlines are on another clock, so they may extend the
+// lease by up to the maximum.
+void run_reconciler::on_unconfirmed_heartbeat(
+    const worker_description& description, std::int64_t clock_ms,
+    time_point now)
 {
-    if (unconfirmed_.what.executor != what.executor)
+    if (unconfirmed_.description.executor != description.executor)
     {
         unconfirmed_ = {};
     }
-    unconfirmed_.what = what;
+    unconfirmed_.description = description;
     unconfirmed_.clock_ms = clock_ms;
-    unconfirmed_.heard = now;
-    if (what.executor.id == worker_.executor.id)
+    unconfirmed_.received_at = now;
+    if (description.executor.id == worker_.executor.id)
     {
-        expect_longest_lease(now + options_.silence);
+        assume_max_lease(now + options_.unresponsive_after);
     }
 }
 
-// A new life has seen no order. It runs nothing, unless it is of the same
-// executor: then it may have taken starts that were meant for the life before.
+// A new incarnation has received no order and runs nothing, unless it is the
+// same executor restarted: then it may have accepted starts meant for the
+// previous incarnation.
 void run_reconciler::begin_incarnation(const executor_incarnation& next,
                                        time_point now)
 {
@@ -77,55 +79,55 @@
     polled_ = false;
     polled_at_ = now;
     poll_failed_ = false;
-    knows_clock_ = false;
-    vouched_at_ = {};
-    // The first report of a life has to show what it took.
+    clock_known_ = false;
+    connected_before_ = {};
+    // The first report of an incarnation must list its runs.
     full_reported_at_ = {};
-    poll_open_ = false;
+    poll_in_flight_ = false;
     acknowledged_ = 0;
     ++incarnation_count_;
-    leased_until_ = {};
-    expect_longest_lease(now);
-    next_look_ = now;
+    max_lease_end_ = {};
+    assume_max_lease(now);
+    next_poll_ = now;
     interference_ = interference_controller(options_.interference_controller);
 }
 
-// A start without an answer may be at the next life of the executor, now or
-// later; its stop is repeated there. Remembered at the former life alone, such
-// a run began beside the one that had taken its place.
+// A start without an answer may reach the next incarnation of the executor, now
+// or later, so its stop is repeated there. When such a run was remembered only
+// for the past incarnation, it began beside the run that had replaced it.
 void run_reconciler::carry_uncertain_starts(time_point now)
 {
     std::erase_if(runs_,
                   [](const auto& one)
                   {
                       const tracked_run& run = one.second;
-                      return !run.in_doubt && !run.call_open &&
-                             run.at != stage::stopping;
+                      return !run.in_doubt && !run.call_in_flight &&
+                             run.stage != run_stage::stopping;
                   });
     for (auto& [task, run] : runs_)
     {
         start_order order = std::move(run.order);
         run = {.order = std::move(order),
-               .at = stage::stopping,
+               .stage = run_stage::stopping,
                .in_doubt = true,
                .next_call = now,
                .refusal = "executor_restarted"};
     }
 }
 
-// A look that another life was meant by tells who lives at the address. Only
-// an answer decides between two lives: a heartbeat that was held back can come
-// after its sender's end, and lives have no order.
+// Handles the result of a poll that asks which incarnation is at the address.
+// Only an answer decides between two incarnations: a delayed heartbeat can
+// arrive after its sender has ended, and incarnations have no order.
 void run_reconciler::on_unconfirmed_polled(
-    order_result result, const std::optional<executor_snapshot>& look,
+    order_result result, const std::optional<executor_snapshot>& snapshot,
     time_point now)
 {
-    unconfirmed_.asking = false;
-    const executor_incarnation& asked = unconfirmed_.what.executor;
+    unconfirmed_.polling = false;
+    const executor_incarnation& asked = unconfirmed_.description.executor;
     const bool names_it = asked.id != worker_.executor.id;
-    if (look)
+    if (snapshot)
     {
-        const executor_incarnation there(asked.id, look->born_ms);
+        const executor_incarnation there(asked.id, snapshot->born_ms);
         if (!names_it && there.may_be(worker_.executor))
         {
             ended_incarnations_.insert(asked);
@@ -147,13 +149,13 @@
     }
     else
     {
-        unconfirmed_.next_ask = now + options_.poll_retry;
+        unconfirmed_.next_poll = now + options_.poll_retry;
     }
 }
 
-// Another life has answered. Until its own heartbeat has told what it can run,
-// it gets nothing to run; until it has told its clock, no lease. A time on the
-// clock of the life before is far ahead on its own.
+// Another incarnation has answered. Until its own heartbeat reports what it can
+// run, it gets no work; until its clock is known, it gets no lease. A deadline
+// on the previous clock would be far ahead on its own.
 void run_reconciler::switch_incarnation(const executor_incarnation& who,
                                         time_point now)
 {
@@ -164,15 +166,15 @@
     next.leaves_ms = 0;
     ended_incarnations_.insert(worker_.executor);
     begin_incarnation(who, now);
-    if (who == unconfirmed_.what.executor)
+    if (who == unconfirmed_.description.executor)
     {
-        next = unconfirmed_.what;
+        next = unconfirmed_.description;
         clock_ms_ = unconfirmed_.clock_ms;
-        clock_at_ = unconfirmed_.heard;
-        knows_clock_ = true;
+        clock_at_ = unconfirmed_.received_at;
+        clock_known_ = true;
     }
     worker_ = std::move(next);
-    answered_ = now;
+    last_answer_at_ = now;
     unconfirmed_ = {};
     report_due_ = true;
 }
@@ -189,21 +191,21 @@
 void run_reconciler::poll_unconfirmed(time_point now,
                                       std::vector<executor_action>& out)
 {
-    if (unconfirmed_.what.executor.empty() || unconfirmed_.asking ||
-        now < unconfirmed_.next_ask)
+    if (unconfirmed_.description.executor.empty() || unconfirmed_.polling ||
+        now < unconfirmed_.next_poll)
     {
         return;
     }
-    unconfirmed_.asking = true;
-    out.emplace_back(poll_executor{.fence = fence(),
-                                   .executor = unconfirmed_.what.executor});
+    unconfirmed_.polling = true;
+    out.emplace_back(poll_executor{
+        .fence = fence(), .executor = unconfirmed_.description.executor});
 }
 
 // ---------------------------------------------------------------------------
-// Former lives of the executor
+// Past incarnations of the executor
 // ---------------------------------------------------------------------------
 
-// A run that began here and did not end goes with the life.
+// A run that began here and has not ended is lost with the incarnation.
 void run_reconciler::remember_run(const std::string& task,
                                   const tracked_run& run)
 {
@@ -213,64 +215,70 @@
         return;
     }
     const duration shown = std::max(duration{0}, run.listed - *begun);
-    over_.begun.push_back({.task = task,
-                           .run = run.order.run,
-                           .at_work_ms = to_milliseconds(shown),
-                           .is_sure = run.start_confirmed});
+    ending_incarnation_.begun.push_back({.task = task,
+                                         .run = run.order.run,
+                                         .at_work_ms = to_milliseconds(shown),
+                                         .is_sure = run.start_confirmed});
 }
 
 void run_reconciler::remember_incarnation(time_point now)
 {
-    for (const auto& [task, kept] : runs_)
+    for (const auto& [task, tracked] : runs_)
     {
-        remember_run(task, kept);
+        remember_run(task, tracked);
     }
-    if (!over_.begun.empty())
+    if (!ending_incarnation_.begun.empty())
     {
-        over_.executor = worker_.executor;
-        over_.lost_ms = vm_clock_ms(failing_since_.value_or(now));
-        former_.push_back({.what = std::exchange(over_, {})});
+        ending_incarnation_.executor = worker_.executor;
+        ending_incarnation_.lost_ms = vm_clock_ms(failing_since_.value_or(now));
+        past_incarnations_.push_back(
+            {.incarnation = std::exchange(ending_incarnation_, {})});
     }
-    if (former_.size() > options_.max_past_incarnations)
+    if (past_incarnations_.size() > options_.max_past_incarnations)
     {
-        former_.erase(former_.begin());
+        past_incarnations_.erase(past_incarnations_.begin());
     }
 }
 
-// A start that was taken for one of the life before may have been the next
-// one's: its lists show it, and no crash speaks of it.
+// A start counted for the past incarnation may have been accepted by the next
+// one. If its lists show the run, the run was not lost in the crash.
 void run_reconciler::drop_surviving_runs()
 {
-    if (former_.empty() ||
-        former_.back().what.executor.id != worker_.executor.id)
+    if (past_incarnations_.empty() ||
+        past_incarnations_.back().incarnation.executor.id !=
+            worker_.executor.id)
     {
         return;
     }
-    std::erase_if(former_.back().what.begun,
+    std::erase_if(past_incarnations_.back().incarnation.begun,
                   [this](const begun_run& one) {
                       return is_running(one.task, one.run) ||
                              is_ended(one.task, one.run);
                   });
 }
 
-// A holder has heard a report. It may fall before it has written what it
-// makes of that, so its successor hears the same for a while.
+// Notes which past incarnations a leader has received. It may fail before it
+// has committed the consequences, so they are reported to its successor for a
+// while.
 void run_reconciler::forget_reported_incarnations(const worker_report& report,
                                                   time_point now)
 {
-    for (reported_incarnation& one : former_)
+    for (reported_incarnation& one : past_incarnations_)
     {
-        const bool was_told =
-            std::find(report.former.begin(), report.former.end(), one.what) !=
-            report.former.end();
-        if (was_told && !one.told)
+        const bool was_reported =
+            std::find(report.former.begin(), report.former.end(),
+                      one.incarnation) != report.former.end();
+        if (was_reported && !one.reported_at)
         {
-            one.told = now;
+            one.reported_at = now;
         }
     }
-    std::erase_if(
-        former_, [&](const reported_incarnation& one)
-        { return one.told && now - *one.told > options_.repeat_past_for; });
+    std::erase_if(past_incarnations_,
+                  [&](const reported_incarnation& one)
+                  {
+                      return one.reported_at &&
+                             now - *one.reported_at > options_.repeat_past_for;
+                  });
 }
 
 } // namespace springstair
