--- a/packages/scheduler/src/availability_counts.cpp
+++ b/packages/scheduler/src/availability_counts.cpp
@@ -14,12 +14,12 @@
     return *this;
 }
 
-availability_counts sample_service(const job_record& of)
+availability_counts sample_service(const job_record& record)
 {
     availability_counts sample;
-    for (const job_task& task : of.tasks())
+    for (const job_task& task : record.tasks())
     {
-        const job_step& step = of.step_at(of.position_of(task));
+        const job_step& step = record.step_at(record.position_of(task));
         if (!step.lasting)
         {
             continue;
--- a/packages/scheduler/src/entry_list.cpp
+++ b/packages/scheduler/src/entry_list.cpp
@@ -12,10 +12,11 @@
 {
 
 // Best first: the largest, then by a hash that all holders share.
-auto place_of(const entry_heartbeat& of)
+auto successor_order(const entry_heartbeat& heartbeat)
 {
-    return std::tuple(-of.processors, std::hash<std::string>{}(of.address),
-                      of.address);
+    return std::tuple(-heartbeat.processors,
+                      std::hash<std::string>{}(heartbeat.address),
+                      heartbeat.address);
 }
 
 } // namespace
@@ -52,11 +53,11 @@
             .delay = std::min(turn, last_turn) * step};
 }
 
-void entry_list::note(const entry_heartbeat& from, time_point now)
+void entry_list::note(const entry_heartbeat& heartbeat, time_point now)
 {
-    const auto [found, is_new] = entries_.try_emplace(from.address);
-    is_sorted_ = is_sorted_ && !is_new && found->second.heartbeat == from;
-    found->second = {.heartbeat = from, .at = now};
+    const auto [found, is_new] = entries_.try_emplace(heartbeat.address);
+    is_sorted_ = is_sorted_ && !is_new && found->second.heartbeat == heartbeat;
+    found->second = {.heartbeat = heartbeat, .at = now};
 }
 
 void entry_list::clear()
@@ -72,8 +73,10 @@
     {
         return;
     }
-    std::erase_if(entries_, [&](const auto& one)
-                  { return now - one.second.at > options_.heard_within; });
+    std::erase_if(entries_,
+                  [&](const auto& heartbeat) {
+                      return now - heartbeat.second.at > options_.heard_within;
+                  });
     order_.clear();
     for (const auto& [address, entry] : entries_)
     {
@@ -82,11 +85,12 @@
             order_.push_back(entry.heartbeat);
         }
     }
-    std::ranges::sort(order_, {}, place_of);
+    std::ranges::sort(order_, {}, successor_order);
     ranks_.clear();
-    for (const entry_heartbeat& one : order_)
+    for (const entry_heartbeat& heartbeat : order_)
     {
-        ranks_.emplace(one.address, static_cast<std::int64_t>(ranks_.size()));
+        ranks_.emplace(heartbeat.address,
+                       static_cast<std::int64_t>(ranks_.size()));
     }
     sorted_at_ = now;
     is_sorted_ = true;
@@ -106,30 +110,30 @@
     return found == ranks_.end() ? std::nullopt : std::optional(found->second);
 }
 
-std::optional<handover_target> entry_list::next_handover(const leader_state& of,
-                                                         time_point now)
+std::optional<handover_target>
+entry_list::next_handover(const leader_state& leader, time_point now)
 {
     sort(now);
-    std::erase_if(declined_, [&](const auto& one)
-                  { return now - one.second >= options_.decline_lasts; });
+    std::erase_if(declined_, [&](const auto& entry)
+                  { return now - entry.second >= options_.decline_lasts; });
     const auto best =
-        std::ranges::find_if(order_, [&](const entry_heartbeat& one)
-                             { return !declined_.contains(one.address); });
+        std::ranges::find_if(order_, [&](const entry_heartbeat& entry)
+                             { return !declined_.contains(entry.address); });
     if (best == order_.end() || declined_.size() >= options_.most_asked)
     {
         return std::nullopt;
     }
-    if (of.stopping)
+    if (leader.stopping)
     {
         return handover_target{best->address, handover_reason::stopping};
     }
-    if (of.store_silent >= options_.store_outage_tolerance)
+    if (leader.store_silent >= options_.store_outage_tolerance)
     {
         return handover_target{best->address, handover_reason::store_away};
     }
     const bool is_small =
-        best->processors >= options_.much_larger * of.processors;
-    if (is_small && of.held_for >= options_.settling)
+        best->processors >= options_.much_larger * leader.processors;
+    if (is_small && leader.held_for >= options_.settling)
     {
         return handover_target{best->address, handover_reason::small};
     }
@@ -154,14 +158,15 @@
     const std::size_t begin = std::hash<std::string>{}(asking.address);
     for (std::size_t offset = 0; offset < order_.size(); ++offset)
     {
-        const entry_heartbeat& one = order_[(begin + offset) % order_.size()];
-        const bool is_near = one.data_centre == asking.data_centre;
-        auto& to = is_near ? near : elsewhere;
-        const std::size_t most =
+        const entry_heartbeat& candidate =
+            order_[(begin + offset) % order_.size()];
+        const bool is_near = candidate.data_centre == asking.data_centre;
+        auto& target = is_near ? near : elsewhere;
+        const std::size_t max_count =
             is_near ? max_near : options_.max_peers_elsewhere;
-        if (one.address != asking.address && to.size() < most)
+        if (candidate.address != asking.address && target.size() < max_count)
         {
-            to.push_back(one.address);
+            target.push_back(candidate.address);
         }
         if (near.size() + elsewhere.size() == options_.max_peers)
         {
--- a/packages/scheduler/src/interference_model.cpp
+++ b/packages/scheduler/src/interference_model.cpp
@@ -10,7 +10,7 @@
 {
 
 // Tasks without figures for so long have ended.
-constexpr duration cleaning = std::chrono::seconds(10);
+constexpr duration retention = std::chrono::seconds(10);
 
 } // namespace
 
@@ -37,91 +37,91 @@
 }
 
 std::vector<std::pair<std::size_t, double>>
-interference_model::changes(const fill_usage& from, const fill_usage& to)
+interference_model::changes(const fill_usage& before, const fill_usage& after)
 {
-    fill_usage difference = to;
-    for (const auto& [filling, use] : from)
+    fill_usage difference = after;
+    for (const auto& [filling, use] : before)
     {
         difference[filling] -= use;
     }
-    std::vector<std::pair<std::size_t, double>> out;
+    std::vector<std::pair<std::size_t, double>> significant;
     for (const auto& [filling, change] : difference)
     {
         const auto index = index_of(filling);
         if (index && std::abs(change) >= options_.min_change)
         {
-            out.emplace_back(*index, change);
+            significant.emplace_back(*index, change);
         }
     }
-    return out;
+    return significant;
 }
 
-void interference_model::observe(const serving_figure& from,
+void interference_model::observe(const serving_figure& figure,
                                  const fill_usage& beside, time_point now)
 {
     forget_old(now);
-    headroom_sample seen{.headroom = from.headroom, .beside = beside};
-    sibling_headroom& siblings = siblings_[from.job];
-    past_figure& before = last_[from.task];
-    const auto others = siblings.mean_without(from.task);
-    const bool told = others && compare(from.image, *others, seen);
-    if (!told && now - before.at <= options_.max_gap)
+    headroom_sample sample{.headroom = figure.headroom, .beside = beside};
+    sibling_headroom& siblings = siblings_[figure.job];
+    past_figure& previous = last_[figure.task];
+    const auto others = siblings.mean_without(figure.task);
+    const bool learned = others && compare(figure.image, *others, sample);
+    if (!learned && now - previous.at <= options_.max_gap)
     {
-        compare(from.image, before.figure, seen);
+        compare(figure.image, previous.figure, sample);
     }
-    before = {.at = now, .figure = seen};
-    siblings.note(from.task, std::move(seen), now);
+    previous = {.at = now, .figure = sample};
+    siblings.note(figure.task, std::move(sample), now);
 }
 
 // Learns from the difference of two figures of one load, if it says anything.
 bool interference_model::compare(const std::string& serving,
-                                 const headroom_sample& with,
-                                 const headroom_sample& seen)
+                                 const headroom_sample& reference,
+                                 const headroom_sample& sample)
 {
-    if (std::max(with.headroom, seen.headroom) < options_.min_headroom)
+    if (std::max(reference.headroom, sample.headroom) < options_.min_headroom)
     {
         return false;
     }
-    const auto more = changes(with.beside, seen.beside);
-    if (more.empty())
+    const auto usage_changes = changes(reference.beside, sample.beside);
+    if (usage_changes.empty())
     {
         return false;
     }
-    learn(fits_[serving], with.headroom - seen.headroom, more);
+    learn(fits_[serving], reference.headroom - sample.headroom, usage_changes);
     return true;
 }
 
 void interference_model::learn(
-    fit& of, double loss,
+    fit& estimate, double loss,
     const std::vector<std::pair<std::size_t, double>>& changes)
 {
-    resize(of);
-    for (std::size_t row = 0; row < of.harms.size(); ++row)
+    resize(estimate);
+    for (std::size_t row = 0; row < estimate.harms.size(); ++row)
     {
-        of.targets[row] *= options_.memory;
-        for (double& cell : of.products[row])
+        estimate.targets[row] *= options_.memory;
+        for (double& cell : estimate.products[row])
         {
             cell *= options_.memory;
         }
     }
-    for (const auto& [row, left] : changes)
+    for (const auto& [row, row_change] : changes)
     {
-        of.targets[row] += left * loss;
-        for (const auto& [column, right] : changes)
+        estimate.targets[row] += row_change * loss;
+        for (const auto& [column, column_change] : changes)
         {
-            of.products[row][column] += left * right;
+            estimate.products[row][column] += row_change * column_change;
         }
     }
-    solve(of);
+    solve(estimate);
 }
 
-void interference_model::resize(fit& of) const
+void interference_model::resize(fit& estimate) const
 {
     const std::size_t size = images_.size();
-    of.products.resize(size);
-    of.targets.resize(size);
-    of.harms.resize(size, options_.assumed);
-    for (std::vector<double>& row : of.products)
+    estimate.products.resize(size);
+    estimate.targets.resize(size);
+    estimate.harms.resize(size, options_.assumed);
+    for (std::vector<double>& row : estimate.products)
     {
         row.resize(size);
     }
@@ -130,16 +130,16 @@
 std::vector<pair_interference> interference_model::known() const
 {
     std::vector<pair_interference> out;
-    for (const auto& [serving, of] : fits_)
+    for (const auto& [serving, estimate] : fits_)
     {
         for (const auto& [filling, index] : images_)
         {
-            const bool fitted = index < of.harms.size();
-            if (fitted && of.harms[index] >= options_.min_interference)
+            const bool is_fitted = index < estimate.harms.size();
+            if (is_fitted && estimate.harms[index] >= options_.min_interference)
             {
                 out.push_back({.serving = serving,
                                .filling = filling,
-                               .harm = of.harms[index]});
+                               .harm = estimate.harms[index]});
             }
         }
     }
@@ -155,33 +155,35 @@
         {
             continue;
         }
-        fit& of = fits_[one.serving];
-        resize(of);
-        of.products[*index][*index] += options_.inherited;
-        of.targets[*index] += options_.inherited * one.harm;
-        solve(of);
+        fit& estimate = fits_[one.serving];
+        resize(estimate);
+        estimate.products[*index][*index] += options_.inherited;
+        estimate.targets[*index] += options_.inherited * one.harm;
+        solve(estimate);
     }
 }
 
 // Coordinate descent on the weighted squares, harms kept at zero or more.
-void interference_model::solve(fit& of) const
+void interference_model::solve(fit& estimate) const
 {
-    const std::size_t size = of.harms.size();
+    const std::size_t size = estimate.harms.size();
     for (int round = 0; round < options_.rounds; ++round)
     {
         for (std::size_t row = 0; row < size; ++row)
         {
-            double rest = of.targets[row];
+            double residual = estimate.targets[row];
             for (std::size_t column = 0; column < size; ++column)
             {
                 if (column != row)
                 {
-                    rest -= of.products[row][column] * of.harms[column];
+                    residual -=
+                        estimate.products[row][column] * estimate.harms[column];
                 }
             }
-            const double weight = of.products[row][row] + options_.caution;
-            of.harms[row] = std::max(
-                0.0, (rest + options_.caution * options_.assumed) / weight);
+            const double weight =
+                estimate.products[row][row] + options_.caution;
+            estimate.harms[row] = std::max(
+                0.0, (residual + options_.caution * options_.assumed) / weight);
         }
     }
 }
@@ -192,21 +194,21 @@
     {
         return;
     }
-    next_cleaning_ = now + cleaning;
+    next_cleaning_ = now + retention;
     std::erase_if(last_, [now](const auto& entry)
-                  { return now - entry.second.at > cleaning; });
+                  { return now - entry.second.at > retention; });
     std::erase_if(siblings_, [now](const auto& entry)
-                  { return now - entry.second.noted() > cleaning; });
+                  { return now - entry.second.noted() > retention; });
 }
 
 double interference_model::harm(const std::string& serving,
                                 const std::string& filling) const
 {
-    const auto of = fits_.find(serving);
+    const auto found = fits_.find(serving);
     const auto image = images_.find(filling);
-    const bool known = of != fits_.end() && image != images_.end() &&
-                       image->second < of->second.harms.size();
-    return known ? of->second.harms[image->second] : options_.assumed;
+    const bool known = found != fits_.end() && image != images_.end() &&
+                       image->second < found->second.harms.size();
+    return known ? found->second.harms[image->second] : options_.assumed;
 }
 
 double interference_model::interference_of(const std::string& serving,
--- a/packages/scheduler/src/job_order.cpp
+++ b/packages/scheduler/src/job_order.cpp
@@ -11,21 +11,21 @@
 
 } // namespace
 
-job_rank rank_of(const job_record& of, const queue_row* queue, time_point now,
-                 const order_options& options)
+job_rank rank_of(const job_record& record, const queue_row* queue,
+                 time_point now, const order_options& options)
 {
     if (queue == nullptr)
     {
         return {.priority = last_priority,
-                .objective = of.accepted,
-                .order = of.order};
+                .objective = record.accepted,
+                .order = record.order};
     }
-    const auto chain = std::chrono::milliseconds(of.critical_path_ms);
+    const auto chain = std::chrono::milliseconds(record.critical_path_ms);
     const duration objective =
         from_seconds(to_seconds(chain) * queue->stretch) +
         std::chrono::milliseconds(queue->target_ms);
-    const duration age = now - of.accepted;
-    const bool lasting = of.definition().steps.front().lasting;
+    const duration age = now - record.accepted;
+    const bool lasting = record.definition().steps.front().lasting;
     job_prospect prospect = job_prospect::in_time;
     if (!lasting && age > objective)
     {
@@ -35,12 +35,13 @@
     }
     return {.priority = queue->priority,
             .prospect = prospect,
-            .moment = (of.accepted + objective).time_since_epoch() /
+            .moment = (record.accepted + objective).time_since_epoch() /
                       options.one_moment,
             .smallness =
-                lasting ? -of.definition().steps.front().demand.cpu_millis : 0,
-            .objective = of.accepted + objective,
-            .order = of.order};
+                lasting ? -record.definition().steps.front().demand.cpu_millis
+                        : 0,
+            .objective = record.accepted + objective,
+            .order = record.order};
 }
 
 } // namespace springstair
--- a/packages/scheduler/src/job_record.cpp
+++ b/packages/scheduler/src/job_record.cpp
@@ -5,7 +5,7 @@
 namespace springstair
 {
 
-job_record::job_record(job what) : definition_(std::move(what))
+job_record::job_record(job definition) : definition_(std::move(definition))
 {
     critical_path_ms = definition_.critical_path_ms();
     for (const job_step& step : definition_.steps)
@@ -26,18 +26,21 @@
     }
 }
 
-job_task* job_record::find(const task_position& at)
+job_task* job_record::find(const task_position& position)
 {
     const bool exists =
-        at.round >= 0 && at.round < definition_.rounds() && at.step >= 0 &&
-        at.step < static_cast<std::int64_t>(definition_.steps.size()) &&
-        at.index >= 0 &&
-        at.index < definition_.steps[static_cast<std::size_t>(at.step)].count;
+        position.round >= 0 && position.round < definition_.rounds() &&
+        position.step >= 0 &&
+        position.step < static_cast<std::int64_t>(definition_.steps.size()) &&
+        position.index >= 0 &&
+        position.index <
+            definition_.steps[static_cast<std::size_t>(position.step)].count;
     if (!exists)
     {
         return nullptr;
     }
-    return &tasks_of(at.round, at.step)[static_cast<std::size_t>(at.index)];
+    return &tasks_of(position.round,
+                     position.step)[static_cast<std::size_t>(position.index)];
 }
 
 std::span<const job_task> job_record::tasks_of(std::int64_t round,
@@ -53,39 +56,41 @@
 
 std::span<job_task> job_record::tasks_of(std::int64_t round, std::int64_t step)
 {
-    const auto same = std::as_const(*this).tasks_of(round, step);
-    const auto first = static_cast<std::size_t>(same.data() - tasks_.data());
-    return std::span(tasks_).subspan(first, same.size());
+    const auto constant = std::as_const(*this).tasks_of(round, step);
+    const auto first =
+        static_cast<std::size_t>(constant.data() - tasks_.data());
+    return std::span(tasks_).subspan(first, constant.size());
 }
 
 task_position job_record::position_of(const job_task& task) const
 {
     const auto number = static_cast<std::size_t>(&task - tasks_.data());
     const std::size_t in_round = number % tasks_per_round_;
-    const auto after = std::upper_bound(first_of_step_.begin(),
-                                        first_of_step_.end(), in_round);
+    const auto next_step = std::upper_bound(first_of_step_.begin(),
+                                            first_of_step_.end(), in_round);
     const auto step =
-        static_cast<std::size_t>(after - first_of_step_.begin()) - 1;
+        static_cast<std::size_t>(next_step - first_of_step_.begin()) - 1;
     return {.round = static_cast<std::int64_t>(number / tasks_per_round_),
             .step = static_cast<std::int64_t>(step),
             .index =
                 static_cast<std::int64_t>(in_round - first_of_step_[step])};
 }
 
-const job_step& job_record::step_at(const task_position& at) const
+const job_step& job_record::step_at(const task_position& position) const
 {
-    return definition_.steps[static_cast<std::size_t>(at.step)];
+    return definition_.steps[static_cast<std::size_t>(position.step)];
 }
 
 bool job_record::is_open(std::int64_t round, std::int64_t step) const
 {
-    const job_step& of = definition_.steps[static_cast<std::size_t>(step)];
+    const job_step& step_definition =
+        definition_.steps[static_cast<std::size_t>(step)];
     return std::all_of(
-        of.after.begin(), of.after.end(),
-        [&](std::size_t before)
+        step_definition.after.begin(), step_definition.after.end(),
+        [&](std::size_t dependency)
         {
             const auto tasks =
-                tasks_of(round, static_cast<std::int64_t>(before));
+                tasks_of(round, static_cast<std::int64_t>(dependency));
             return std::all_of(tasks.begin(), tasks.end(),
                                [](const job_task& task) { return task.done; });
         });
@@ -106,10 +111,10 @@
 
 job_progress job_record::progress() const
 {
-    job_progress kept{.state = state_};
+    job_progress progress{.state = state_};
     if (is_final(state_) && !has_runs())
     {
-        return kept; // nothing is left to do: its tasks need no record
+        return progress; // nothing is left to do: its tasks need no record
     }
     for (const job_task& task : tasks_)
     {
@@ -117,7 +122,7 @@
         {
             continue;
         }
-        kept.tasks.push_back(
+        progress.tasks.push_back(
             {.at = position_of(task),
              .done = task.done,
              .runs = task.runs,
@@ -130,34 +135,34 @@
              .judged_run = task.judged_run,
              .losses = task.done ? 0 : task.losses});
     }
-    return kept;
+    return progress;
 }
 
-void job_record::restore(const job_progress& kept_progress)
+void job_record::restore(const job_progress& progress)
 {
-    state_ = kept_progress.state;
+    state_ = progress.state;
     shown = state_;
-    for (const task_progress& from : kept_progress.tasks)
+    for (const task_progress& saved : progress.tasks)
     {
-        job_task* const task = find(from.at);
+        job_task* const task = find(saved.at);
         if (task == nullptr)
         {
             continue;
         }
         begun = true;
-        task->done = from.done;
-        task->runs = from.runs;
-        task->failures = from.failures;
-        task->checkpoint = from.checkpoint;
-        task->suspicion = from.suspicion;
-        task->crashes = from.crashes;
-        task->judged_run = from.judged_run;
-        task->losses = from.losses;
-        if (!from.guard.empty())
+        task->done = saved.done;
+        task->runs = saved.runs;
+        task->failures = saved.failures;
+        task->checkpoint = saved.checkpoint;
+        task->suspicion = saved.suspicion;
+        task->crashes = saved.crashes;
+        task->judged_run = saved.judged_run;
+        task->losses = saved.losses;
+        if (!saved.guard.empty())
         {
-            task->run = task_run{.number = from.runs,
-                                 .guard = from.guard,
-                                 .executor = from.executor};
+            task->run = task_run{.number = saved.runs,
+                                 .guard = saved.guard,
+                                 .executor = saved.executor};
         }
     }
 }
--- a/packages/scheduler/src/scheduler_closing.cpp
+++ b/packages/scheduler/src/scheduler_closing.cpp
@@ -12,9 +12,9 @@
                                 time_point now)
 {
     const closing_change change = data_centres_.take(known);
-    for (auto& [guard, at] : workers_)
+    for (auto& [guard, worker] : workers_)
     {
-        at.closed = data_centres_.is_closed(at.description.data_centre);
+        worker.closed = data_centres_.is_closed(worker.description.data_centre);
     }
     may_place_ = may_place_ || !change.opened.empty();
     if (!begun_)
@@ -48,27 +48,28 @@
 // Until when a worker's guard may begin what is ordered now, by its own clock:
 // neither after its runs are given up here, nor after a closure that this
 // holder has not heard of may bind.
-std::int64_t scheduler_core::starts_until_ms(const worker_record& at) const
+std::int64_t scheduler_core::starts_until_ms(const worker_record& worker) const
 {
     const time_point until = data_centres_.starts_until();
     if (until == time_point::max())
     {
-        return at.starts_until_ms;
+        return worker.starts_until_ms;
     }
     const std::int64_t by_closure =
-        to_milliseconds(until - time_point{}) + at.clock_ahead_ms;
+        to_milliseconds(until - time_point{}) + worker.clock_ahead_ms;
     // No bound is told by 0; a bound that lies before the guard's first
     // reading is as good as that reading.
-    return std::max<std::int64_t>(1, std::min(at.starts_until_ms, by_closure));
+    return std::max<std::int64_t>(1,
+                                  std::min(worker.starts_until_ms, by_closure));
 }
 
 std::int64_t scheduler_core::runs_in(const std::string& data_centre) const
 {
     std::size_t runs = 0;
-    for (const auto& [guard, at] : workers_)
+    for (const auto& [guard, worker] : workers_)
     {
-        runs += at.description.data_centre == data_centre
-                    ? at.assigned_tasks.size()
+        runs += worker.description.data_centre == data_centre
+                    ? worker.assigned_tasks.size()
                     : 0;
     }
     return static_cast<std::int64_t>(runs);
--- a/packages/scheduler/src/scheduler_core.cpp
+++ b/packages/scheduler/src/scheduler_core.cpp
@@ -24,35 +24,36 @@
 void scheduler_core::begin_term(std::int64_t epoch, time_point now)
 {
     const queue_table table = table_;
-    const closure_tracker data_centres = data_centres_;
+    const closure_tracker closures = data_centres_;
     *this = scheduler_core(options_);
     table_ = table;
-    data_centres_ = data_centres;
+    data_centres_ = closures;
     epoch_ = epoch;
     term_started_at_ = now;
 }
 
-void scheduler_core::adopt(job what, const std::optional<job_progress>& kept,
+void scheduler_core::adopt(job definition,
+                           const std::optional<job_progress>& saved,
                            std::int64_t revision, time_point now,
                            std::int64_t unix_ms)
 {
-    const std::string id = what.id;
-    const std::int64_t age =
-        std::clamp<std::int64_t>(unix_ms - what.accepted_ms, 0, max_age_ms);
-    accept(std::move(what), now - std::chrono::milliseconds(age));
-    job_record& of = *job_of(id);
-    if (!kept)
+    const std::string id = definition.id;
+    const std::int64_t age = std::clamp<std::int64_t>(
+        unix_ms - definition.accepted_ms, 0, max_age_ms);
+    accept(std::move(definition), now - std::chrono::milliseconds(age));
+    job_record& record = *job_of(id);
+    if (!saved)
     {
         return;
     }
-    of.restore(*kept);
-    of.revision = revision;
-    for (job_task& task : of.tasks())
+    record.restore(*saved);
+    record.revision = revision;
+    for (job_task& task : record.tasks())
     {
         if (task.run)
         {
             inherited_runs_[task.run->guard].insert(
-                {of.definition().id, of.position_of(task)});
+                {record.definition().id, record.position_of(task)});
         }
     }
 }
@@ -61,9 +62,9 @@
 {
     begun_ = true;
     term_started_at_ = now;
-    for (const auto& [id, of] : jobs_)
+    for (const auto& [id, record] : jobs_)
     {
-        finish_if_done(*of, now);
+        finish_if_done(*record, now);
     }
     for (const std::string& data_centre : data_centres_.closed())
     {
@@ -79,28 +80,28 @@
     }
 }
 
-void scheduler_core::accept(job what, time_point now)
+void scheduler_core::accept(job definition, time_point now)
 {
-    if (jobs_.contains(what.id))
+    if (jobs_.contains(definition.id))
     {
         return;
     }
-    auto fresh = std::make_unique<job_record>(std::move(what));
-    fresh->order = ++accepted_jobs_;
-    fresh->accepted = now;
-    for (job_task& task : fresh->tasks())
+    auto created = std::make_unique<job_record>(std::move(definition));
+    created->order = ++accepted_jobs_;
+    created->accepted = now;
+    for (job_task& task : created->tasks())
     {
         task.ready_since = now;
     }
-    job_record& of = *fresh;
-    jobs_.emplace(of.definition().id, std::move(fresh));
+    job_record& record = *created;
+    jobs_.emplace(record.definition().id, std::move(created));
     log_decision(event_id::job_known,
-                 {{"job", of.definition().id},
-                  {"queue", of.definition().queue},
-                  {"tasks", std::to_string(of.tasks().size())}});
+                 {{"job", record.definition().id},
+                  {"queue", record.definition().queue},
+                  {"tasks", std::to_string(record.tasks().size())}});
     may_place_ = true;
-    placeable_jobs_.insert(of.definition().id);
-    if (of.definition().steps.front().lasting)
+    placeable_jobs_.insert(record.definition().id);
+    if (record.definition().steps.front().lasting)
     {
         last_lasting_ = std::max(last_lasting_, now);
     }
@@ -108,15 +109,15 @@
 
 void scheduler_core::cancel(const std::string& id, time_point now)
 {
-    job_record* const of = job_of(id);
-    if (of == nullptr || is_final(of->state()))
+    job_record* const record = job_of(id);
+    if (record == nullptr || is_final(record->state()))
     {
         return;
     }
-    finish(*of, job_state::cancelled, now, {});
-    of->shown = job_state::cancelled; // the store has the cancellation
-    mark_changed(*of, now);
-    stop_all(*of);
+    finish(*record, job_state::cancelled, now, {});
+    record->shown = job_state::cancelled; // the store has the cancellation
+    mark_changed(*record, now);
+    stop_all(*record);
 }
 
 job_record* scheduler_core::job_of(const std::string& id)
@@ -128,17 +129,18 @@
 scheduler_core::known_task scheduler_core::known(const std::string& name)
 {
     const auto parsed = task_name::parse(name);
-    job_record* const of = parsed ? job_of(parsed->job) : nullptr;
-    return {.of = of, .task = of == nullptr ? nullptr : of->find(parsed->at)};
+    job_record* const record = parsed ? job_of(parsed->job) : nullptr;
+    return {.of = record,
+            .task = record == nullptr ? nullptr : record->find(parsed->at)};
 }
 
 // Whether a run that a worker tells of is the newest of its task.
 bool scheduler_core::is_current_run(const job_task* task, std::int64_t run,
-                                    const worker_record& at)
+                                    const worker_record& worker)
 {
     return task != nullptr && task->run && task->run->number == run &&
-           task->run->guard == at.guard &&
-           task->run->executor == at.description.executor;
+           task->run->guard == worker.guard &&
+           task->run->executor == worker.description.executor;
 }
 
 const job_record* scheduler_core::find(const std::string& id) const
@@ -147,14 +149,14 @@
     return found == jobs_.end() ? nullptr : found->second.get();
 }
 
-void scheduler_core::mark_changed(job_record& of, time_point now)
+void scheduler_core::mark_changed(job_record& record, time_point now)
 {
-    const std::string& id = of.definition().id;
+    const std::string& id = record.definition().id;
     may_place_ = true;
     placeable_jobs_.insert(id);
-    if (of.change > of.committed_change && is_dirty_.insert(id).second)
+    if (record.change > record.committed_change && is_dirty_.insert(id).second)
     {
-        of.uncommitted_since = now;
+        record.uncommitted_since = now;
         dirty_.push_back(id);
     }
 }
@@ -168,19 +170,19 @@
     std::vector<addressed_orders> out;
     for (auto& [guard, orders] : outbox_)
     {
-        const auto at = workers_.find(guard);
-        if (at == workers_.end() || orders.empty())
+        const auto found = workers_.find(guard);
+        if (found == workers_.end() || orders.empty())
         {
             continue;
         }
         orders.epoch = epoch_;
-        orders.executor = at->second.description.executor;
-        orders.incarnation = at->second.incarnation;
-        orders.acknowledged = at->second.acknowledged;
-        orders.starts_until_ms = starts_until_ms(at->second);
-        orders.closed = at->second.closed;
+        orders.executor = found->second.description.executor;
+        orders.incarnation = found->second.incarnation;
+        orders.acknowledged = found->second.acknowledged;
+        orders.starts_until_ms = starts_until_ms(found->second);
+        orders.closed = found->second.closed;
         out.push_back({.guard = guard,
-                       .address = at->second.address,
+                       .address = found->second.address,
                        .orders = std::move(orders)});
     }
     outbox_.clear();
@@ -193,23 +195,23 @@
 
 std::optional<job_state> scheduler_core::shown(const std::string& id,
                                                time_point now,
-                                               time_point verified) const
+                                               time_point verified_at) const
 {
-    const job_record* const of = find(id);
-    if (of == nullptr || !begun_)
+    const job_record* const record = find(id);
+    if (record == nullptr || !begun_)
     {
         return std::nullopt;
     }
-    if (is_final(of->shown))
+    if (is_final(record->shown))
     {
-        return of->shown;
+        return record->shown;
     }
     // An end that the store may have is shown by whoever reads it there.
-    if (is_final(of->sent) || now - verified > options_.max_read_age)
+    if (is_final(record->sent) || now - verified_at > options_.max_read_age)
     {
         return std::nullopt;
     }
-    return of->begun ? job_state::running : of->shown;
+    return record->begun ? job_state::running : record->shown;
 }
 
 std::int64_t scheduler_core::waiting(const std::string& queue) const
@@ -217,9 +219,9 @@
     return std::count_if(jobs_.begin(), jobs_.end(),
                          [&](const auto& entry)
                          {
-                             const job_record& of = *entry.second;
-                             return of.definition().queue == queue &&
-                                    !of.begun && !is_final(of.state());
+                             const job_record& record = *entry.second;
+                             return record.definition().queue == queue &&
+                                    !record.begun && !is_final(record.state());
                          });
 }
 
@@ -263,19 +265,21 @@
     {
         return;
     }
-    for (auto& [guard, at] : workers_)
+    for (auto& [guard, worker] : workers_)
     {
-        if (now >= at.lease_ends && !at.assigned_tasks.empty())
+        if (now >= worker.lease_ends && !worker.assigned_tasks.empty())
         {
-            lose_worker(at, at.assigned_tasks, end_proof::lease_bound_passed(),
-                        now);
+            lose_worker(worker, worker.assigned_tasks,
+                        end_proof::lease_bound_passed(), now);
         }
     }
-    const duration reach = options_.lease_horizon +
-                           from_seconds(to_seconds(options_.lease_horizon) *
-                                        options_.clock_drift) +
-                           options_.lease_slack;
-    if (!inherited_runs_.empty() && now - term_started_at_ > reach)
+    const duration max_inherited_lease =
+        options_.lease_horizon +
+        from_seconds(to_seconds(options_.lease_horizon) *
+                     options_.clock_drift) +
+        options_.lease_slack;
+    if (!inherited_runs_.empty() &&
+        now - term_started_at_ > max_inherited_lease)
     {
         for (const auto& [guard, tasks] : std::exchange(inherited_runs_, {}))
         {
--- a/packages/scheduler/src/scheduler_diagnostics.cpp
+++ b/packages/scheduler/src/scheduler_diagnostics.cpp
@@ -19,32 +19,33 @@
 } // namespace
 
 void scheduler_core::log_wait(const placement_query& query,
-                              const job_record& of, const job_task& first,
-                              std::optional<wait_cause> known)
+                              const job_record& record, const job_task& task,
+                              std::optional<wait_cause> known_cause)
 {
-    const duration waited = query.now - first.ready_since;
+    const duration waited = query.now - task.ready_since;
     if (waited < options_.wait_log_threshold ||
         !waits_.is_due(query.group, query.now, options_.min_log_interval))
     {
         return;
     }
-    const task_position at = of.position_of(first);
-    const auto tasks = of.tasks_of(at.round, at.step);
+    const task_position position = record.position_of(task);
+    const auto tasks = record.tasks_of(position.round, position.step);
     const auto waiting = std::ranges::count_if(tasks, &job_task::is_waiting);
-    const wait_report found = explain_wait(workers_, query, options_.placement);
+    const wait_report report =
+        explain_wait(workers_, query, options_.placement);
     log_decision(
         event_id::tasks_wait,
-        {{"job", of.definition().id},
-         {"queue", of.definition().queue},
-         {"step", std::to_string(at.step)},
+        {{"job", record.definition().id},
+         {"queue", record.definition().queue},
+         {"step", std::to_string(position.step)},
          {"tasks", std::to_string(waiting)},
          {"waited_ms", std::to_string(to_milliseconds(waited))},
-         {"why", std::string(to_string(known.value_or(found.cause)))},
+         {"why", std::string(to_string(known_cause.value_or(report.cause)))},
          {"cpu_millis", std::to_string(query.step.demand.cpu_millis)},
          {"memory_mb", std::to_string(query.step.demand.memory_mb)},
-         {"workers", std::to_string(found.workers)},
-         {"free_millis", std::to_string(found.free_millis)},
-         {"free_in_time_millis", std::to_string(found.free_in_time_millis)}});
+         {"workers", std::to_string(report.workers)},
+         {"free_millis", std::to_string(report.free_millis)},
+         {"free_in_time_millis", std::to_string(report.free_in_time_millis)}});
 }
 
 void scheduler_core::watch_service(time_point now)
@@ -65,13 +66,13 @@
 void scheduler_core::sample_jobs()
 {
     std::vector<availability_counts> samples;
-    for (const auto& [id, of] : jobs_)
+    for (const auto& [id, record] : jobs_)
     {
-        if (is_final(of->state()))
+        if (is_final(record->state()))
         {
             continue;
         }
-        const availability_counts sample = sample_service(*of);
+        const availability_counts sample = sample_service(*record);
         if (sample.tasks > 0)
         {
             service_[id] += sample;
@@ -95,22 +96,23 @@
 
 void scheduler_core::log_service()
 {
-    for (const auto& [id, account] : std::exchange(service_, {}))
+    for (const auto& [id, counts] : std::exchange(service_, {}))
     {
-        if (account.is_whole())
+        if (counts.is_whole())
         {
             continue;
         }
-        const job_record& of = *job_of(id);
+        const job_record& record = *job_of(id);
         log_decision(
             event_id::job_service,
             {{"job", id},
-             {"queue", of.definition().queue},
-             {"tasks", std::to_string(of.tasks().size())},
-             {"cpu_millis", std::to_string(sample_service(of).reserved_millis)},
-             {"at_work", percent(account.at_work, account.tasks)},
-             {"over_target", percent(account.over_target, account.tasks)},
-             {"unplaced", percent(account.unplaced, account.tasks)}});
+             {"queue", record.definition().queue},
+             {"tasks", std::to_string(record.tasks().size())},
+             {"cpu_millis",
+              std::to_string(sample_service(record).reserved_millis)},
+             {"at_work", percent(counts.at_work, counts.tasks)},
+             {"over_target", percent(counts.over_target, counts.tasks)},
+             {"unplaced", percent(counts.unplaced, counts.tasks)}});
     }
 }
 
--- a/packages/scheduler/src/scheduler_ends.cpp
+++ b/packages/scheduler/src/scheduler_ends.cpp
@@ -11,21 +11,22 @@
 {
 
 // The tasks of steps that the end of a task has opened wait from now on.
-void begin_waits(job_record& of, const task_position& done, time_point now)
+void mark_opened_tasks_ready(job_record& record, const task_position& done,
+                             time_point now)
 {
-    const auto& steps = of.definition().steps;
+    const auto& steps = record.definition().steps;
     for (std::size_t step = 0; step < steps.size(); ++step)
     {
         const auto& after = steps[step].after;
         const auto number = static_cast<std::int64_t>(step);
-        const bool follows =
+        const bool depends_on_done =
             std::find(after.begin(), after.end(),
                       static_cast<std::size_t>(done.step)) != after.end();
-        if (!follows || !of.is_open(done.round, number))
+        if (!depends_on_done || !record.is_open(done.round, number))
         {
             continue;
         }
-        for (job_task& task : of.tasks_of(done.round, number))
+        for (job_task& task : record.tasks_of(done.round, number))
         {
             task.ready_since = now;
         }
@@ -34,225 +35,232 @@
 
 } // namespace
 
-void scheduler_core::close_run(job_record& of, job_task& task,
-                               const end_proof& over, time_point now)
+void scheduler_core::close_run(job_record& record, job_task& task,
+                               const end_proof& proof, time_point now)
 {
-    const run_end how = over.how();
+    const run_end outcome = proof.how();
     const task_run run = *task.run;
-    const task_position where = of.position_of(task);
-    const job_step& step = of.step_at(where);
-    const auto at = workers_.find(run.guard);
-    if (at != workers_.end())
+    const task_position position = record.position_of(task);
+    const job_step& step = record.step_at(position);
+    const auto found = workers_.find(run.guard);
+    if (found != workers_.end())
     {
-        release(at->second, step, {of.definition().id, where});
-        update_fault_score(at->second, of, run, how, now);
+        release(found->second, step, {record.definition().id, position});
+        update_fault_score(found->second, record, run, outcome, now);
     }
     task.run.reset();
     task.ready_since = now;
-    ++of.change;
-    note_freed(run.guard, of, step);
-    if (!over.checkpoint().empty())
+    ++record.change;
+    note_freed(run.guard, record, step);
+    if (!proof.checkpoint().empty())
     {
-        task.checkpoint = over.checkpoint();
+        task.checkpoint = proof.checkpoint();
     }
-    if (how == run_end::done)
+    if (outcome == run_end::done)
     {
         task.done = true;
     }
-    else if (how == run_end::failed)
+    else if (outcome == run_end::failed)
     {
-        count_failure(of, task, run, now);
+        count_failure(record, task, run, now);
     }
-    else if (how == run_end::lost)
+    else if (outcome == run_end::lost)
     {
         ++counts_.lost;
     }
     if (step.gang)
     {
-        close_gang(of, where, how, now);
+        close_gang(record, position, outcome, now);
     }
-    if (how == run_end::done)
+    if (outcome == run_end::done)
     {
-        begin_waits(of, where, now);
+        mark_opened_tasks_ready(record, position, now);
     }
-    finish_if_done(of, now);
-    mark_changed(of, now);
+    finish_if_done(record, now);
+    mark_changed(record, now);
 }
 
 // Members end together: one done stands for all, any other end brings the
 // rest down before the gang may run again.
-void scheduler_core::close_gang(job_record& of, const task_position& at,
-                                run_end how, time_point now)
+void scheduler_core::close_gang(job_record& record,
+                                const task_position& position, run_end outcome,
+                                time_point now)
 {
-    job_task& closed = *of.find(at);
-    for (job_task& member : of.tasks_of(at.round, at.step))
+    job_task& ended = *record.find(position);
+    for (job_task& member : record.tasks_of(position.round, position.step))
     {
-        if (&member == &closed)
+        if (&member == &ended)
         {
             continue;
         }
-        member.checkpoint = closed.checkpoint;
-        if (how == run_end::failed)
+        member.checkpoint = ended.checkpoint;
+        if (outcome == run_end::failed)
         {
-            member.failures = std::max(member.failures, closed.failures);
+            member.failures = std::max(member.failures, ended.failures);
         }
-        if (how == run_end::done)
+        if (outcome == run_end::done)
         {
             member.done = true;
         }
         else if (member.run && !member.run->stopping)
         {
-            const task_name name{of.definition().id, of.position_of(member)};
+            const task_name name{record.definition().id,
+                                 record.position_of(member)};
             order_stop(*member.run, name.text(), outbox_[member.run->guard]);
         }
         member.ready_since = now;
     }
 }
 
-void scheduler_core::count_failure(job_record& of, job_task& task,
+void scheduler_core::count_failure(job_record& record, job_task& task,
                                    const task_run& run, time_point now)
 {
     ++counts_.failed_runs;
     ++task.failures;
     task.avoided.insert(run.guard);
-    const job_step& step = of.step_at(of.position_of(task));
-    const queue_row* const queue = table_.queue(of.definition().queue);
+    const job_step& step = record.step_at(record.position_of(task));
+    const queue_row* const queue = table_.queue(record.definition().queue);
     const bool exhausted = !step.lasting && queue != nullptr &&
                            task.failures >= queue->most_attempts;
     if (!exhausted)
     {
         return;
     }
-    fail(of, task, now,
+    fail(record, task, now,
          {{"failures", std::to_string(task.failures)},
           {"most_attempts", std::to_string(queue->most_attempts)},
           {"table_version", std::to_string(table_.version)}});
 }
 
 // One task of a job can not be done: the others stop.
-void scheduler_core::fail(job_record& of, const job_task& task, time_point now,
-                          std::vector<event_field> why)
+void scheduler_core::fail(job_record& record, const job_task& task,
+                          time_point now, std::vector<event_field> fields)
 {
-    if (is_final(of.state()))
+    if (is_final(record.state()))
     {
         return;
     }
-    why.insert(
-        why.begin(),
-        {"task", task_name{of.definition().id, of.position_of(task)}.text()});
-    finish(of, job_state::failed, now, std::move(why));
-    stop_all(of);
+    fields.insert(
+        fields.begin(),
+        {"task",
+         task_name{record.definition().id, record.position_of(task)}.text()});
+    finish(record, job_state::failed, now, std::move(fields));
+    stop_all(record);
 }
 
 // Whether an end says something of the worker. A task that has failed on
 // several workers says nothing about any of them, nor does a job that fails
 // again; what began before the worker was put out has been judged by that.
-bool scheduler_core::is_evidence_of_fault(const worker_record& at,
-                                          const job_record& of,
-                                          const task_run& run, run_end how)
+bool scheduler_core::is_evidence_of_fault(const worker_record& worker,
+                                          const job_record& record,
+                                          const task_run& run, run_end outcome)
 {
-    if (run.ordered_at < at.ejected_until)
+    if (run.ordered_at < worker.ejected_until)
     {
         return false;
     }
-    if (how != run_end::failed)
+    if (outcome != run_end::failed)
     {
-        return how == run_end::done;
+        return outcome == run_end::done;
     }
-    const bool elsewhere = std::ranges::any_of(
-        of.tasks(), [&](const job_task& task)
-        { return task.avoided.size() > task.avoided.count(at.guard); });
-    return at.failed_job != of.definition().id && !elsewhere;
+    const bool failed_elsewhere = std::ranges::any_of(
+        record.tasks(), [&](const job_task& task)
+        { return task.avoided.size() > task.avoided.count(worker.guard); });
+    return worker.failed_job != record.definition().id && !failed_elsewhere;
 }
 
 // A worker that fails what it starts gets no work for a while.
-void scheduler_core::update_fault_score(worker_record& at, const job_record& of,
-                                        const task_run& run, run_end how,
+void scheduler_core::update_fault_score(worker_record& worker,
+                                        const job_record& record,
+                                        const task_run& run, run_end outcome,
                                         time_point now)
 {
-    if (!is_evidence_of_fault(at, of, run, how))
+    if (!is_evidence_of_fault(worker, record, run, outcome))
     {
         return;
     }
-    const bool failed = how == run_end::failed;
-    at.fault_score = failures_.fault_score_after(at.fault_score, failed);
-    at.failed_job = failed ? of.definition().id : at.failed_job;
-    if (at.fault_score == 0)
+    const bool failed = outcome == run_end::failed;
+    worker.fault_score =
+        failures_.fault_score_after(worker.fault_score, failed);
+    worker.failed_job = failed ? record.definition().id : worker.failed_job;
+    if (worker.fault_score == 0)
     {
-        at.ejections = 0;
-        at.failed_job.clear();
+        worker.ejections = 0;
+        worker.failed_job.clear();
     }
-    if (!failures_.is_faulty(at.fault_score))
+    if (!failures_.is_faulty(worker.fault_score))
     {
         return;
     }
-    const duration pause = std::min(
+    const duration ejection = std::min(
         options_.max_ejection,
         options_.min_ejection *
-            (std::int64_t{1} << std::min<std::int64_t>(at.ejections, 4)));
-    at.ejected_until = now + pause;
-    ++at.ejections;
+            (std::int64_t{1} << std::min<std::int64_t>(worker.ejections, 4)));
+    worker.ejected_until = now + ejection;
+    ++worker.ejections;
     log_decision(
         event_id::worker_ejected,
-        {{"guard", at.guard},
-         {"life", at.description.executor.text()},
-         {"for_ms", std::to_string(to_milliseconds(pause))},
+        {{"guard", worker.guard},
+         {"life", worker.description.executor.text()},
+         {"for_ms", std::to_string(to_milliseconds(ejection))},
          {"fleet_fails_percent",
           std::to_string(static_cast<int>(full_percent * failures_.share()))}});
-    at.fault_score = failures_.fault_score_at_return();
+    worker.fault_score = failures_.fault_score_at_return();
 }
 
-void scheduler_core::finish(job_record& of, job_state state, time_point now,
-                            std::vector<event_field> why)
+void scheduler_core::finish(job_record& record, job_state state, time_point now,
+                            std::vector<event_field> fields)
 {
-    const duration age = now - of.accepted;
-    of.enter(state);
-    of.urgent_commit = true;
-    forget_advice(of);
+    const duration age = now - record.accepted;
+    record.enter(state);
+    record.urgent_commit = true;
+    forget_advice(record);
     finished_.push_back(
-        {.queue = of.definition().queue,
+        {.queue = record.definition().queue,
          .state = state,
          .age = age,
-         .to_start = of.first_start.value_or(now) - of.accepted});
-    why.insert(why.begin(), {{"job", of.definition().id},
-                             {"queue", of.definition().queue},
-                             {"state", std::string(to_string(state))},
-                             {"age_ms", std::to_string(to_milliseconds(age))}});
-    log_decision(event_id::job_ended, std::move(why));
+         .to_start = record.first_start.value_or(now) - record.accepted});
+    fields.insert(fields.begin(),
+                  {{"job", record.definition().id},
+                   {"queue", record.definition().queue},
+                   {"state", std::string(to_string(state))},
+                   {"age_ms", std::to_string(to_milliseconds(age))}});
+    log_decision(event_id::job_ended, std::move(fields));
 }
 
-void scheduler_core::forget_advice(const job_record& of)
+void scheduler_core::forget_advice(const job_record& record)
 {
-    const auto steps = static_cast<std::int64_t>(of.definition().steps.size());
-    for (std::int64_t round = 0; round < of.definition().rounds(); ++round)
+    const auto steps =
+        static_cast<std::int64_t>(record.definition().steps.size());
+    for (std::int64_t round = 0; round < record.definition().rounds(); ++round)
     {
         for (std::int64_t step = 0; step < steps; ++step)
         {
-            advice_.forget(
-                step_group(of.definition().id, {.round = round, .step = step}));
+            advice_.forget(step_group(record.definition().id,
+                                      {.round = round, .step = step}));
         }
     }
 }
 
-void scheduler_core::finish_if_done(job_record& of, time_point now)
+void scheduler_core::finish_if_done(job_record& record, time_point now)
 {
-    if (is_final(of.state()) || !of.all_done())
+    if (is_final(record.state()) || !record.all_done())
     {
         return;
     }
-    finish(of, job_state::succeeded, now, {});
-    mark_changed(of, now);
+    finish(record, job_state::succeeded, now, {});
+    mark_changed(record, now);
 }
 
-void scheduler_core::stop_all(job_record& of)
+void scheduler_core::stop_all(job_record& record)
 {
-    for (job_task& task : of.tasks())
+    for (job_task& task : record.tasks())
     {
         if (!task.run || task.run->stopping)
         {
             continue;
         }
-        const task_name name{of.definition().id, of.position_of(task)};
+        const task_name name{record.definition().id, record.position_of(task)};
         order_stop(*task.run, name.text(), outbox_[task.run->guard]);
     }
 }
--- a/packages/scheduler/src/scheduler_learning.cpp
+++ b/packages/scheduler/src/scheduler_learning.cpp
@@ -9,62 +9,64 @@
 
 // Each report shows serving tasks' tails beside the fills that worked at the
 // same time.
-void scheduler_core::learn_interference(worker_record& at,
-                                        const worker_report& from,
+void scheduler_core::learn_interference(worker_record& worker,
+                                        const worker_report& report,
                                         time_point now)
 {
-    if (now - at.learnt < options_.sample_interval)
+    if (now - worker.learnt < options_.sample_interval)
     {
         return;
     }
-    at.learnt = now;
-    fill_usage beside;
+    worker.learnt = now;
+    fill_usage fill_use;
     std::vector<serving_figure> figures;
-    for (const running_task& row : from.running)
+    for (const running_task& running : report.running)
     {
-        const auto name = task_name::parse(row.task);
-        const job_record* const of = name ? find(name->job) : nullptr;
-        if (of == nullptr)
+        const auto name = task_name::parse(running.task);
+        const job_record* const record = name ? find(name->job) : nullptr;
+        if (record == nullptr)
         {
             continue;
         }
-        const job_step& step = of->step_at(name->at);
+        const job_step& step = record->step_at(name->at);
         if (step.fills)
         {
-            beside[step.image] += static_cast<double>(row.load) /
-                                  static_cast<double>(std::max<std::int64_t>(
-                                      at.description.capacity.cpu_millis, 1));
+            fill_use[step.image] +=
+                static_cast<double>(running.load) /
+                static_cast<double>(std::max<std::int64_t>(
+                    worker.description.capacity.cpu_millis, 1));
         }
-        else if (step.latency_target_ms > 0 && row.load > 0)
+        else if (step.latency_target_ms > 0 && running.load > 0)
         {
             figures.push_back(
-                {.task = row.task,
+                {.task = running.task,
                  .job = name->job,
                  .image = step.image,
                  .headroom = static_cast<double>(step.latency_target_ms) /
-                             static_cast<double>(row.load)});
+                             static_cast<double>(running.load)});
         }
     }
-    at.headroom_alone.clear();
-    for (const serving_figure& one : figures)
+    worker.headroom_alone.clear();
+    for (const serving_figure& figure : figures)
     {
-        interference_model_.observe(one, beside, now);
-        const double alone = one.headroom + interference_model_.interference_of(
-                                                one.image, beside);
-        const auto [found, fresh] =
-            at.headroom_alone.try_emplace(one.image, alone);
+        interference_model_.observe(figure, fill_use, now);
+        const double alone =
+            figure.headroom +
+            interference_model_.interference_of(figure.image, fill_use);
+        const auto [found, is_new] =
+            worker.headroom_alone.try_emplace(figure.image, alone);
         found->second = std::min(found->second, alone);
     }
-    at.filling = std::move(beside);
+    worker.filling = std::move(fill_use);
 }
 
 std::vector<pair_interference>
-scheduler_core::interference_at(const worker_record& at) const
+scheduler_core::interference_at(const worker_record& worker) const
 {
     std::vector<pair_interference> out;
-    for (const auto& [serving, alone] : at.headroom_alone)
+    for (const auto& [serving, alone] : worker.headroom_alone)
     {
-        for (const auto& [filling, use] : at.filling)
+        for (const auto& [filling, use] : worker.filling)
         {
             const double harm = interference_model_.harm(serving, filling);
             if (harm >= options_.min_reported_interference)
--- a/packages/scheduler/src/scheduler_losses.cpp
+++ b/packages/scheduler/src/scheduler_losses.cpp
@@ -9,51 +9,52 @@
 
 // Another life of the executor: all that ran there is gone, but for what the
 // same executor has taken in its next life.
-void scheduler_core::on_executor_restart(worker_record& at,
-                                         const worker_report& from,
+void scheduler_core::on_executor_restart(worker_record& worker,
+                                         const worker_report& report,
                                          time_point now)
 {
-    if (at.description.executor.empty() ||
-        at.description.executor == from.worker.executor)
+    if (worker.description.executor.empty() ||
+        worker.description.executor == report.worker.executor)
     {
         return;
     }
-    if (at.description.executor.may_be(from.worker.executor))
+    if (worker.description.executor.may_be(report.worker.executor))
     {
-        for (const task_name& name : at.assigned_tasks)
+        for (const task_name& name : worker.assigned_tasks)
         {
-            rebind_run(name, from.worker.executor, now);
+            rebind_run(name, report.worker.executor, now);
         }
         return;
     }
     const bool is_witnessed =
-        at.witness == from.incarnation ||
-        std::ranges::find(from.former, at.description.executor,
-                          &past_incarnation::executor) != from.former.end();
-    auto suspects =
-        is_witnessed ? std::map<task_name, std::int64_t>{} : unproven_runs(at);
-    const runs_after_restart runs = after_restart(at.assigned_tasks, from);
+        worker.witness == report.incarnation ||
+        std::ranges::find(report.former, worker.description.executor,
+                          &past_incarnation::executor) != report.former.end();
+    auto suspects = is_witnessed ? std::map<task_name, std::int64_t>{}
+                                 : unproven_runs(worker);
+    const runs_after_restart runs =
+        after_restart(worker.assigned_tasks, report);
     for (const task_name& name : runs.taken)
     {
         suspects.erase(name);
     }
-    lose_worker(at, runs.over, end_proof::incarnation_ended(), now);
-    outbox_.erase(at.guard); // meant for the life before
-    follow_restart(at, runs, from.worker.executor, now);
-    suspect_unwitnessed(at, suspects, now);
-    at.previously_lost_at = at.lost_at;
-    at.noted = 0;
-    at.acknowledged = 0;
-    at.uncommitted_ends.clear();
-    at.fault_score = 0;
-    at.ejections = 0;
-    at.ejected_until = {};
+    lose_worker(worker, runs.over, end_proof::incarnation_ended(), now);
+    outbox_.erase(worker.guard); // meant for the life before
+    follow_restart(worker, runs, report.worker.executor, now);
+    suspect_unwitnessed(worker, suspects, now);
+    worker.previously_lost_at = worker.lost_at;
+    worker.noted = 0;
+    worker.acknowledged = 0;
+    worker.uncommitted_ends.clear();
+    worker.fault_score = 0;
+    worker.ejections = 0;
+    worker.ejected_until = {};
 }
 
 // What has become of runs of a life that is over, by a whole look at the next.
 scheduler_core::runs_after_restart
 scheduler_core::after_restart(const std::set<task_name>& runs,
-                              const worker_report& from)
+                              const worker_report& report)
 {
     runs_after_restart out;
     for (const task_name& name : runs)
@@ -61,12 +62,12 @@
         const task_run& run = *job_of(name.job)->find(name.at)->run;
         const std::string text = name.text();
         const bool is_same_executor =
-            run.executor.id == from.worker.executor.id;
-        const bool guard_knows = run.told_incarnation == from.incarnation;
-        const bool is_taken = lists_running(from, text, run.number) ||
-                              lists_end(from, text, run.number);
+            run.executor.id == report.worker.executor.id;
+        const bool guard_knows = run.told_incarnation == report.incarnation;
+        const bool is_taken = lists_running(report, text, run.number) ||
+                              lists_end(report, text, run.number);
         const bool is_open =
-            std::ranges::find(from.starting, text) != from.starting.end() ||
+            std::ranges::find(report.starting, text) != report.starting.end() ||
             !guard_knows;
         if (!is_same_executor || !run.ordered)
         {
@@ -87,7 +88,7 @@
 // Calls name their executor by its id alone, so a start can reach the next
 // life. What is listed there is that run; what nobody can tell of is stopped
 // there first: lost at once, it began later beside the next run of its task.
-void scheduler_core::follow_restart(worker_record& at,
+void scheduler_core::follow_restart(worker_record& worker,
                                     const runs_after_restart& runs,
                                     const executor_incarnation& next,
                                     time_point now)
@@ -100,7 +101,7 @@
     {
         rebind_run(name, next, now);
         task_run& run = *job_of(name.job)->find(name.at)->run;
-        order_stop(run, name.text(), outbox_[at.guard]);
+        order_stop(run, name.text(), outbox_[worker.guard]);
     }
 }
 
@@ -108,29 +109,29 @@
                                 const executor_incarnation& executor,
                                 time_point now)
 {
-    job_record& of = *job_of(name.job);
-    task_run& run = *of.find(name.at)->run;
+    job_record& record = *job_of(name.job);
+    task_run& run = *record.find(name.at)->run;
     run.executor = executor;
     run.seen = false;
     run.last_progress_at = now;
-    ++of.change;
-    of.urgent_commit = true;
-    mark_changed(of, now);
+    ++record.change;
+    record.urgent_commit = true;
+    mark_changed(record, now);
 }
 
 // Whether the loss of a run says nothing new of its task.
-bool scheduler_core::is_judged(const job_record& of, const job_task& task,
+bool scheduler_core::is_judged(const job_record& record, const job_task& task,
                                std::int64_t run)
 {
-    return is_final(of.state()) || task.done || run <= task.judged_run;
+    return is_final(record.state()) || task.done || run <= task.judged_run;
 }
 
 // Runs, by their task, that may have been at their start just now.
 std::map<task_name, std::int64_t>
-scheduler_core::unproven_runs(const worker_record& at)
+scheduler_core::unproven_runs(const worker_record& worker)
 {
     std::map<task_name, std::int64_t> runs;
-    for (const task_name& name : at.assigned_tasks)
+    for (const task_name& name : worker.assigned_tasks)
     {
         const task_run& run = *job_of(name.job)->find(name.at)->run;
         if (is_likely_cause({.at_work = shown_at_work(run)},
@@ -147,161 +148,166 @@
 // as if the whole rack had gone, and never as a crash that is sure. Without it,
 // a task whose first two crashes nobody saw was started six times.
 void scheduler_core::suspect_unwitnessed(
-    const worker_record& at, const std::map<task_name, std::int64_t>& runs,
+    const worker_record& worker, const std::map<task_name, std::int64_t>& runs,
     time_point now)
 {
     for (const auto& [name, run] : runs)
     {
-        job_record& of = *job_of(name.job);
-        const job_task& task = *of.find(name.at);
-        if (is_judged(of, task, run))
+        job_record& record = *job_of(name.job);
+        const job_task& task = *record.find(name.at);
+        if (is_judged(record, task, run))
         {
             continue;
         }
         const std::int64_t added = added_suspicion(
             {.suspicion = task.suspicion, .scope = crash_scope::rack},
             options_.suspicion);
-        suspect(at, name, {.run = run, .added = added}, crash_scope::rack, now);
+        suspect(worker, name, {.run = run, .added = added}, crash_scope::rack,
+                now);
     }
 }
 
 // When the executor of a former life went, as far as it is known.
-time_point scheduler_core::end_of(const past_incarnation& over,
-                                  const worker_record& at,
-                                  const worker_report& from, time_point now)
+time_point scheduler_core::end_of(const past_incarnation& past,
+                                  const worker_record& worker,
+                                  const worker_report& report, time_point now)
 {
-    if (over.lost_ms > 0)
+    if (past.lost_ms > 0)
     {
-        return now - std::chrono::milliseconds(from.sent_ms - over.lost_ms);
+        return now - std::chrono::milliseconds(report.sent_ms - past.lost_ms);
     }
-    return at.previously_lost_at == time_point{} ? now : at.previously_lost_at;
+    return worker.previously_lost_at == time_point{}
+               ? now
+               : worker.previously_lost_at;
 }
 
 // Whether half of the executors of its rack went at the same moment. Others
 // that are away for reasons of their own say nothing: with them, a few tasks
 // that crash executors hid one another.
-bool scheduler_core::went_with_its_rack(const worker_record& at,
+bool scheduler_core::went_with_its_rack(const worker_record& worker,
                                         time_point now) const
 {
-    if (at.description.rack.empty())
+    if (worker.description.rack.empty())
     {
         return false; // nobody said what it shares with others
     }
-    const auto is_together = [&](time_point other)
+    const auto is_simultaneous = [&](time_point other)
     {
         return other != time_point{} &&
-               std::chrono::abs(other - at.previously_lost_at) <=
+               std::chrono::abs(other - worker.previously_lost_at) <=
                    options_.suspicion.same_fault;
     };
-    std::size_t all = 0;
-    std::size_t gone = 0;
+    std::size_t total = 0;
+    std::size_t lost = 0;
     for (const auto& [guard, other] : workers_)
     {
-        if (other.description.rack != at.description.rack)
+        if (other.description.rack != worker.description.rack)
         {
             continue;
         }
-        ++all;
-        const bool away = !other.answering ||
-                          now - other.reported >= options_.placement.report_age;
-        const bool went = is_together(other.previously_lost_at) ||
-                          (away && is_together(other.lost_at));
-        gone += &other == &at || went ? 1 : 0;
+        ++total;
+        const bool is_unavailable =
+            !other.answering ||
+            now - other.reported >= options_.placement.report_age;
+        const bool is_lost = is_simultaneous(other.previously_lost_at) ||
+                             (is_unavailable && is_simultaneous(other.lost_at));
+        lost += &other == &worker || is_lost ? 1 : 0;
     }
-    return gone > 1 && 2 * gone >= all;
+    return lost > 1 && 2 * lost >= total;
 }
 
 // Every lease that a guard asked for has run out. What was seen at work there
 // is over. What was ordered and not seen may still wait in its guard for the
 // worker to answer: it is void only once the permit for it has run out, and a
 // guard gets none for a worker that has lapsed.
-void scheduler_core::lose_lapsed(worker_record& at, const worker_report& from,
-                                 time_point now)
+void scheduler_core::lose_lapsed(worker_record& worker,
+                                 const worker_report& report, time_point now)
 {
-    std::set<task_name> seen;
-    for (const task_name& name : at.assigned_tasks)
+    std::set<task_name> seen_running;
+    for (const task_name& name : worker.assigned_tasks)
     {
         const task_run& run = *job_of(name.job)->find(name.at)->run;
-        if (run.seen || lists_running(from, name.text(), run.number))
+        if (run.seen || lists_running(report, name.text(), run.number))
         {
-            seen.insert(name);
+            seen_running.insert(name);
         }
     }
-    if (!seen.empty())
+    if (!seen_running.empty())
     {
-        lose_worker(at, seen, end_proof::lapsed(), now);
+        lose_worker(worker, seen_running, end_proof::lapsed(), now);
     }
 }
 
-void scheduler_core::lose_worker(worker_record& at,
+void scheduler_core::lose_worker(worker_record& worker,
                                  const std::set<task_name>& runs,
-                                 const end_proof& over, time_point now)
+                                 const end_proof& proof, time_point now)
 {
-    log_decision(
-        event_id::worker_lost,
-        {{"guard", at.guard},
-         {"life", at.description.executor.text()},
-         {"runs", std::to_string(runs.size())},
-         {"report_age_ms", std::to_string(to_milliseconds(now - at.reported))},
-         {"why", over.why()}});
-    lose_runs(std::set<task_name>(runs), over, now);
+    log_decision(event_id::worker_lost,
+                 {{"guard", worker.guard},
+                  {"life", worker.description.executor.text()},
+                  {"runs", std::to_string(runs.size())},
+                  {"report_age_ms",
+                   std::to_string(to_milliseconds(now - worker.reported))},
+                  {"why", proof.why()}});
+    lose_runs(std::set<task_name>(runs), proof, now);
 }
 
 // Runs of an earlier holder: those of this life are entered into the ledger,
 // those of another are gone, unless this one has taken them or may.
-void scheduler_core::adopt_inherited(worker_record& at,
-                                     const worker_report& from, time_point now)
+void scheduler_core::adopt_inherited(worker_record& worker,
+                                     const worker_report& report,
+                                     time_point now)
 {
-    const auto found = inherited_runs_.find(at.guard);
+    const auto found = inherited_runs_.find(worker.guard);
     if (found == inherited_runs_.end())
     {
         return;
     }
     const std::set<task_name> tasks = std::move(found->second);
     inherited_runs_.erase(found);
-    std::set<task_name> former;
+    std::set<task_name> other_incarnation;
     for (const task_name& name : tasks)
     {
         task_run& run = *job_of(name.job)->find(name.at)->run;
         run.ordered = true;
-        if (!run.executor.may_be(at.description.executor))
+        if (!run.executor.may_be(worker.description.executor))
         {
-            former.insert(name);
+            other_incarnation.insert(name);
             continue;
         }
-        run.executor = at.description.executor;
-        adopt_run(at, name, now);
+        run.executor = worker.description.executor;
+        adopt_run(worker, name, now);
     }
-    const runs_after_restart runs = after_restart(former, from);
-    const auto suspects = unwitnessed_runs(runs, from);
-    for (const std::set<task_name>& some : {runs.taken, runs.open})
+    const runs_after_restart runs = after_restart(other_incarnation, report);
+    const auto suspects = unwitnessed_runs(runs, report);
+    for (const std::set<task_name>& names : {runs.taken, runs.open})
     {
-        for (const task_name& name : some)
+        for (const task_name& name : names)
         {
-            adopt_run(at, name, now);
+            adopt_run(worker, name, now);
         }
     }
-    follow_restart(at, runs, at.description.executor, now);
+    follow_restart(worker, runs, worker.description.executor, now);
     lose_runs(runs.over, end_proof::past_incarnation_ended(), now);
-    suspect_unwitnessed(at, suspects, now);
+    suspect_unwitnessed(worker, suspects, now);
 }
 
 // Runs of an earlier holder that went with their executor, or may have, where
 // no guard tells of it.
 std::map<task_name, std::int64_t>
 scheduler_core::unwitnessed_runs(const runs_after_restart& runs,
-                                 const worker_report& from)
+                                 const worker_report& report)
 {
     std::map<task_name, std::int64_t> out;
-    for (const std::set<task_name>& some : {runs.over, runs.open})
+    for (const std::set<task_name>& names : {runs.over, runs.open})
     {
-        for (const task_name& name : some)
+        for (const task_name& name : names)
         {
             const task_run& run = *job_of(name.job)->find(name.at)->run;
             const bool is_witnessed =
-                std::ranges::find(from.former, run.executor,
+                std::ranges::find(report.former, run.executor,
                                   &past_incarnation::executor) !=
-                from.former.end();
+                report.former.end();
             if (!is_witnessed)
             {
                 out.emplace(name, run.number);
@@ -311,30 +317,30 @@
     return out;
 }
 
-void scheduler_core::adopt_run(worker_record& at, const task_name& name,
+void scheduler_core::adopt_run(worker_record& worker, const task_name& name,
                                time_point now)
 {
-    job_record& of = *job_of(name.job);
-    task_run& run = *of.find(name.at)->run;
+    job_record& record = *job_of(name.job);
+    task_run& run = *record.find(name.at)->run;
     run.last_progress_at = now;
     run.ordered_at = now;
-    run.stopping = is_final(of.state());
-    reserve(at, of.step_at(name.at), name);
-    watch_suspect(at, *of.find(name.at), name);
+    run.stopping = is_final(record.state());
+    reserve(worker, record.step_at(name.at), name);
+    watch_suspect(worker, *record.find(name.at), name);
 }
 
 // Until a suspect has proved itself, others go elsewhere if they can; beside
 // one that runs apart nothing else is started.
-void scheduler_core::watch_suspect(worker_record& at, const job_task& task,
+void scheduler_core::watch_suspect(worker_record& worker, const job_task& task,
                                    const task_name& name)
 {
     if (task.suspicion >= suspect_threshold)
     {
-        at.suspects.insert(name);
+        worker.suspects.insert(name);
     }
     if (task.suspicion >= isolation_threshold)
     {
-        at.isolated_suspect = name;
+        worker.isolated_suspect = name;
     }
 }
 
@@ -344,12 +350,12 @@
 }
 
 void scheduler_core::lose_runs(const std::set<task_name>& lost,
-                               const end_proof& over, time_point now)
+                               const end_proof& proof, time_point now)
 {
     for (const task_name& name : lost)
     {
-        job_record& of = *job_of(name.job);
-        job_task& task = *of.find(name.at);
+        job_record& record = *job_of(name.job);
+        job_task& task = *record.find(name.at);
         const task_run& run = *task.run;
         log_decision(
             event_id::run_lost,
@@ -357,10 +363,10 @@
              {"run", std::to_string(run.number)},
              {"guard", run.guard},
              {"life", run.executor.text()},
-             {"why", over.why()},
+             {"why", proof.why()},
              {"shown_ms", std::to_string(to_milliseconds(shown_at_work(run)))},
              {"beside", std::to_string(lost.size() - 1)}});
-        close_run(of, task, over, now);
+        close_run(record, task, proof, now);
     }
 }
 
@@ -369,36 +375,38 @@
 // ---------------------------------------------------------------------------
 
 // Guards repeat what went with a former life; each is judged once.
-void scheduler_core::judge_crashes(worker_record& at, const worker_report& from,
-                                   time_point now)
+void scheduler_core::judge_crashes(worker_record& worker,
+                                   const worker_report& report, time_point now)
 {
-    std::set<executor_incarnation> told;
-    for (const past_incarnation& one : from.former)
+    std::set<executor_incarnation> listed;
+    for (const past_incarnation& past : report.former)
     {
-        told.insert(one.executor);
-        if (at.judged_incarnations.insert(one.executor).second)
+        listed.insert(past.executor);
+        if (worker.judged_incarnations.insert(past.executor).second)
         {
-            at.previously_lost_at = end_of(one, at, from, now);
-            judge_crash(at, one, now);
+            worker.previously_lost_at = end_of(past, worker, report, now);
+            judge_crash(worker, past, now);
         }
     }
-    if (from.whole)
+    if (report.whole)
     {
-        at.judged_incarnations = std::move(told); // the others are told no more
+        worker.judged_incarnations =
+            std::move(listed); // the others are told no more
     }
 }
 
-void scheduler_core::judge_crash(worker_record& at,
-                                 const past_incarnation& over, time_point now)
+void scheduler_core::judge_crash(worker_record& worker,
+                                 const past_incarnation& past, time_point now)
 {
-    const crash_scope scope =
-        went_with_its_rack(at, now) ? crash_scope::rack : crash_scope::executor;
+    const crash_scope scope = went_with_its_rack(worker, now)
+                                  ? crash_scope::rack
+                                  : crash_scope::executor;
     std::map<task_name, crash_count> counts;
-    const unproven_neighbours company = unproven_neighbours_in(over);
-    for (const begun_run& begun : over.begun)
+    const unproven_neighbours neighbours = unproven_neighbours_in(past);
+    for (const begun_run& begun : past.begun)
     {
-        const auto [of, task] = known(begun.task);
-        if (task == nullptr || is_judged(*of, *task, begun.run))
+        const auto [record, task] = known(begun.task);
+        if (task == nullptr || is_judged(*record, *task, begun.run))
         {
             continue;
         }
@@ -407,58 +415,58 @@
                                  std::chrono::milliseconds(begun.at_work_ms),
                              .scope = scope};
         const bool is_suspect = is_unproven_suspect(facts, options_.suspicion);
-        facts.beside_suspect = company.suspects > (is_suspect ? 1 : 0);
-        const task_position where = of->position_of(*task);
-        counts[task_name{of->definition().id, where}] = {
+        facts.beside_suspect = neighbours.suspects > (is_suspect ? 1 : 0);
+        const task_position position = record->position_of(*task);
+        counts[task_name{record->definition().id, position}] = {
             .run = begun.run,
             .added = added_suspicion(facts, options_.suspicion),
-            .is_sole =
-                is_unproven(facts, options_.suspicion) && company.unproven == 1,
+            .is_sole = is_unproven(facts, options_.suspicion) &&
+                       neighbours.unproven == 1,
             .is_sure = begun.is_sure,
-            .is_gang = of->step_at(where).gang};
+            .is_gang = record->step_at(position).gang};
     }
     for (const auto& [name, count] : counts)
     {
         if (count.added > 0)
         {
-            suspect(at, name, count, scope, now);
+            suspect(worker, name, count, scope, now);
         }
     }
 }
 
 // Who may have caused a crash, those of jobs that have ended among them.
 scheduler_core::unproven_neighbours
-scheduler_core::unproven_neighbours_in(const past_incarnation& over)
+scheduler_core::unproven_neighbours_in(const past_incarnation& past)
 {
-    unproven_neighbours company;
-    for (const begun_run& begun : over.begun)
+    unproven_neighbours neighbours;
+    for (const begun_run& begun : past.begun)
     {
         const job_task* const task = known(begun.task).task;
         const lost_run_facts facts{
             .suspicion = task == nullptr ? 0 : task->suspicion,
             .at_work = std::chrono::milliseconds(begun.at_work_ms)};
-        company.unproven += is_unproven(facts, options_.suspicion) ? 1 : 0;
-        company.suspects +=
+        neighbours.unproven += is_unproven(facts, options_.suspicion) ? 1 : 0;
+        neighbours.suspects +=
             is_unproven_suspect(facts, options_.suspicion) ? 1 : 0;
     }
-    return company;
+    return neighbours;
 }
 
-void scheduler_core::suspect(const worker_record& at, const task_name& name,
+void scheduler_core::suspect(const worker_record& worker, const task_name& name,
                              const crash_count& count, crash_scope scope,
                              time_point now)
 {
-    job_record& of = *job_of(name.job);
-    job_task& task = *of.find(name.at);
+    job_record& record = *job_of(name.job);
+    job_task& task = *record.find(name.at);
     task.suspicion += count.added;
     task.crashes += count.is_sure ? 1 : 0;
     ++task.losses;
     task.judged_run = count.run;
-    ++of.change;
+    ++record.change;
     log_decision(event_id::task_suspected,
                  {{"task", name.text()},
                   {"run", std::to_string(count.run)},
-                  {"guard", at.guard},
+                  {"guard", worker.guard},
                   {"scope", scope == crash_scope::rack ? "rack" : "executor"},
                   {"sole", count.is_sole ? "yes" : "no"},
                   {"crashes", std::to_string(task.crashes)},
@@ -466,7 +474,7 @@
     if (task.suspicion >= suspect_threshold)
     {
         task.departed =
-            departed_worker{.guard = at.guard,
+            departed_worker{.guard = worker.guard,
                             .until = now + options_.suspicion.return_backoff};
     }
     if (task.suspicion >= four_crashes)
@@ -480,24 +488,24 @@
                      .is_sure = count.is_sure}))
     {
         // It takes more from others than its job is worth.
-        fail(of, task, now,
+        fail(record, task, now,
              {{"why", "it crashes the executors that start it"},
               {"crashes", std::to_string(task.crashes)},
               {"suspicion", std::to_string(task.suspicion)}});
     }
-    mark_changed(of, now);
+    mark_changed(record, now);
 }
 
 // A run that goes on well speaks for its task.
-void scheduler_core::note_soundness(worker_record& at, job_task& task,
+void scheduler_core::note_soundness(worker_record& worker, job_task& task,
                                     const task_name& name)
 {
     const duration at_work = shown_at_work(*task.run);
     if (at_work >= proof_time(task.suspicion, options_.suspicion) &&
-        at.unproven.contains(name))
+        worker.unproven.contains(name))
     {
-        may_place_ = may_place_ || at.isolated_suspect == name;
-        end_isolation(at, name);
+        may_place_ = may_place_ || worker.isolated_suspect == name;
+        end_isolation(worker, name);
     }
     if (at_work >= options_.suspicion.sound_after)
     {
--- a/packages/scheduler/src/scheduler_moves.cpp
+++ b/packages/scheduler/src/scheduler_moves.cpp
@@ -7,20 +7,20 @@
 
 // Fills that stand in the way here may be welcome elsewhere. Only runs that
 // lose nothing by a stop move.
-void scheduler_core::relocate_slowed(worker_record& at,
-                                     const worker_report& from,
+void scheduler_core::relocate_slowed(worker_record& worker,
+                                     const worker_report& report,
                                      guard_orders& out, time_point now)
 {
-    std::size_t moves = 0;
-    for (const auto& [image, pace] : from.paces)
+    std::size_t relocated = 0;
+    for (const auto& [image, pace] : report.paces)
     {
         if (pace >= options_.relocate_below_pace)
         {
             continue;
         }
-        for (const task_name& name : at.assigned_tasks)
+        for (const task_name& name : worker.assigned_tasks)
         {
-            if (moves >= options_.max_relocations_per_report)
+            if (relocated >= options_.max_relocations_per_report)
             {
                 return;
             }
@@ -28,57 +28,57 @@
             {
                 continue;
             }
-            if (!is_welcome_elsewhere(name, at, now))
+            if (!is_welcome_elsewhere(name, worker, now))
             {
                 break; // its siblings find no worker either
             }
-            ++moves;
-            relocate(name, at, pace, out, now);
+            ++relocated;
+            relocate(name, worker, pace, out, now);
         }
     }
 }
 
 bool scheduler_core::may_move(const task_name& name, const std::string& image)
 {
-    job_record& of = *job_of(name.job);
-    const job_step& step = of.step_at(name.at);
-    const task_run& run = *of.find(name.at)->run;
-    const queue_row* const queue = table_.queue(of.definition().queue);
+    job_record& record = *job_of(name.job);
+    const job_step& step = record.step_at(name.at);
+    const task_run& run = *record.find(name.at)->run;
+    const queue_row* const queue = table_.queue(record.definition().queue);
     return step.fills && step.checkpoints && step.image == image && run.seen &&
            !run.stopping && queue != nullptr && !queue->advice;
 }
 
 bool scheduler_core::is_welcome_elsewhere(const task_name& name,
-                                          const worker_record& at,
+                                          const worker_record& worker,
                                           time_point now)
 {
-    const job_record& of = *job_of(name.job);
+    const job_record& record = *job_of(name.job);
     const std::string group = step_group(name.job, name.at);
-    const std::set<std::string> here{at.guard};
-    const worker_record* const other =
-        choose_worker(workers_,
-                      {.step = of.step_at(name.at),
-                       .service = table_.queue(of.definition().queue)->service,
-                       .group = group,
-                       .avoided = here,
-                       .harm = interference_model_,
-                       .now = now},
-                      options_.placement);
-    return other != nullptr && other != &at;
+    const std::set<std::string> current_guard{worker.guard};
+    const worker_record* const other = choose_worker(
+        workers_,
+        {.step = record.step_at(name.at),
+         .service = table_.queue(record.definition().queue)->service,
+         .group = group,
+         .avoided = current_guard,
+         .harm = interference_model_,
+         .now = now},
+        options_.placement);
+    return other != nullptr && other != &worker;
 }
 
-void scheduler_core::relocate(const task_name& name, const worker_record& at,
-                              std::int64_t pace, guard_orders& out,
-                              time_point now)
+void scheduler_core::relocate(const task_name& name,
+                              const worker_record& worker, std::int64_t pace,
+                              guard_orders& out, time_point now)
 {
     job_task& task = *job_of(name.job)->find(name.at);
     order_stop(*task.run, name.text(), out);
-    task.departed = departed_worker{.guard = at.guard,
+    task.departed = departed_worker{.guard = worker.guard,
                                     .until = now + options_.return_backoff};
     log_decision(event_id::run_moved,
                  {{"task", name.text()},
                   {"run", std::to_string(task.run->number)},
-                  {"guard", at.guard},
+                  {"guard", worker.guard},
                   {"pace", std::to_string(pace)}});
 }
 
@@ -86,11 +86,12 @@
 // them, though others have room. Where shorter runs will free none in time, one
 // lasting run after the other goes elsewhere.
 void scheduler_core::preempt_lasting(const placement_query& query,
-                                     const job_record& of, const job_task& task)
+                                     const job_record& record,
+                                     const job_task& task)
 {
-    const bool is_choosy =
+    const bool is_restricted =
         query.tickets != nullptr || !query.step.label.empty();
-    if (!is_choosy || query.step.lasting || of.has_runs() ||
+    if (!is_restricted || query.step.lasting || record.has_runs() ||
         query.now - task.ready_since < options_.max_blocked_time ||
         query.now < next_preemption_at_)
     {
@@ -99,31 +100,32 @@
     next_preemption_at_ = query.now + options_.preemption_interval;
     const resources asked = reserved_by(query.step);
     std::vector<worker_record*> blocked;
-    for (auto& [guard, at] : workers_)
+    for (auto& [guard, worker] : workers_)
     {
-        if (!may_run(at, query, options_.placement))
+        if (!may_run(worker, query, options_.placement))
         {
             continue;
         }
-        if (asked.fits(room_after_stops(at)))
+        if (asked.fits(room_after_stops(worker)))
         {
             return;
         }
-        if (asked.fits(at.description.capacity))
+        if (asked.fits(worker.description.capacity))
         {
-            blocked.push_back(&at);
+            blocked.push_back(&worker);
         }
     }
     blocked.resize(std::min(blocked.size(), options_.max_preemption_searches));
-    for (worker_record* const at : blocked)
+    for (worker_record* const worker : blocked)
     {
-        const auto leaves =
-            std::ranges::find_if(at->assigned_tasks, [&](const task_name& name)
-                                 { return is_preemptible(name); });
-        if (leaves != at->assigned_tasks.end() &&
-            is_welcome_elsewhere(*leaves, *at, query.now))
+        const auto candidate = std::ranges::find_if(
+            worker->assigned_tasks,
+            [&](const task_name& name) { return is_preemptible(name); });
+        if (candidate != worker->assigned_tasks.end() &&
+            is_welcome_elsewhere(*candidate, *worker, query.now))
         {
-            relocate(*leaves, *at, full_percent, outbox_[at->guard], query.now);
+            relocate(*candidate, *worker, full_percent, outbox_[worker->guard],
+                     query.now);
             return;
         }
     }
@@ -131,56 +133,58 @@
 
 // What a worker will have once shorter runs, and those that are being stopped,
 // have ended.
-resources scheduler_core::room_after_stops(const worker_record& at)
+resources scheduler_core::room_after_stops(const worker_record& worker)
 {
-    resources room = at.eventual_capacity();
-    for (const task_name& name : at.assigned_tasks)
+    resources capacity = worker.eventual_capacity();
+    for (const task_name& name : worker.assigned_tasks)
     {
-        job_record& of = *job_of(name.job);
-        const job_step& step = of.step_at(name.at);
-        if (step.lasting && of.find(name.at)->run->stopping)
+        job_record& record = *job_of(name.job);
+        const job_step& step = record.step_at(name.at);
+        if (step.lasting && record.find(name.at)->run->stopping)
         {
-            room += reserved_by(step);
+            capacity += reserved_by(step);
         }
     }
-    return room;
+    return capacity;
 }
 
 // Whether a lasting run may be stopped to run elsewhere: its step misses no
 // more tasks than it may.
 bool scheduler_core::is_preemptible(const task_name& name)
 {
-    job_record& of = *job_of(name.job);
-    const job_step& step = of.step_at(name.at);
-    const task_run& run = *of.find(name.at)->run;
-    const queue_row* const queue = table_.queue(of.definition().queue);
+    job_record& record = *job_of(name.job);
+    const job_step& step = record.step_at(name.at);
+    const task_run& run = *record.find(name.at)->run;
+    const queue_row* const queue = table_.queue(record.definition().queue);
     if (!step.lasting || step.gang || !run.seen || run.stopping ||
         queue == nullptr || queue->advice)
     {
         return false;
     }
     const auto missing = std::ranges::count_if(
-        of.tasks_of(name.at.round, name.at.step), [](const job_task& task)
+        record.tasks_of(name.at.round, name.at.step), [](const job_task& task)
         { return !task.run || !task.run->seen || task.run->stopping; });
     return step.most_missing == 0 || missing < step.most_missing;
 }
 
 // A worker that leaves takes down what runs there: what lasts moves at once,
 // the rest when little time remains.
-void scheduler_core::drain_leaving_worker(worker_record& at, guard_orders& out,
-                                          time_point /*now*/)
+void scheduler_core::drain_leaving_worker(worker_record& worker,
+                                          guard_orders& out, time_point /*now*/)
 {
-    if (!at.description.draining || at.description.leaves_ms == 0)
+    if (!worker.description.draining || worker.description.leaves_ms == 0)
     {
         return;
     }
-    const bool late = std::chrono::milliseconds(at.description.leaves_ms) <
-                      options_.leave_margin;
-    for (const task_name& name : at.assigned_tasks)
+    const bool is_due =
+        std::chrono::milliseconds(worker.description.leaves_ms) <
+        options_.leave_margin;
+    for (const task_name& name : worker.assigned_tasks)
     {
-        job_record& of = *job_of(name.job);
-        task_run& run = *of.find(name.at)->run;
-        if (run.seen && !run.stopping && (late || of.step_at(name.at).lasting))
+        job_record& record = *job_of(name.job);
+        task_run& run = *record.find(name.at)->run;
+        if (run.seen && !run.stopping &&
+            (is_due || record.step_at(name.at).lasting))
         {
             order_stop(run, name.text(), out);
         }
--- a/packages/scheduler/src/scheduler_placing.cpp
+++ b/packages/scheduler/src/scheduler_placing.cpp
@@ -11,9 +11,9 @@
 namespace
 {
 
-std::int64_t rounds_due(const job& what, std::int64_t unix_ms)
+std::int64_t rounds_due(const job& definition, std::int64_t unix_ms)
 {
-    const job_schedule& schedule = what.schedule;
+    const job_schedule& schedule = definition.schedule;
     if (schedule.count == 0)
     {
         return 1;
@@ -30,9 +30,10 @@
 }
 
 // When the first round that is not due yet will be.
-std::int64_t due_ms_of(const job& what, std::int64_t round)
+std::int64_t due_ms_of(const job& definition, std::int64_t round)
 {
-    return what.schedule.first_due_ms + round * what.schedule.interval_ms;
+    return definition.schedule.first_due_ms +
+           round * definition.schedule.interval_ms;
 }
 
 } // namespace
@@ -58,15 +59,17 @@
     infeasible_queries_.clear();
     reservations_ = 0;
     isolated_workers_ = 0;
-    for (auto& [guard, at] : workers_)
+    for (auto& [guard, worker] : workers_)
     {
-        at.claimed = {};
-        if (at.reserved_for && !is_isolation_valid(at, last_pass_))
+        worker.claimed = {};
+        if (worker.reserved_for && !is_isolation_valid(worker, last_pass_))
         {
-            at.reserved_for.reset();
+            worker.reserved_for.reset();
         }
         isolated_workers_ +=
-            (at.isolated_suspect || at.reserved_for) && at.answering ? 1 : 0;
+            (worker.isolated_suspect || worker.reserved_for) && worker.answering
+                ? 1
+                : 0;
     }
 }
 
@@ -75,54 +78,58 @@
     std::vector<std::pair<job_rank, job_record*>> order;
     for (const std::string& id : placeable_jobs_)
     {
-        job_record& of = *job_of(id);
-        order.emplace_back(rank_of(of, table_.queue(of.definition().queue), now,
+        job_record& record = *job_of(id);
+        order.emplace_back(rank_of(record,
+                                   table_.queue(record.definition().queue), now,
                                    options_.order),
-                           &of);
+                           &record);
     }
     std::sort(order.begin(), order.end());
-    for (const auto& [rank, of] : order)
+    for (const auto& [rank, record] : order)
     {
-        if (!place_job(*of, now, unix_ms))
+        if (!place_job(*record, now, unix_ms))
         {
-            placeable_jobs_.erase(of->definition().id);
+            placeable_jobs_.erase(record->definition().id);
         }
     }
 }
 
 // Gives whether the job may have more to place later.
-bool scheduler_core::place_job(job_record& of, time_point now,
+bool scheduler_core::place_job(job_record& record, time_point now,
                                std::int64_t unix_ms)
 {
-    if (is_final(of.state()))
+    if (is_final(record.state()))
     {
         return false;
     }
-    const queue_row* const queue = table_.queue(of.definition().queue);
+    const queue_row* const queue = table_.queue(record.definition().queue);
     if (queue == nullptr)
     {
         return true;
     }
-    const std::int64_t due = rounds_due(of.definition(), unix_ms);
-    bool more = due < of.definition().rounds();
+    const std::int64_t due = rounds_due(record.definition(), unix_ms);
+    bool more = due < record.definition().rounds();
     if (more)
     {
-        next_due_ms_ = std::min(next_due_ms_, due_ms_of(of.definition(), due));
+        next_due_ms_ =
+            std::min(next_due_ms_, due_ms_of(record.definition(), due));
     }
-    const auto steps = static_cast<std::int64_t>(of.definition().steps.size());
+    const auto steps =
+        static_cast<std::int64_t>(record.definition().steps.size());
     for (std::int64_t round = 0; round < due; ++round)
     {
         for (std::int64_t step = 0; step < steps; ++step)
         {
-            if (!of.is_open(round, step))
+            if (!record.is_open(round, step))
             {
                 continue;
             }
-            const bool gang =
-                of.definition().steps[static_cast<std::size_t>(step)].gang;
-            const bool left = gang ? place_gang(of, *queue, round, step, now)
-                                   : place_step(of, *queue, round, step, now);
-            more = more || left;
+            const bool is_gang =
+                record.definition().steps[static_cast<std::size_t>(step)].gang;
+            const bool has_waiting =
+                is_gang ? place_gang(record, *queue, round, step, now)
+                        : place_step(record, *queue, round, step, now);
+            more = more || has_waiting;
         }
     }
     return more;
@@ -135,12 +142,12 @@
                                        const queue_row& queue, time_point now)
 {
     std::vector<const worker_record*> candidates;
-    for (const auto& [name, at] : workers_)
+    for (const auto& [name, worker] : workers_)
     {
-        if (takes_runs(at, queue.service, now, options_.placement) &&
-            has_label(at, step.label))
+        if (takes_runs(worker, queue.service, now, options_.placement) &&
+            has_label(worker, step.label))
         {
-            candidates.push_back(&at);
+            candidates.push_back(&worker);
         }
     }
     std::stable_sort(candidates.begin(), candidates.end(),
@@ -151,9 +158,9 @@
                      });
     std::vector<executor_incarnation> executors;
     executors.reserve(candidates.size());
-    for (const worker_record* at : candidates)
+    for (const worker_record* worker : candidates)
     {
-        executors.push_back(at->description.executor);
+        executors.push_back(worker->description.executor);
     }
     advice_.request_tickets(group, executors, now);
     return advice_.tickets(group, now);
@@ -166,21 +173,21 @@
     may_place_ = true;
 }
 
-bool scheduler_core::place_step(job_record& of, const queue_row& queue,
+bool scheduler_core::place_step(job_record& record, const queue_row& queue,
                                 std::int64_t round, std::int64_t step,
                                 time_point now)
 {
-    bool left = false;
+    bool has_waiting = false;
     const std::string group =
-        step_group(of.definition().id, {.round = round, .step = step});
-    const job_step& what =
-        of.definition().steps[static_cast<std::size_t>(step)];
-    const auto tasks = of.tasks_of(round, step);
-    const bool waits = std::ranges::any_of(tasks, &job_task::is_waiting);
+        step_group(record.definition().id, {.round = round, .step = step});
+    const job_step& step_definition =
+        record.definition().steps[static_cast<std::size_t>(step)];
+    const auto tasks = record.tasks_of(round, step);
+    const bool any_waiting = std::ranges::any_of(tasks, &job_task::is_waiting);
     ticket_map tickets;
-    if (queue.advice && waits)
+    if (queue.advice && any_waiting)
     {
-        tickets = tickets_for(what, group, queue, now);
+        tickets = tickets_for(step_definition, group, queue, now);
     }
     for (job_task& task : tasks)
     {
@@ -188,15 +195,15 @@
         {
             continue;
         }
-        const bool gathering = is_batching(of, what, now);
-        may_place_ = may_place_ || gathering; // it ends with time alone
-        if (gathering || now < task.not_before)
+        const bool batching = is_batching(record, step_definition, now);
+        may_place_ = may_place_ || batching; // it ends with time alone
+        if (batching || now < task.not_before)
         {
-            left = true;
+            has_waiting = true;
             continue;
         }
         const placement_query query{
-            .step = what,
+            .step = step_definition,
             .service = queue.service,
             .group = group,
             .avoided = task.avoided,
@@ -206,67 +213,69 @@
                             ? &task.departed->guard
                             : nullptr,
             .ignore_interference =
-                !of.has_runs() &&
+                !record.has_runs() &&
                 now - task.ready_since > options_.max_interference_wait,
             .isolated = task.suspicion >= suspect_threshold,
             .tickets = queue.advice ? &tickets : nullptr};
         if (task.suspicion >= isolation_threshold)
         {
-            left = !place_isolated(query, of, task, tickets) || left;
+            has_waiting =
+                !place_isolated(query, record, task, tickets) || has_waiting;
             continue;
         }
-        worker_record* const at =
+        worker_record* const worker =
             infeasible_queries_.covers(query)
                 ? nullptr
                 : choose_worker(workers_, query, options_.placement);
-        if (at == nullptr)
+        if (worker == nullptr)
         {
             infeasible_queries_.note(query);
-            log_wait(query, of, task);
-            preempt_lasting(query, of, task);
+            log_wait(query, record, task);
+            preempt_lasting(query, record, task);
             reserve_workers(
                 query, std::ranges::count_if(tasks, &job_task::is_waiting));
             return true; // its siblings ask for the same
         }
-        if (!can_be_written(of.definition().id, what, {at}))
+        if (!can_be_written(record.definition().id, step_definition, {worker}))
         {
             return true;
         }
-        record_placement(of, task, *at, task.runs + 1, tickets, now);
+        record_placement(record, task, *worker, task.runs + 1, tickets, now);
     }
-    return left;
+    return has_waiting;
 }
 
 // Whether tasks of a lasting job wait for others that come with it.
-bool scheduler_core::is_batching(const job_record& of, const job_step& step,
+bool scheduler_core::is_batching(const job_record& record, const job_step& step,
                                  time_point now) const
 {
     return step.lasting &&
            now - last_lasting_ < options_.lasting_batch_window &&
-           now - of.accepted < options_.max_lasting_batch_wait;
+           now - record.accepted < options_.max_lasting_batch_wait;
 }
 
 // Starts a suspect where nothing else is started until it has proved itself. A
 // crash names it only if the others there have: so a worker is kept for it, and
 // takes nothing new, until they have.
-bool scheduler_core::place_isolated(placement_query query, job_record& of,
+bool scheduler_core::place_isolated(placement_query query, job_record& record,
                                     job_task& task, const ticket_map& tickets)
 {
-    const task_name name{of.definition().id, of.position_of(task)};
+    const task_name name{record.definition().id, record.position_of(task)};
     query.suspect = &name;
-    worker_record* const at = isolation_worker(query, task.ready_since);
-    const bool is_ready = at != nullptr && at->unproven.empty() &&
-                          can_take(*at, query, options_.placement) &&
-                          can_be_written(of.definition().id, query.step, {at});
+    worker_record* const worker = isolation_worker(query, task.ready_since);
+    const bool is_ready =
+        worker != nullptr && worker->unproven.empty() &&
+        can_take(*worker, query, options_.placement) &&
+        can_be_written(record.definition().id, query.step, {worker});
     if (!is_ready)
     {
-        log_wait(query, of, task,
-                 at == nullptr ? std::nullopt
-                               : std::optional(wait_cause::trials));
+        log_wait(query, record, task,
+                 worker == nullptr ? std::nullopt
+                                   : std::optional(wait_cause::trials));
         return false;
     }
-    at->reserved_for.reset();
-    record_placement(of, task, *at, task.runs + 1, tickets, query.now);
+    worker->reserved_for.reset();
+    record_placement(record, task, *worker, task.runs + 1, tickets, query.now);
     return true;
 }
 
@@ -275,41 +284,43 @@
 worker_record* scheduler_core::isolation_worker(const placement_query& query,
                                                 time_point ready_since)
 {
-    for (auto& [guard, at] : workers_)
+    for (auto& [guard, worker] : workers_)
     {
-        if (at.reserved_for == *query.suspect)
+        if (worker.reserved_for == *query.suspect)
         {
-            return &at;
+            return &worker;
         }
     }
     const suspicion_options& options = options_.suspicion;
-    const auto most = std::max<std::size_t>(
+    const auto max_isolated = std::max<std::size_t>(
         1, static_cast<std::size_t>(options.closed_share *
                                     static_cast<double>(workers_.size())));
-    if (isolated_workers_ >= most &&
+    if (isolated_workers_ >= max_isolated &&
         query.now - ready_since < options.share_bound_for)
     {
         return nullptr;
     }
-    worker_record* at = choose_worker(workers_, query, options_.placement);
-    at = at == nullptr ? choose_reservation(workers_, query, options_.placement)
-                       : at;
-    if (at != nullptr)
+    worker_record* worker = choose_worker(workers_, query, options_.placement);
+    worker = worker == nullptr
+                 ? choose_reservation(workers_, query, options_.placement)
+                 : worker;
+    if (worker != nullptr)
     {
-        at->reserved_for = *query.suspect;
-        at->reserved_until = query.now + options.max_isolation_wait;
+        worker->reserved_for = *query.suspect;
+        worker->reserved_until = query.now + options.max_isolation_wait;
         ++isolated_workers_;
     }
-    return at;
+    return worker;
 }
 
 // Whether a worker is still kept for a suspect that waits.
-bool scheduler_core::is_isolation_valid(const worker_record& at, time_point now)
+bool scheduler_core::is_isolation_valid(const worker_record& worker,
+                                        time_point now)
 {
-    job_record* const of = job_of(at.reserved_for->job);
-    return now < at.reserved_until && at.answering && of != nullptr &&
-           !is_final(of->state()) &&
-           of->find(at.reserved_for->at)->is_waiting();
+    job_record* const record = job_of(worker.reserved_for->job);
+    return now < worker.reserved_until && worker.answering &&
+           record != nullptr && !is_final(record->state()) &&
+           record->find(worker.reserved_for->at)->is_waiting();
 }
 
 // Keeps workers free for tasks that no worker can take now. Those behind them
@@ -321,78 +332,79 @@
     {
         return;
     }
-    const auto bound = std::min(
+    const auto max_count = std::min(
         options_.max_reservations,
         static_cast<std::size_t>(options_.reserved_share *
                                  static_cast<double>(workers_.size())) +
             1);
-    for (; tasks > 0 && reservations_ < bound; --tasks)
+    for (; tasks > 0 && reservations_ < max_count; --tasks)
     {
-        worker_record* const at =
+        worker_record* const worker =
             choose_reservation(workers_, query, options_.placement);
-        if (at == nullptr)
+        if (worker == nullptr)
         {
             return;
         }
-        at->claimed = reserved_by(query.step);
+        worker->claimed = reserved_by(query.step);
         ++reservations_;
     }
 }
 
-void scheduler_core::record_placement(job_record& of, job_task& task,
-                                      worker_record& at, std::int64_t number,
+void scheduler_core::record_placement(job_record& record, job_task& task,
+                                      worker_record& worker,
+                                      std::int64_t number,
                                       const ticket_map& tickets, time_point now)
 {
-    const task_position where = of.position_of(task);
-    use_room(of, of.step_at(where), at);
-    ++of.change;
+    const task_position position = record.position_of(task);
+    use_room(record, record.step_at(position), worker);
+    ++record.change;
     task.runs = number;
-    const auto ticket = tickets.find(at.description.executor);
+    const auto ticket = tickets.find(worker.description.executor);
     task.run = task_run{.number = number,
-                        .guard = at.guard,
-                        .executor = at.description.executor,
+                        .guard = worker.guard,
+                        .executor = worker.description.executor,
                         .ticket = ticket == tickets.end() ? std::string()
                                                           : ticket->second,
-                        .placed_in = of.change,
+                        .placed_in = record.change,
                         .last_progress_at = now};
-    const task_name name{of.definition().id, where};
-    reserve(at, of.step_at(where), name);
-    watch_suspect(at, task, name);
-    of.enter(job_state::running);
-    of.first_start = of.first_start.value_or(now);
-    of.urgent_commit = true;
-    mark_changed(of, now);
+    const task_name name{record.definition().id, position};
+    reserve(worker, record.step_at(position), name);
+    watch_suspect(worker, task, name);
+    record.enter(job_state::running);
+    record.first_start = record.first_start.value_or(now);
+    record.urgent_commit = true;
+    mark_changed(record, now);
     ++counts_.starts;
-    log_decision(
-        event_id::run_placed,
-        {{"task", name.text()},
-         {"run", std::to_string(number)},
-         {"guard", at.guard},
-         {"life", at.description.executor.text()},
-         {"report_age_ms", std::to_string(to_milliseconds(now - at.reported))},
-         {"waited_ms",
-          std::to_string(to_milliseconds(now - task.ready_since))}});
+    log_decision(event_id::run_placed,
+                 {{"task", name.text()},
+                  {"run", std::to_string(number)},
+                  {"guard", worker.guard},
+                  {"life", worker.description.executor.text()},
+                  {"report_age_ms",
+                   std::to_string(to_milliseconds(now - worker.reported))},
+                  {"waited_ms",
+                   std::to_string(to_milliseconds(now - task.ready_since))}});
 }
 
 // ---------------------------------------------------------------------------
 // Gangs: all members at once, or none
 // ---------------------------------------------------------------------------
 
-bool scheduler_core::place_gang(job_record& of, const queue_row& queue,
+bool scheduler_core::place_gang(job_record& record, const queue_row& queue,
                                 std::int64_t round, std::int64_t step,
                                 time_point now)
 {
-    const auto tasks = of.tasks_of(round, step);
+    const auto tasks = record.tasks_of(round, step);
     if (std::all_of(tasks.begin(), tasks.end(),
                     [](const job_task& task) { return task.done; }))
     {
         return false;
     }
-    const bool free =
+    const bool all_startable =
         std::all_of(tasks.begin(), tasks.end(),
                     [now](const job_task& task)
                     { return task.is_waiting() && now >= task.not_before; });
-    if (!free)
+    if (!all_startable)
     {
         return true;
     }
@@ -401,17 +413,18 @@
     if (queue.advice)
     {
         tickets =
-            tickets_for(of.step_at(first),
-                        step_group(of.definition().id, first), queue, now);
+            tickets_for(record.step_at(first),
+                        step_group(record.definition().id, first), queue, now);
     }
-    const auto chosen =
-        gang_workers(of, queue, first, queue.advice ? &tickets : nullptr, now);
+    const auto chosen = gang_workers(record, queue, first,
+                                     queue.advice ? &tickets : nullptr, now);
     if (chosen.empty())
     {
-        log_gang_wait(of, queue, first, queue.advice ? &tickets : nullptr, now);
+        log_gang_wait(record, queue, first, queue.advice ? &tickets : nullptr,
+                      now);
         return true;
     }
-    if (!can_be_written(of.definition().id, of.step_at(first), chosen))
+    if (!can_be_written(record.definition().id, record.step_at(first), chosen))
     {
         return true;
     }
@@ -422,19 +435,19 @@
     }
     for (std::size_t index = 0; index < tasks.size(); ++index)
     {
-        record_placement(of, tasks[index], *chosen[index], number, tickets,
+        record_placement(record, tasks[index], *chosen[index], number, tickets,
                          now);
     }
     return false;
 }
 
-void scheduler_core::log_gang_wait(job_record& of, const queue_row& queue,
+void scheduler_core::log_gang_wait(job_record& record, const queue_row& queue,
                                    const task_position& first,
                                    const ticket_map* tickets, time_point now)
 {
-    const job_task& member = *of.find(first);
-    const std::string group = step_group(of.definition().id, first);
-    const placement_query query{.step = of.step_at(first),
+    const job_task& member = *record.find(first);
+    const std::string group = step_group(record.definition().id, first);
+    const placement_query query{.step = record.step_at(first),
                                 .service = queue.service,
                                 .group = group,
                                 .avoided = member.avoided,
@@ -443,35 +456,35 @@
                                 .tickets = tickets};
     const bool fits_one =
         choose_worker(workers_, query, options_.placement) != nullptr;
-    log_wait(query, of, member,
+    log_wait(query, record, member,
              fits_one ? std::optional(wait_cause::gang) : std::nullopt);
 }
 
 // One worker a member, chosen on a copy of the ledger; empty if they do not
 // all fit. A gang that wants one rack is tried rack by rack first.
 std::vector<worker_record*>
-scheduler_core::gang_workers(job_record& of, const queue_row& queue,
+scheduler_core::gang_workers(job_record& record, const queue_row& queue,
                              const task_position& first,
                              const ticket_map* tickets, time_point now)
 {
-    const job_step& step = of.step_at(first);
-    const auto tasks = of.tasks_of(first.round, first.step);
-    const std::string group = step_group(of.definition().id, first);
-    const auto fill = [&](const std::string& rack)
+    const job_step& step = record.step_at(first);
+    const auto tasks = record.tasks_of(first.round, first.step);
+    const std::string group = step_group(record.definition().id, first);
+    const auto choose_in_rack = [&](const std::string& rack)
     {
-        worker_map trial;
-        for (const auto& [name, at] : workers_)
+        worker_map ledger;
+        for (const auto& [name, worker] : workers_)
         {
-            if (rack.empty() || at.description.rack == rack)
+            if (rack.empty() || worker.description.rack == rack)
             {
-                trial.emplace(name, at);
+                ledger.emplace(name, worker);
             }
         }
         std::vector<worker_record*> chosen;
         for (std::size_t index = 0; index < tasks.size(); ++index)
         {
-            worker_record* const at =
-                choose_worker(trial,
+            worker_record* const worker =
+                choose_worker(ledger,
                               {.step = step,
                                .service = queue.service,
                                .group = group,
@@ -480,33 +493,33 @@
                                .now = now,
                                .tickets = tickets},
                               options_.placement);
-            if (at == nullptr)
+            if (worker == nullptr)
             {
                 return std::vector<worker_record*>{};
             }
-            task_position where = first;
-            where.index = static_cast<std::int64_t>(index);
-            reserve(*at, step, {of.definition().id, where});
-            chosen.push_back(&workers_.at(at->guard));
+            task_position position = first;
+            position.index = static_cast<std::int64_t>(index);
+            reserve(*worker, step, {record.definition().id, position});
+            chosen.push_back(&workers_.at(worker->guard));
         }
         return chosen;
     };
     if (step.same_rack)
     {
         std::set<std::string> racks;
-        for (const auto& [name, at] : workers_)
+        for (const auto& [name, worker] : workers_)
         {
-            racks.insert(at.description.rack);
+            racks.insert(worker.description.rack);
         }
         for (const std::string& rack : racks)
         {
-            if (auto chosen = fill(rack); !chosen.empty())
+            if (auto chosen = choose_in_rack(rack); !chosen.empty())
             {
                 return chosen;
             }
         }
     }
-    return fill({});
+    return choose_in_rack({});
 }
 
 } // namespace springstair
--- a/packages/scheduler/src/scheduler_writing.cpp
+++ b/packages/scheduler/src/scheduler_writing.cpp
@@ -15,18 +15,18 @@
 // Records that belong together
 // ---------------------------------------------------------------------------
 
-void scheduler_core::note_freed(const std::string& guard, const job_record& of,
-                                const job_step& step)
+void scheduler_core::note_freed(const std::string& guard,
+                                const job_record& record, const job_step& step)
 {
-    uncommitted_end& end = freed_[guard][of.definition().id];
-    end.change = of.change;
+    uncommitted_end& end = freed_[guard][record.definition().id];
+    end.change = record.change;
     end.room += reserved_by(step);
 }
 
 bool scheduler_core::is_kept(const std::string& job, std::int64_t change) const
 {
-    const job_record* const of = find(job);
-    return of == nullptr || of->committed_change >= change;
+    const job_record* const record = find(job);
+    return record == nullptr || record->committed_change >= change;
 }
 
 // Ends at a worker that the store may not have yet, by their job.
@@ -34,35 +34,35 @@
 scheduler_core::find_uncommitted_ends(const std::string& guard)
 {
     auto& ends = freed_[guard];
-    std::erase_if(ends, [this](const auto& one)
-                  { return is_kept(one.first, one.second.change); });
+    std::erase_if(ends, [this](const auto& entry)
+                  { return is_kept(entry.first, entry.second.change); });
     return ends;
 }
 
 // Of these, the ones that a run of a step needs the store to have: all, if it
 // has no room at the worker without them.
 const std::map<std::string, scheduler_core::uncommitted_end>&
-scheduler_core::ends_needed(const worker_record& at, const job_step& step)
+scheduler_core::ends_needed(const worker_record& worker, const job_step& step)
 {
     static const std::map<std::string, uncommitted_end> none;
-    const auto& ends = find_uncommitted_ends(at.guard);
-    resources room = at.free_capacity();
+    const auto& ends = find_uncommitted_ends(worker.guard);
+    resources committed_free = worker.free_capacity();
     for (const auto& [job, end] : ends)
     {
-        room -= end.room;
+        committed_free -= end.room;
     }
-    return reserved_by(step).fits(room) ? none : ends;
+    return reserved_by(step).fits(committed_free) ? none : ends;
 }
 
-void scheduler_core::use_room(job_record& of, const job_step& step,
-                              const worker_record& at)
+void scheduler_core::use_room(job_record& record, const job_step& step,
+                              const worker_record& worker)
 {
-    for (const auto& [job, end] : ends_needed(at, step))
+    for (const auto& [job, end] : ends_needed(worker, step))
     {
-        if (job != of.definition().id)
+        if (job != record.definition().id)
         {
-            std::int64_t& needed = of.required_changes[job];
-            needed = std::max(needed, end.change);
+            std::int64_t& required = record.required_changes[job];
+            required = std::max(required, end.change);
         }
     }
 }
@@ -72,18 +72,18 @@
 std::set<std::string> scheduler_core::written_with(const std::string& id)
 {
     std::set<std::string> found{id};
-    std::vector<std::string> open{id};
-    while (!open.empty())
+    std::vector<std::string> pending{id};
+    while (!pending.empty())
     {
-        job_record& of = *job_of(open.back());
-        open.pop_back();
-        std::erase_if(of.required_changes, [this](const auto& one)
-                      { return is_kept(one.first, one.second); });
-        for (const auto& [job, change] : of.required_changes)
+        job_record& record = *job_of(pending.back());
+        pending.pop_back();
+        std::erase_if(record.required_changes, [this](const auto& entry)
+                      { return is_kept(entry.first, entry.second); });
+        for (const auto& [job, change] : record.required_changes)
         {
             if (found.insert(job).second)
             {
-                open.push_back(job);
+                pending.push_back(job);
             }
         }
     }
@@ -97,23 +97,23 @@
 bool scheduler_core::can_be_written(const std::string& id, const job_step& step,
                                     const std::vector<worker_record*>& chosen)
 {
-    std::set<std::string> found = written_with(id);
-    for (const worker_record* const at : chosen)
+    std::set<std::string> records = written_with(id);
+    for (const worker_record* const worker : chosen)
     {
         // Members of a gang that share a worker use more of its room than one.
         const auto& ends = chosen.size() == 1
-                               ? ends_needed(*at, step)
-                               : find_uncommitted_ends(at->guard);
+                               ? ends_needed(*worker, step)
+                               : find_uncommitted_ends(worker->guard);
         for (const auto& [job, end] : ends)
         {
-            found.merge(written_with(job));
+            records.merge(written_with(job));
         }
     }
-    if (found.size() <= options_.jobs_per_commit)
+    if (records.size() <= options_.jobs_per_commit)
     {
         return true;
     }
-    for (const std::string& job : found)
+    for (const std::string& job : records)
     {
         job_of(job)->urgent_commit = true;
     }
@@ -129,10 +129,10 @@
     return !committing_ && now - last_commit_ >= options_.min_commit_interval;
 }
 
-bool scheduler_core::is_due(const job_record& of, time_point now) const
+bool scheduler_core::is_due(const job_record& record, time_point now) const
 {
-    return of.urgent_commit ||
-           now - of.uncommitted_since >= options_.end_batch_delay;
+    return record.urgent_commit ||
+           now - record.uncommitted_since >= options_.end_batch_delay;
 }
 
 // The jobs of the next write, those that wait longest first.
@@ -149,12 +149,12 @@
         {
             continue;
         }
-        std::set<std::string> with = written_with(id);
-        std::erase_if(with, [&](const std::string& one)
-                      { return jobs.contains(one); });
-        if (jobs.size() + with.size() <= options_.jobs_per_commit)
+        std::set<std::string> group = written_with(id);
+        std::erase_if(group, [&](const std::string& job)
+                      { return jobs.contains(job); });
+        if (jobs.size() + group.size() <= options_.jobs_per_commit)
         {
-            jobs.merge(with);
+            jobs.merge(group);
         }
     }
     return jobs;
@@ -174,16 +174,16 @@
     commit_batch batch;
     for (const std::string& id : jobs)
     {
-        job_record& of = *job_of(id);
+        job_record& record = *job_of(id);
         is_dirty_.erase(id);
-        of.urgent_commit = false;
-        of.sent = of.state();
-        of.required_changes.clear();
+        record.urgent_commit = false;
+        record.sent = record.state();
+        record.required_changes.clear();
         batch.push_back({.job = id,
-                         .text = encode(of.progress()),
-                         .expected_revision = of.revision,
-                         .change = of.change,
-                         .state = of.state()});
+                         .text = encode(record.progress()),
+                         .expected_revision = record.revision,
+                         .change = record.change,
+                         .state = record.state()});
     }
     std::erase_if(dirty_,
                   [&](const std::string& id) { return jobs.contains(id); });
@@ -198,34 +198,36 @@
     committing_ = false;
     for (const progress_write& write : batch)
     {
-        job_record& of = *job_of(write.job);
-        of.committed_change = write.change;
-        of.revision = revision;
-        of.shown = of.shown == job_state::cancelled ? of.shown : write.state;
-        for (job_task& task : of.tasks())
+        job_record& record = *job_of(write.job);
+        record.committed_change = write.change;
+        record.revision = revision;
+        record.shown =
+            record.shown == job_state::cancelled ? record.shown : write.state;
+        for (job_task& task : record.tasks())
         {
             const bool due = task.run && !task.run->ordered &&
-                             task.run->placed_in <= of.committed_change;
-            const auto at =
+                             task.run->placed_in <= record.committed_change;
+            const auto found =
                 due ? workers_.find(task.run->guard) : workers_.end();
-            if (at == workers_.end() || task.run->stopping ||
-                at->second.description.executor != task.run->executor)
+            if (found == workers_.end() || task.run->stopping ||
+                found->second.description.executor != task.run->executor)
             {
                 continue;
             }
             task.run->ordered = true;
-            task.run->told_incarnation = at->second.incarnation;
+            task.run->told_incarnation = found->second.incarnation;
             task.run->ordered_at = now;
             task.run->last_progress_at = now;
             guard_orders& out = outbox_[task.run->guard];
-            if (at->second.closed)
+            if (found->second.closed)
             {
                 // It must not begin where its data centre has closed meanwhile.
-                const task_name name{of.definition().id, of.position_of(task)};
+                const task_name name{record.definition().id,
+                                     record.position_of(task)};
                 order_stop(*task.run, name.text(), out);
                 continue;
             }
-            out.starts.push_back(order_for(of, task));
+            out.starts.push_back(order_for(record, task));
         }
     }
 }
--- a/packages/scheduler/src/sibling_headroom.cpp
+++ b/packages/scheduler/src/sibling_headroom.cpp
@@ -8,9 +8,9 @@
 
 // An older figure is of another load: it swings over some ten seconds, and
 // figures come twice a second.
-constexpr duration max_age = std::chrono::milliseconds(700);
+constexpr duration max_figure_age = std::chrono::milliseconds(700);
 // Fewer others say more of themselves than of the load.
-constexpr std::size_t fewest_others = 2;
+constexpr std::size_t min_others = 2;
 
 } // namespace
 
@@ -19,8 +19,8 @@
 {
     noted_ = now;
     forget_old(now);
-    const auto [found, fresh] = of_.try_emplace(task);
-    if (!fresh)
+    const auto [found, is_new] = of_.try_emplace(task);
+    if (!is_new)
     {
         add(found->second.figure, -1);
     }
@@ -33,7 +33,7 @@
 {
     const auto own = of_.find(task);
     const std::size_t others = of_.size() - (own == of_.end() ? 0 : 1);
-    if (others < fewest_others)
+    if (others < min_others)
     {
         return std::nullopt;
     }
@@ -70,16 +70,16 @@
     {
         return;
     }
-    next_cleaning_ = now + max_age / 2;
-    for (auto at = of_.begin(); at != of_.end();)
+    next_cleaning_ = now + max_figure_age / 2;
+    for (auto entry = of_.begin(); entry != of_.end();)
     {
-        if (now - at->second.at <= max_age)
+        if (now - entry->second.at <= max_figure_age)
         {
-            ++at;
+            ++entry;
             continue;
         }
-        add(at->second.figure, -1);
-        at = of_.erase(at);
+        add(entry->second.figure, -1);
+        entry = of_.erase(entry);
     }
     if (of_.empty())
     {
--- a/packages/scheduler/src/ticket_cache.cpp
+++ b/packages/scheduler/src/ticket_cache.cpp
@@ -7,42 +7,45 @@
 
 ticket_map ticket_cache::tickets(const std::string& step, time_point now) const
 {
-    ticket_map out;
+    ticket_map valid;
     const auto found = steps_.find(step);
     if (found == steps_.end())
     {
-        return out;
+        return valid;
     }
-    for (const auto& [executor, held] : found->second.good)
+    for (const auto& [executor, ticket] : found->second.good)
     {
-        if (now + options_.reserve < held.until)
+        if (now + options_.reserve < ticket.until)
         {
-            out.emplace(executor, held.text);
+            valid.emplace(executor, ticket.text);
         }
     }
-    return out;
+    return valid;
 }
 
 void ticket_cache::request_tickets(
     const std::string& step, const std::vector<executor_incarnation>& executors,
     time_point now)
 {
-    step_record& of = steps_[step];
-    const bool waits = !of.wanted.empty() || (out_ && out_->step == step);
-    if (waits || now < of.not_before)
+    step_record& record = steps_[step];
+    const bool is_pending =
+        !record.wanted.empty() || (out_ && out_->step == step);
+    if (is_pending || now < record.not_before)
     {
         return;
     }
-    of.since = now;
+    record.since = now;
     for (const executor_incarnation& executor : executors)
     {
-        const auto held = of.good.find(executor);
-        const bool holds = held != of.good.end() &&
-                           now + options_.reserve < held->second.until;
-        const bool bad = held == of.good.end() && of.asked.contains(executor);
-        if (!holds && !bad && of.wanted.size() < options_.max_workers)
+        const auto ticket = record.good.find(executor);
+        const bool is_valid = ticket != record.good.end() &&
+                              now + options_.reserve < ticket->second.until;
+        const bool was_denied =
+            ticket == record.good.end() && record.asked.contains(executor);
+        if (!is_valid && !was_denied &&
+            record.wanted.size() < options_.max_workers)
         {
-            of.wanted.push_back(executor);
+            record.wanted.push_back(executor);
         }
     }
 }
@@ -53,24 +56,24 @@
     {
         return std::nullopt;
     }
-    auto waiting = steps_.end();
+    auto oldest = steps_.end();
     for (auto entry = steps_.begin(); entry != steps_.end(); ++entry)
     {
-        const step_record& of = entry->second;
-        const bool is_next =
-            waiting == steps_.end() || of.since < waiting->second.since;
-        if (!of.wanted.empty() && is_next)
+        const step_record& record = entry->second;
+        const bool is_older =
+            oldest == steps_.end() || record.since < oldest->second.since;
+        if (!record.wanted.empty() && is_older)
         {
-            waiting = entry;
+            oldest = entry;
         }
     }
-    if (waiting == steps_.end())
+    if (oldest == steps_.end())
     {
         return std::nullopt;
     }
-    out_ = advice_query{.step = waiting->first,
-                        .executors = std::move(waiting->second.wanted)};
-    waiting->second.wanted.clear();
+    out_ = advice_query{.step = oldest->first,
+                        .executors = std::move(oldest->second.wanted)};
+    oldest->second.wanted.clear();
     out_since_ = now;
     return out_;
 }
@@ -78,29 +81,29 @@
 void ticket_cache::answered(const std::optional<advice_answer>& answer,
                             time_point now)
 {
-    const advice_query question = out_.value();
+    const advice_query query = out_.value();
     out_.reset();
-    const auto found = steps_.find(question.step);
+    const auto found = steps_.find(query.step);
     if (found == steps_.end())
     {
         return; // forgotten meanwhile
     }
-    step_record& of = found->second;
-    of.not_before = answer ? time_point{} : now + options_.pause;
+    step_record& record = found->second;
+    record.not_before = answer ? time_point{} : now + options_.pause;
     if (!answer)
     {
         return;
     }
     const time_point until =
         out_since_ + std::chrono::milliseconds(answer->valid_ms);
-    for (const executor_incarnation& executor : question.executors)
+    for (const executor_incarnation& executor : query.executors)
     {
-        of.asked.insert(executor);
-        of.good.erase(executor);
+        record.asked.insert(executor);
+        record.good.erase(executor);
     }
     for (const auto& [executor, text] : answer->tickets)
     {
-        of.good[executor] = {.text = text, .until = until};
+        record.good[executor] = {.text = text, .until = until};
     }
 }
 
--- a/packages/scheduler/src/wait_report.cpp
+++ b/packages/scheduler/src/wait_report.cpp
@@ -9,31 +9,33 @@
 {
 
 // How far the search of one task gets at one worker.
-wait_cause last_test(const worker_record& at, const placement_query& query)
+wait_cause first_failed_check(const worker_record& worker,
+                              const placement_query& query)
 {
     const resources asked = reserved_by(query.step);
-    if (!has_label(at, query.step.label))
+    if (!has_label(worker, query.step.label))
     {
         return wait_cause::label;
     }
-    if (!asked.fits(at.description.capacity))
+    if (!asked.fits(worker.description.capacity))
     {
         return wait_cause::size;
     }
-    if (!asked.fits(at.eventual_capacity()))
+    if (!asked.fits(worker.eventual_capacity()))
     {
         return wait_cause::lasting;
     }
-    if (!asked.fits(at.free_capacity()))
+    if (!asked.fits(worker.free_capacity()))
     {
         return wait_cause::room;
     }
-    if (!is_below_step_bound(at, query))
+    if (!is_below_step_bound(worker, query))
     {
         return wait_cause::bound;
     }
-    const bool has_ticket = query.tickets == nullptr ||
-                            query.tickets->contains(at.description.executor);
+    const bool has_ticket =
+        query.tickets == nullptr ||
+        query.tickets->contains(worker.description.executor);
     return has_ticket ? wait_cause::harm : wait_cause::ticket;
 }
 
@@ -73,25 +75,27 @@
                          const placement_query& query,
                          const placement_options& options)
 {
-    wait_report found;
-    for (const auto& [guard, at] : workers)
+    wait_report report;
+    for (const auto& [guard, worker] : workers)
     {
-        if (!takes_runs(at, query.service, query.now, options))
+        if (!takes_runs(worker, query.service, query.now, options))
         {
             const bool closed =
-                at.closed && at.description.service == query.service;
-            found.cause = std::max(found.cause, closed ? wait_cause::closed
-                                                       : wait_cause::no_worker);
+                worker.closed && worker.description.service == query.service;
+            report.cause =
+                std::max(report.cause,
+                         closed ? wait_cause::closed : wait_cause::no_worker);
             continue;
         }
-        ++found.workers;
-        found.cause = std::max(found.cause, last_test(at, query));
-        found.free_millis =
-            std::max(found.free_millis, at.free_capacity().cpu_millis);
-        found.free_in_time_millis = std::max(found.free_in_time_millis,
-                                             at.eventual_capacity().cpu_millis);
+        ++report.workers;
+        report.cause =
+            std::max(report.cause, first_failed_check(worker, query));
+        report.free_millis =
+            std::max(report.free_millis, worker.free_capacity().cpu_millis);
+        report.free_in_time_millis = std::max(
+            report.free_in_time_millis, worker.eventual_capacity().cpu_millis);
     }
-    return found;
+    return report;
 }
 
 bool wait_log::is_due(const std::string& group, time_point now, duration gap)
@@ -102,8 +106,8 @@
         std::erase_if(told_, [&](const auto& entry)
                       { return now - entry.second >= gap; });
     }
-    const auto [found, fresh] = told_.try_emplace(group, now);
-    const bool due = fresh || now - found->second >= gap;
+    const auto [found, is_new] = told_.try_emplace(group, now);
+    const bool due = is_new || now - found->second >= gap;
     if (due)
     {
         found->second = now;
