--- a/packages/scheduler/src/entry_list.cpp
+++ b/packages/scheduler/src/entry_list.cpp
@@ -11,7 +11,8 @@
 namespace
 {
 
-// Best first: the largest, then by a hash that all holders share.
+// Sort key of successors: the most processors first, then a hash of the
+// address, so that all leaders use the same order.
 auto successor_order(const entry_heartbeat& heartbeat)
 {
     return std::tuple(-heartbeat.processors,
@@ -145,8 +146,8 @@
     declined_[address] = now;
 }
 
-// Begins at another place of the order for each, so that what one data centre
-// passes on does not all come to the same entry.
+// Starts at a different position for each asking entry, so that requests
+// forwarded from one data centre do not all reach the same entry.
 std::vector<std::string> entry_list::peers_of(const entry_heartbeat& asking,
                                               time_point now)
 {
--- a/packages/scheduler/src/interference_model.cpp
+++ b/packages/scheduler/src/interference_model.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-// Tasks without figures for so long have ended.
+// A task without samples for this long is taken to have ended.
 constexpr duration retention = std::chrono::seconds(10);
 
 } // namespace
@@ -73,7 +73,8 @@
     siblings.note(figure.task, std::move(sample), now);
 }
 
-// Learns from the difference of two figures of one load, if it says anything.
+// Learns from the difference of two samples under the same load. Returns false
+// if the headroom is too small or the usage differs too little to learn from.
 bool interference_model::compare(const std::string& serving,
                                  const headroom_sample& reference,
                                  const headroom_sample& sample)
@@ -163,7 +164,8 @@
     }
 }
 
-// Coordinate descent on the weighted squares, harms kept at zero or more.
+// Coordinate descent on weighted least squares, with coefficients kept
+// non-negative.
 void interference_model::solve(fit& estimate) const
 {
     const std::size_t size = estimate.harms.size();
--- a/packages/scheduler/src/job_order.cpp
+++ b/packages/scheduler/src/job_order.cpp
@@ -6,7 +6,7 @@
 namespace
 {
 
-// Above every configured priority: jobs of a queue that is gone go last.
+// Above every configured priority: jobs of a removed queue sort last.
 constexpr std::int64_t last_priority = 1'000'000;
 
 } // namespace
--- a/packages/scheduler/src/job_record.cpp
+++ b/packages/scheduler/src/job_record.cpp
@@ -114,7 +114,7 @@
     job_progress progress{.state = state_};
     if (is_final(state_) && !has_runs())
     {
-        return progress; // nothing is left to do: its tasks need no record
+        return progress; // ended everywhere: its tasks need no record
     }
     for (const job_task& task : tasks_)
     {
--- a/packages/scheduler/src/placement.cpp
+++ b/packages/scheduler/src/placement.cpp
@@ -9,12 +9,14 @@
 namespace
 {
 
-// Added to the score of a worker that the task should avoid: more than any
-// other difference can make.
+// Score penalty of a worker that the task should avoid: exceeds any other
+// difference in score.
 constexpr double avoided_penalty = 1000;
-// A fill that costs less headroom than this does not matter.
+// A best-effort run that costs a serving task less headroom than this is
+// ignored.
 constexpr double negligible_cost = 0.03;
-// Headroom where a fill harms nobody: above any that a tail can have.
+// Headroom assumed if best-effort work interferes with no serving task: above
+// any measurable headroom.
 constexpr double no_interference = 10;
 
 bool has_fill_capacity(const worker_record& worker,
@@ -39,7 +41,8 @@
                       : static_cast<double>(part) / static_cast<double>(whole);
 }
 
-// What fills may ask for in all: what serving and urgent tasks leave.
+// Processors available to all best-effort runs: the capacity without what
+// serving tasks use on average and what other runs reserve.
 double fill_capacity(const worker_record& worker,
                      const placement_options& options)
 {
@@ -49,8 +52,8 @@
            (static_cast<double>(worker.used.cpu_millis) - serving);
 }
 
-// The least headroom that serving tasks would have with one more fill, among
-// those that it harms; nothing if it harms none.
+// The lowest headroom, with one more best-effort run, of the serving tasks that
+// it interferes with; nothing if it interferes with none.
 std::optional<double> min_headroom_with(const worker_record& worker,
                                         const placement_query& query,
                                         const placement_options& options)
@@ -104,7 +107,7 @@
                    .value_or(no_interference) >= options.min_headroom;
 }
 
-// Where fills compete least, and where they harm least.
+// Lower where best-effort runs compete less for processors and interfere less.
 double fill_pressure(const worker_record& worker, const placement_query& query,
                      const placement_options& options)
 {
@@ -115,7 +118,7 @@
     return asked / std::max(fill_capacity(worker, options), 1.0) + 1 / headroom;
 }
 
-// The share of a worker that would be reserved, in its tightest dimension.
+// The share of the worker that would be reserved, in its tightest dimension.
 double fullness(const resources& used, const resources& asked,
                 const resources& capacity)
 {
@@ -124,8 +127,8 @@
         share(used.memory_mb + asked.memory_mb, capacity.memory_mb));
 }
 
-// Lower is better. Fills go where they compete least for processors, all
-// other tasks where most room is left in the tightest dimension.
+// Lower is better. Best-effort runs prefer the least competition and
+// interference, other runs the most free capacity in the tightest dimension.
 double score(const worker_record& worker, const placement_query& query,
              const placement_options& options)
 {
@@ -153,8 +156,7 @@
     {
         value += options.far_penalty;
     }
-    // All that is unproven would be a suspect's company, and suspects that of
-    // any other task.
+    // A suspect avoids unproven runs; any other task avoids suspects.
     const std::size_t neighbours =
         query.isolated ? worker.unproven.size() : worker.suspects.size();
     value += options.unproven_penalty * static_cast<double>(neighbours);
--- a/packages/scheduler/src/scheduler_closing.cpp
+++ b/packages/scheduler/src/scheduler_closing.cpp
@@ -1,4 +1,4 @@
-// Data centres that an operator closes to new runs.
+// Closure of data centres to new runs by an operator.
 
 #include <springstair/scheduler.hpp>
 
@@ -31,7 +31,7 @@
     }
 }
 
-// Whether what is known of data centres is young enough to decide starts.
+// Whether the known closures are recent enough to start runs.
 bool scheduler_core::may_start(time_point now)
 {
     const bool was_withheld =
@@ -45,9 +45,9 @@
     return !withheld_;
 }
 
-// Until when a worker's guard may begin what is ordered now, by its own clock:
-// neither after its runs are given up here, nor after a closure that this
-// holder has not heard of may bind.
+// The latest time, by the guard's own clock, at which it may begin a run
+// ordered now: neither after this scheduler gives its runs up, nor after a
+// closure that this leader does not know yet may take effect.
 std::int64_t scheduler_core::starts_until_ms(const worker_record& worker) const
 {
     const time_point until = data_centres_.starts_until();
@@ -57,8 +57,8 @@
     }
     const std::int64_t by_closure =
         to_milliseconds(until - time_point{}) + worker.clock_ahead_ms;
-    // No bound is told by 0; a bound that lies before the guard's first
-    // reading is as good as that reading.
+    // On the wire, 0 means no bound. A bound that lies before the zero of the
+    // guard's clock is therefore sent as 1.
     return std::max<std::int64_t>(1,
                                   std::min(worker.starts_until_ms, by_closure));
 }
--- a/packages/scheduler/src/scheduler_core.cpp
+++ b/packages/scheduler/src/scheduler_core.cpp
@@ -1,4 +1,4 @@
-// Office, acceptance and what callers see.
+// Terms, acceptance of jobs, orders and the state shown to callers.
 
 #include <springstair/scheduler.hpp>
 
@@ -10,7 +10,8 @@
 namespace
 {
 
-// A job's age is only used to order it; clocks may jump.
+// A job's age serves only to order it; the limit bounds the effect of clock
+// jumps.
 constexpr std::int64_t max_age_ms = 600'000;
 
 } // namespace
@@ -115,7 +116,8 @@
         return;
     }
     finish(*record, job_state::cancelled, now, {});
-    record->shown = job_state::cancelled; // the store has the cancellation
+    // The cancellation is already in the store.
+    record->shown = job_state::cancelled;
     mark_changed(*record, now);
     stop_all(*record);
 }
@@ -134,7 +136,7 @@
             .task = record == nullptr ? nullptr : record->find(parsed->at)};
 }
 
-// Whether a run that a worker tells of is the newest of its task.
+// Whether a run that a worker reports is the current run of its task.
 bool scheduler_core::is_current_run(const job_task* task, std::int64_t run,
                                     const worker_record& worker)
 {
@@ -190,7 +192,7 @@
 }
 
 // ---------------------------------------------------------------------------
-// What is seen from outside
+// State shown to callers, metrics and log
 // ---------------------------------------------------------------------------
 
 std::optional<job_state> scheduler_core::shown(const std::string& id,
@@ -206,7 +208,8 @@
     {
         return record->shown;
     }
-    // An end that the store may have is shown by whoever reads it there.
+    // A final state may already be in the store: then the caller's entry reads
+    // it from there.
     if (is_final(record->sent) || now - verified_at > options_.max_read_age)
     {
         return std::nullopt;
--- a/packages/scheduler/src/scheduler_diagnostics.cpp
+++ b/packages/scheduler/src/scheduler_diagnostics.cpp
@@ -1,4 +1,4 @@
-// What is told of tasks that wait and of how lasting jobs are served.
+// Logs why tasks wait, and the availability of long-running jobs.
 
 #include <springstair/scheduler.hpp>
 
--- a/packages/scheduler/src/scheduler_ends.cpp
+++ b/packages/scheduler/src/scheduler_ends.cpp
@@ -1,4 +1,4 @@
-// What an end of a run means for its task, its job and its worker.
+// Effects of the end of a run on its task, job and worker.
 
 #include <springstair/scheduler.hpp>
 
@@ -10,7 +10,8 @@
 namespace
 {
 
-// The tasks of steps that the end of a task has opened wait from now on.
+// Starts the waiting time of the tasks in steps that the finished task has
+// opened.
 void mark_opened_tasks_ready(job_record& record, const task_position& done,
                              time_point now)
 {
@@ -80,8 +81,8 @@
     mark_changed(record, now);
 }
 
-// Members end together: one done stands for all, any other end brings the
-// rest down before the gang may run again.
+// All members end together: if one is done, all are done; on any other end the
+// remaining members are stopped before the gang may run again.
 void scheduler_core::close_gang(job_record& record,
                                 const task_position& position, run_end outcome,
                                 time_point now)
@@ -132,7 +133,7 @@
           {"table_version", std::to_string(table_.version)}});
 }
 
-// One task of a job can not be done: the others stop.
+// Fails the job because one task cannot be done, and stops its other tasks.
 void scheduler_core::fail(job_record& record, const job_task& task,
                           time_point now, std::vector<event_field> fields)
 {
@@ -148,9 +149,10 @@
     stop_all(record);
 }
 
-// Whether an end says something of the worker. A task that has failed on
-// several workers says nothing about any of them, nor does a job that fails
-// again; what began before the worker was put out has been judged by that.
+// Whether an end is evidence for or against the worker; only success and
+// failure are. A failure is not if the job has also failed on other workers, or
+// was the last to fail on this one: then the job may be at fault. Runs ordered
+// before the end of the last ejection were accounted for by it.
 bool scheduler_core::is_evidence_of_fault(const worker_record& worker,
                                           const job_record& record,
                                           const task_run& run, run_end outcome)
@@ -169,7 +171,8 @@
     return worker.failed_job != record.definition().id && !failed_elsewhere;
 }
 
-// A worker that fails what it starts gets no work for a while.
+// Updates the fault score of a worker and ejects it for a time when it is
+// faulty.
 void scheduler_core::update_fault_score(worker_record& worker,
                                         const job_record& record,
                                         const task_run& run, run_end outcome,
@@ -265,8 +268,8 @@
     }
 }
 
-// The worker remembers a stop, so that a start under way does nothing either;
-// a run that was not ordered yet will not be.
+// Orders a stop. The worker remembers it, so that a start still in flight has
+// no effect; a run whose start was not sent yet is never started.
 void scheduler_core::order_stop(task_run& run, const std::string& task,
                                 guard_orders& out)
 {
--- a/packages/scheduler/src/scheduler_learning.cpp
+++ b/packages/scheduler/src/scheduler_learning.cpp
@@ -1,4 +1,5 @@
-// What is learnt from workers' figures, and what their guards are told of it.
+// Learns interference from worker reports and selects what guards receive of
+// it.
 
 #include <springstair/scheduler.hpp>
 
@@ -7,8 +8,8 @@
 namespace springstair
 {
 
-// Each report shows serving tasks' tails beside the fills that worked at the
-// same time.
+// Each report shows the tail latency of serving tasks and the processor use of
+// best-effort runs at the same time.
 void scheduler_core::learn_interference(worker_record& worker,
                                         const worker_report& report,
                                         time_point now)
--- a/packages/scheduler/src/scheduler_leases.cpp
+++ b/packages/scheduler/src/scheduler_leases.cpp
@@ -1,4 +1,4 @@
-// How long the lease of a worker may last, and when it has to be over.
+// Lease grants to guards, and leases that must expire.
 
 #include <springstair/scheduler.hpp>
 
@@ -7,10 +7,10 @@
 namespace springstair
 {
 
-// For how long a guard may extend its worker's lease. One that has not looked
-// at its worker may extend runs that nobody has seen: not beyond the time for
-// which a new holder waits for them, counted from its own begin, since permits
-// of earlier holders end by then.
+// How far a guard may extend its worker's lease. A guard that has not polled
+// its worker may extend runs that are not visible to this leader. Its grant
+// then ends within the time that a new leader waits for such runs, counted from
+// the start of its term: grants of previous leaders end by then.
 duration scheduler_core::lease_grant_for(const worker_report& report,
                                          time_point now,
                                          time_point verified_at) const
@@ -24,8 +24,8 @@
                       options_.lease_grant);
 }
 
-// Whether an end as done is that of a run which was given up: another one takes
-// its place, or has.
+// Whether the end reports success of a run that was given up, so that another
+// run replaces or has replaced it.
 bool scheduler_core::is_end_given_up(const worker_record& worker,
                                      const ended_task& end)
 {
@@ -40,17 +40,18 @@
     return !is_current && !is_applied;
 }
 
-// A run is given up when every lease there has surely run out, by what its
-// guard has told. A start that the next life of its executor took has a longer
-// one, of which a guard that is cut off cannot tell. Acknowledged within it,
-// its end as done would count, beside the run that has taken its place. So the
-// worker gets no lease until that one is over; nothing else of ours is there.
+// A run is given up when, by its guard's reports, every lease there must have
+// expired. The executor's next incarnation may have taken a start under a
+// longer lease, which a disconnected guard cannot report. If its success were
+// acknowledged within that lease, it would count in addition to the replacement
+// run. So the worker gets no lease grant until that lease expires; no other run
+// of ours is on it.
 void scheduler_core::check_lease_must_expire(worker_record& worker,
                                              const worker_report& report,
                                              bool knows_incarnation)
 {
     const bool was_set = worker.lease_must_expire;
-    // What was noted once is on its way to be acknowledged.
+    // Ends up to this number are already applied and will be acknowledged.
     const std::int64_t noted =
         worker.description.executor == report.worker.executor ? worker.noted
                                                               : 0;
@@ -83,7 +84,7 @@
         report.sent_ms - to_milliseconds(now - time_point{});
     const duration with_drift =
         from_seconds(to_seconds(lease_grant) * (1 + options_.clock_drift));
-    // What an earlier holder permitted may still be in force.
+    // A grant of a previous leader may still be in force.
     const duration previous_grant = std::chrono::milliseconds(report.lease_ms);
     const duration max_remaining = std::max(with_drift, previous_grant);
     if (max_remaining > duration{0})
--- a/packages/scheduler/src/scheduler_losses.cpp
+++ b/packages/scheduler/src/scheduler_losses.cpp
@@ -1,4 +1,4 @@
-// Runs that are over without a listed end, and the tasks behind crashes.
+// Lost runs, and the detection of tasks that crash executors.
 
 #include <springstair/scheduler.hpp>
 
@@ -7,8 +7,8 @@
 namespace springstair
 {
 
-// Another life of the executor: all that ran there is gone, but for what the
-// same executor has taken in its next life.
+// Handles a new incarnation of the executor: the runs of the past one are lost,
+// except those that the same executor took in its new incarnation.
 void scheduler_core::on_executor_restart(worker_record& worker,
                                          const worker_report& report,
                                          time_point now)
@@ -39,7 +39,7 @@
         suspects.erase(name);
     }
     lose_worker(worker, runs.over, end_proof::incarnation_ended(), now);
-    outbox_.erase(worker.guard); // meant for the life before
+    outbox_.erase(worker.guard); // addressed to the past incarnation
     follow_restart(worker, runs, report.worker.executor, now);
     suspect_unwitnessed(worker, suspects, now);
     worker.previously_lost_at = worker.lost_at;
@@ -51,7 +51,7 @@
     worker.ejected_until = {};
 }
 
-// What has become of runs of a life that is over, by a whole look at the next.
+// Sorts the runs of a past incarnation by a whole report of the next one.
 scheduler_core::runs_after_restart
 scheduler_core::after_restart(const std::set<task_name>& runs,
                               const worker_report& report)
@@ -86,8 +86,9 @@
 }
 
 // Calls name their executor by its id alone, so a start can reach the next
-// life. What is listed there is that run; what nobody can tell of is stopped
-// there first: lost at once, it began later beside the next run of its task.
+// incarnation. A run listed there is that start. A run whose start may still
+// arrive is first stopped there: if it were declared lost at once, it could
+// begin later beside the next run of its task.
 void scheduler_core::follow_restart(worker_record& worker,
                                     const runs_after_restart& runs,
                                     const executor_incarnation& next,
@@ -119,14 +120,14 @@
     mark_changed(record, now);
 }
 
-// Whether the loss of a run says nothing new of its task.
+// Whether the loss of a run adds no evidence about its task.
 bool scheduler_core::is_judged(const job_record& record, const job_task& task,
                                std::int64_t run)
 {
     return is_final(record.state()) || task.done || run <= task.judged_run;
 }
 
-// Runs, by their task, that may have been at their start just now.
+// Run numbers, by task, of the runs that may have been starting at the crash.
 std::map<task_name, std::int64_t>
 scheduler_core::unproven_runs(const worker_record& worker)
 {
@@ -143,10 +144,11 @@
     return runs;
 }
 
-// The guard that could say what had begun went with its executor, or was
-// stopped at that moment. Each of these runs may have been the cause; it counts
-// as if the whole rack had gone, and never as a crash that is sure. Without it,
-// a task whose first two crashes nobody saw was started six times.
+// Raises suspicion when the guard that could report which runs had begun was
+// lost with its executor, or was stopped then. Each of these runs may be the
+// cause. The loss counts like that of a whole rack, never as a sure crash.
+// Without this, a task whose first two crashes were not observed was started
+// six times.
 void scheduler_core::suspect_unwitnessed(
     const worker_record& worker, const std::map<task_name, std::int64_t>& runs,
     time_point now)
@@ -167,7 +169,7 @@
     }
 }
 
-// When the executor of a former life went, as far as it is known.
+// When a past incarnation of the executor was lost, as far as known.
 time_point scheduler_core::end_of(const past_incarnation& past,
                                   const worker_record& worker,
                                   const worker_report& report, time_point now)
@@ -181,15 +183,15 @@
                : worker.previously_lost_at;
 }
 
-// Whether half of the executors of its rack went at the same moment. Others
-// that are away for reasons of their own say nothing: with them, a few tasks
-// that crash executors hid one another.
+// Whether at least half of the executors of the rack were lost at the same
+// time. Executors unavailable for other reasons do not count: when they did, a
+// few tasks that crash executors hid one another.
 bool scheduler_core::went_with_its_rack(const worker_record& worker,
                                         time_point now) const
 {
     if (worker.description.rack.empty())
     {
-        return false; // nobody said what it shares with others
+        return false; // its rack is unknown
     }
     const auto is_simultaneous = [&](time_point other)
     {
@@ -216,10 +218,10 @@
     return lost > 1 && 2 * lost >= total;
 }
 
-// Every lease that a guard asked for has run out. What was seen at work there
-// is over. What was ordered and not seen may still wait in its guard for the
-// worker to answer: it is void only once the permit for it has run out, and a
-// guard gets none for a worker that has lapsed.
+// Every lease that the guard asked for has expired: runs that were seen there
+// are lost. A run that was ordered but not seen may still wait in the guard for
+// the worker to answer. It is void only once the lease grant for it has
+// expired; a guard gets no grant for a worker whose lease has expired.
 void scheduler_core::lose_lapsed(worker_record& worker,
                                  const worker_report& report, time_point now)
 {
@@ -252,8 +254,9 @@
     lose_runs(std::set<task_name>(runs), proof, now);
 }
 
-// Runs of an earlier holder: those of this life are entered into the ledger,
-// those of another are gone, unless this one has taken them or may.
+// Takes over the runs that a previous leader placed. Runs of the current
+// incarnation enter the ledger; those of another are lost, unless the current
+// one has taken them or still may.
 void scheduler_core::adopt_inherited(worker_record& worker,
                                      const worker_report& report,
                                      time_point now)
@@ -292,8 +295,8 @@
     suspect_unwitnessed(worker, suspects, now);
 }
 
-// Runs of an earlier holder that went with their executor, or may have, where
-// no guard tells of it.
+// Runs of a previous leader that were, or may have been, lost with their
+// executor and that no guard reports on.
 std::map<task_name, std::int64_t>
 scheduler_core::unwitnessed_runs(const runs_after_restart& runs,
                                  const worker_report& report)
@@ -329,8 +332,8 @@
     watch_suspect(worker, *record.find(name.at), name);
 }
 
-// Until a suspect has proved itself, others go elsewhere if they can; beside
-// one that runs apart nothing else is started.
+// Until a suspect is proven, other tasks avoid its worker where possible;
+// beside an isolated suspect nothing else is started.
 void scheduler_core::watch_suspect(worker_record& worker, const job_task& task,
                                    const task_name& name)
 {
@@ -371,10 +374,10 @@
 }
 
 // ---------------------------------------------------------------------------
-// Who is behind a crash
+// Blame for executor crashes
 // ---------------------------------------------------------------------------
 
-// Guards repeat what went with a former life; each is judged once.
+// Guards report the same past incarnations repeatedly; each is judged once.
 void scheduler_core::judge_crashes(worker_record& worker,
                                    const worker_report& report, time_point now)
 {
@@ -390,8 +393,8 @@
     }
     if (report.whole)
     {
-        worker.judged_incarnations =
-            std::move(listed); // the others are told no more
+        // Drops the incarnations that are no longer reported.
+        worker.judged_incarnations = std::move(listed);
     }
 }
 
@@ -434,7 +437,7 @@
     }
 }
 
-// Who may have caused a crash, those of jobs that have ended among them.
+// Counts the runs that may have caused a crash, those of ended jobs included.
 scheduler_core::unproven_neighbours
 scheduler_core::unproven_neighbours_in(const past_incarnation& past)
 {
@@ -487,7 +490,7 @@
                      .is_sole = count.is_sole || count.is_gang,
                      .is_sure = count.is_sure}))
     {
-        // It takes more from others than its job is worth.
+        // Going on would cost other jobs more than this job is worth.
         fail(record, task, now,
              {{"why", "it crashes the executors that start it"},
               {"crashes", std::to_string(task.crashes)},
@@ -496,7 +499,8 @@
     mark_changed(record, now);
 }
 
-// A run that goes on well speaks for its task.
+// A run that has lived long enough is proven and ends its isolation; after
+// longer it clears the suspicion of its task.
 void scheduler_core::note_soundness(worker_record& worker, job_task& task,
                                     const task_name& name)
 {
--- a/packages/scheduler/src/scheduler_moves.cpp
+++ b/packages/scheduler/src/scheduler_moves.cpp
@@ -1,12 +1,12 @@
-// Which runs leave their worker for another one.
+// Relocation and preemption: runs that leave their worker for another one.
 
 #include <springstair/scheduler.hpp>
 
 namespace springstair
 {
 
-// Fills that stand in the way here may be welcome elsewhere. Only runs that
-// lose nothing by a stop move.
+// Relocates best-effort runs that are throttled here and may be tolerated
+// elsewhere. Only runs that lose no work by a stop are relocated.
 void scheduler_core::relocate_slowed(worker_record& worker,
                                      const worker_report& report,
                                      guard_orders& out, time_point now)
@@ -82,9 +82,9 @@
                   {"pace", std::to_string(pace)}});
 }
 
-// A step that may run on few workers waits for as long as lasting runs fill
-// them, though others have room. Where shorter runs will free none in time, one
-// lasting run after the other goes elsewhere.
+// Preempts for a step that may run on few workers only. Long-running runs can
+// fill these workers while others have free capacity. Where shorter runs will
+// not free enough in time, one long-running run after the other is relocated.
 void scheduler_core::preempt_lasting(const placement_query& query,
                                      const job_record& record,
                                      const job_task& task)
@@ -131,8 +131,8 @@
     }
 }
 
-// What a worker will have once shorter runs, and those that are being stopped,
-// have ended.
+// The capacity that will be free once all short runs, and the long-running runs
+// that are being stopped, have ended.
 resources scheduler_core::room_after_stops(const worker_record& worker)
 {
     resources capacity = worker.eventual_capacity();
@@ -148,8 +148,8 @@
     return capacity;
 }
 
-// Whether a lasting run may be stopped to run elsewhere: its step misses no
-// more tasks than it may.
+// Whether a long-running run may be stopped to run elsewhere: its step must not
+// miss more tasks than allowed.
 bool scheduler_core::is_preemptible(const task_name& name)
 {
     job_record& record = *job_of(name.job);
@@ -167,8 +167,8 @@
     return step.most_missing == 0 || missing < step.most_missing;
 }
 
-// A worker that leaves takes down what runs there: what lasts moves at once,
-// the rest when little time remains.
+// Stops runs on a worker that is about to leave: long-running ones at once, the
+// others when little time remains.
 void scheduler_core::drain_leaving_worker(worker_record& worker,
                                           guard_orders& out, time_point /*now*/)
 {
--- a/packages/scheduler/src/scheduler_placing.cpp
+++ b/packages/scheduler/src/scheduler_placing.cpp
@@ -1,4 +1,4 @@
-// Which waiting task goes to which worker.
+// Placement of waiting tasks on workers.
 
 #include <springstair/scheduler.hpp>
 
@@ -29,7 +29,7 @@
     return std::min(due, schedule.count);
 }
 
-// When the first round that is not due yet will be.
+// When the given round becomes due.
 std::int64_t due_ms_of(const job& definition, std::int64_t round)
 {
     return definition.schedule.first_due_ms +
@@ -94,7 +94,7 @@
     }
 }
 
-// Gives whether the job may have more to place later.
+// Returns whether the job may have more tasks to place later.
 bool scheduler_core::place_job(job_record& record, time_point now,
                                std::int64_t unix_ms)
 {
@@ -135,8 +135,8 @@
     return more;
 }
 
-// The workers that may run a step of a queue with advice, by its tickets. Asks
-// about those with most room that it has not asked about.
+// The valid tickets for a step of a queue with advice, by worker. Also requests
+// missing and expired ones, for the workers with the most free capacity first.
 ticket_map scheduler_core::tickets_for(const job_step& step,
                                        const std::string& group,
                                        const queue_row& queue, time_point now)
@@ -196,7 +196,7 @@
             continue;
         }
         const bool batching = is_batching(record, step_definition, now);
-        may_place_ = may_place_ || batching; // it ends with time alone
+        may_place_ = may_place_ || batching; // no event ends the batch window
         if (batching || now < task.not_before)
         {
             has_waiting = true;
@@ -245,7 +245,8 @@
     return has_waiting;
 }
 
-// Whether tasks of a lasting job wait for others that come with it.
+// Whether tasks of a long-running job wait to be placed together with other
+// such jobs.
 bool scheduler_core::is_batching(const job_record& record, const job_step& step,
                                  time_point now) const
 {
@@ -254,9 +255,9 @@
            now - record.accepted < options_.max_lasting_batch_wait;
 }
 
-// Starts a suspect where nothing else is started until it has proved itself. A
-// crash names it only if the others there have: so a worker is kept for it, and
-// takes nothing new, until they have.
+// Starts a suspect on a worker where nothing else is started until it is
+// proven. A crash identifies it only if the other runs there are proven. So a
+// worker is reserved for it and takes no new runs until they are.
 bool scheduler_core::place_isolated(placement_query query, job_record& record,
                                     job_task& task, const ticket_map& tickets)
 {
@@ -279,8 +280,8 @@
     return true;
 }
 
-// The worker that is kept for a suspect, or may be from now on: it has room, or
-// will have once shorter runs have ended.
+// The worker that is reserved for a suspect, or a newly reserved one. It has
+// free capacity, or will have once shorter runs have ended.
 worker_record* scheduler_core::isolation_worker(const placement_query& query,
                                                 time_point ready_since)
 {
@@ -313,7 +314,7 @@
     return worker;
 }
 
-// Whether a worker is still kept for a suspect that waits.
+// Whether the reservation of a worker for a waiting suspect is still valid.
 bool scheduler_core::is_isolation_valid(const worker_record& worker,
                                         time_point now)
 {
@@ -323,8 +324,9 @@
            record->find(worker.reserved_for->at)->is_waiting();
 }
 
-// Keeps workers free for tasks that no worker can take now. Those behind them
-// would else take each piece of room before it is large enough.
+// Reserves workers for tasks that no worker can take now. Otherwise the tasks
+// behind them would take each piece of freed capacity before it is large
+// enough.
 void scheduler_core::reserve_workers(const placement_query& query,
                                      std::int64_t tasks)
 {
@@ -460,8 +462,9 @@
              fits_one ? std::optional(wait_cause::gang) : std::nullopt);
 }
 
-// One worker a member, chosen on a copy of the ledger; empty if they do not
-// all fit. A gang that wants one rack is tried rack by rack first.
+// Chooses one worker per member on a copy of the ledger; empty if not all fit.
+// A gang that wants a single rack is tried on each rack first, then on all
+// workers.
 std::vector<worker_record*>
 scheduler_core::gang_workers(job_record& record, const queue_row& queue,
                              const task_position& first,
--- a/packages/scheduler/src/scheduler_reports.cpp
+++ b/packages/scheduler/src/scheduler_reports.cpp
@@ -1,4 +1,4 @@
-// What guards report, and what they are told.
+// Reports of guards and the answers to them.
 
 #include <springstair/scheduler.hpp>
 
@@ -27,15 +27,15 @@
     const bool is_known_guard = worker.incarnation == report.incarnation;
     if (!is_known_guard)
     {
-        worker.starts_until_ms =
-            0; // its VM may have booted: its clock began anew
+        // The VM may have rebooted and its clock restarted.
+        worker.starts_until_ms = 0;
     }
     worker.incarnation = report.incarnation;
     worker.sequence = report.sequence;
     worker.address = report.address;
     worker.reported = now;
-    // A life that its guard has not heard itself may be a former one, and only
-    // a whole report shows what a new one has taken.
+    // An incarnation that the guard has not polled itself may be a past one,
+    // and only a whole report shows which runs a new one has taken.
     const bool knows_incarnation =
         !report.worker.executor.empty() &&
         ((report.looked && report.whole) ||
@@ -90,8 +90,9 @@
     return answer;
 }
 
-// Whether a report is the newest word of a guard: a later one of the present
-// incarnation, or one of another that has repeated its admission.
+// Whether a report is not stale: it is a later one of the known guard
+// incarnation, or one of another incarnation that repeats the admission offered
+// to it.
 bool scheduler_core::is_admitted(worker_record& worker,
                                  const worker_report& report,
                                  report_answer& answer)
@@ -185,9 +186,9 @@
                                { return row.task == task && row.run == run; });
 }
 
-// Whether a report that gives a run back shows that it is there all the same:
-// it runs, or another copy of its order is kept. Then it may go on or begin.
-// Reports between the whole ones list neither, and show nothing.
+// Whether a report that refuses a run shows that the run is there all the same:
+// it runs, or the guard has another copy of its order. Then it may continue or
+// begin. Partial reports list neither, and show nothing.
 bool scheduler_core::report_shows(const worker_report& report,
                                   const refused_run& refusal)
 {
@@ -265,7 +266,8 @@
     }
 }
 
-// Another run of the task may be at work elsewhere, or its end be kept.
+// Logs an orphan with the state of its task: another run may be executing
+// elsewhere, or the task may be done.
 void scheduler_core::note_unwanted(const worker_record& worker,
                                    const running_task& running,
                                    const job_task* task)
@@ -284,9 +286,9 @@
     log_decision(event_id::run_unwanted, std::move(fields));
 }
 
-// A copy of an order can come after its run was given back. The guard hears of
-// it with the answer, before its worker takes it. The number covers every run
-// that the task has had: none of them may begin there any more.
+// A duplicate of a start order can arrive after its run was refused. The answer
+// stops it in the guard before its worker takes it. The run number covers every
+// run that the task has had: none of them may begin there any more.
 void scheduler_core::stop_unwanted_starts(const worker_record& worker,
                                           const worker_report& report,
                                           guard_orders& out)
@@ -296,7 +298,7 @@
         const job_task* const task = known(name).task;
         if (task == nullptr)
         {
-            continue; // it is stopped once it is seen
+            continue; // stopped once it runs
         }
         const bool is_current =
             task->run && is_current_run(task, task->run->number, worker);
@@ -307,7 +309,8 @@
     }
 }
 
-// A run that stands still is stopped, and the task runs elsewhere.
+// Records progress. A run without progress is stopped, and its task runs
+// elsewhere.
 void scheduler_core::note_progress(worker_record& worker, task_run& run,
                                    const job_step& step,
                                    const running_task& running, time_point now)
@@ -347,9 +350,9 @@
     }
 }
 
-// Runs that the store has but the worker does not show: the start was lost,
-// or an earlier holder fell before it sent one. A start is sent again; the
-// worker takes each run once.
+// Repeats the start of committed runs that the worker does not show: the start
+// was lost, or a previous leader failed before it sent one. The worker takes
+// each run once.
 void scheduler_core::repeat_missing(worker_record& worker,
                                     const worker_report& report,
                                     guard_orders& out, time_point now)
@@ -387,7 +390,8 @@
     }
 }
 
-// The first repeat is of an order that was lost; more of them need a reason.
+// Logs repeated starts from the second on: the first repeat is explained by a
+// lost order.
 void scheduler_core::log_missing_run(const worker_record& worker,
                                      const worker_report& report, task_run& run,
                                      const std::string& task)
--- a/packages/scheduler/src/scheduler_writing.cpp
+++ b/packages/scheduler/src/scheduler_writing.cpp
@@ -1,8 +1,7 @@
-// What the store gets, and in which order.
-//
-// A successor counts on every run that the store has. So a placement is kept no
-// earlier than the ends whose room it uses: else, after a takeover in between,
-// both count, and the worker gets more than fits.
+// Commits to the store and their order. A successor counts every run in the
+// store. So a placement is committed no earlier than the ends whose capacity it
+// uses: otherwise, after a takeover in between, both count and the worker is
+// overcommitted.
 
 #include <springstair/scheduler.hpp>
 
@@ -12,7 +11,7 @@
 {
 
 // ---------------------------------------------------------------------------
-// Records that belong together
+// Records that must be written together
 // ---------------------------------------------------------------------------
 
 void scheduler_core::note_freed(const std::string& guard,
@@ -29,7 +28,7 @@
     return record == nullptr || record->committed_change >= change;
 }
 
-// Ends at a worker that the store may not have yet, by their job.
+// Ends at a worker, by job, that may not be committed yet.
 const std::map<std::string, scheduler_core::uncommitted_end>&
 scheduler_core::find_uncommitted_ends(const std::string& guard)
 {
@@ -39,8 +38,8 @@
     return ends;
 }
 
-// Of these, the ones that a run of a step needs the store to have: all, if it
-// has no room at the worker without them.
+// The uncommitted ends that must be committed before a run of a step: all, if
+// the worker has no free capacity for it without them.
 const std::map<std::string, scheduler_core::uncommitted_end>&
 scheduler_core::ends_needed(const worker_record& worker, const job_step& step)
 {
@@ -67,8 +66,8 @@
     }
 }
 
-// The records to be written with one, itself among them: those whose ends its
-// placements need, and what those need in turn.
+// The records to be written together with one, itself included: those whose
+// ends its placements need, and transitively what those need.
 std::set<std::string> scheduler_core::written_with(const std::string& id)
 {
     std::set<std::string> found{id};
@@ -90,17 +89,18 @@
     return found;
 }
 
-// Whether one write can take a job's record, with what belongs to it, once it
-// has placements of a step at these workers. Else nothing is placed there
-// before the next write: records that need each other must never be too many
-// for one.
+// Whether a job's record still fits into one write, with all records it
+// requires, once it has placements of a step at these workers. Otherwise
+// nothing is placed there before the next write: records that require each
+// other must never exceed one write.
 bool scheduler_core::can_be_written(const std::string& id, const job_step& step,
                                     const std::vector<worker_record*>& chosen)
 {
     std::set<std::string> records = written_with(id);
     for (const worker_record* const worker : chosen)
     {
-        // Members of a gang that share a worker use more of its room than one.
+        // Gang members that share a worker use more of its capacity than a
+        // single run.
         const auto& ends = chosen.size() == 1
                                ? ends_needed(*worker, step)
                                : find_uncommitted_ends(worker->guard);
@@ -135,7 +135,7 @@
            now - record.uncommitted_since >= options_.end_batch_delay;
 }
 
-// The jobs of the next write, those that wait longest first.
+// The jobs of the next write, in the order in which they became dirty.
 std::set<std::string> scheduler_core::jobs_to_write(time_point now)
 {
     std::set<std::string> jobs;
@@ -221,7 +221,8 @@
             guard_orders& out = outbox_[task.run->guard];
             if (found->second.closed)
             {
-                // It must not begin where its data centre has closed meanwhile.
+                // The data centre has closed since the placement: the run must
+                // not begin.
                 const task_name name{record.definition().id,
                                      record.position_of(task)};
                 order_stop(*task.run, name.text(), out);
--- a/packages/scheduler/src/sibling_headroom.cpp
+++ b/packages/scheduler/src/sibling_headroom.cpp
@@ -6,10 +6,10 @@
 namespace
 {
 
-// An older figure is of another load: it swings over some ten seconds, and
-// figures come twice a second.
+// An older sample belongs to a different load: the load swings over about ten
+// seconds, and samples arrive twice a second.
 constexpr duration max_figure_age = std::chrono::milliseconds(700);
-// Fewer others say more of themselves than of the load.
+// The mean of fewer siblings reflects these tasks more than the common load.
 constexpr std::size_t min_others = 2;
 
 } // namespace
@@ -83,7 +83,7 @@
     }
     if (of_.empty())
     {
-        headroom_ = 0; // no rounding is carried on
+        headroom_ = 0; // discards accumulated rounding errors
         beside_.clear();
     }
 }
--- a/packages/scheduler/src/ticket_cache.cpp
+++ b/packages/scheduler/src/ticket_cache.cpp
@@ -86,7 +86,7 @@
     const auto found = steps_.find(query.step);
     if (found == steps_.end())
     {
-        return; // forgotten meanwhile
+        return; // forgotten in the meantime
     }
     step_record& record = found->second;
     record.not_before = answer ? time_point{} : now + options_.pause;
--- a/packages/scheduler/src/wait_report.cpp
+++ b/packages/scheduler/src/wait_report.cpp
@@ -8,7 +8,8 @@
 namespace
 {
 
-// How far the search of one task gets at one worker.
+// The first placement check that a worker fails for a task. Interference is the
+// cause if it passes all others.
 wait_cause first_failed_check(const worker_record& worker,
                               const placement_query& query)
 {
--- a/packages/scheduler/src/worker_ledger.cpp
+++ b/packages/scheduler/src/worker_ledger.cpp
@@ -43,7 +43,7 @@
 namespace
 {
 
-// Adds to a count by name, and forgets names that come to nothing.
+// Adds to a count by name and removes counts that reach zero.
 void add(std::map<std::string, std::int64_t>& counts, const std::string& name,
          std::int64_t amount)
 {
