--- a/packages/platform/include/springstair/detail/platform/platform_client.hpp
+++ b/packages/platform/include/springstair/detail/platform/platform_client.hpp
@@ -12,10 +12,10 @@
 namespace springstair
 {
 
-/// @brief Called with a worker's list, or with nothing if it gave none.
+/// @brief Called with the worker's list, or with nothing on failure.
 using list_completion = std::function<void(std::optional<worker_list>)>;
 
-/// @brief Anything that runs tasks for a guard.
+/// @brief A type that runs tasks for a guard.
 template <class Worker>
 concept task_worker = requires(Worker& worker, const worker_action& what,
                                list_completion done)
@@ -24,18 +24,18 @@
     worker.carry_out(what);
 };
 
-/// @brief A worker behind its JSON interface.
+/// @brief Client for the JSON interface of a worker.
 class worker_client
 {
 public:
-    /// @param client carries the calls; must outlive this
+    /// @param client makes the calls; must outlive this
     /// @param address of the worker, `ip:port`
-    /// @param lease for which the worker runs a task unless renewed
+    /// @param lease how long the worker runs a task without a renewal
     worker_client(http_client& client, std::string address, duration lease);
 
-    /// @brief Asks what runs.
+    /// @brief Requests the list of what runs.
     void list(list_completion done);
-    /// @brief Sends a command. What became of it shows in the list.
+    /// @brief Sends a command. Its effect is visible in the next list.
     void carry_out(const worker_action& what);
 
 private:
@@ -46,7 +46,7 @@
     duration lease_;
 };
 
-/// @brief Called with the VMs, or with nothing if there was no answer.
+/// @brief Called with the VMs, or with nothing on failure.
 using vm_completion =
     std::function<void(std::optional<std::vector<listed_vm>>)>;
 
@@ -55,12 +55,13 @@
 void fetch_vms(http_client& client, const std::string& address,
                vm_completion done);
 
-/// @brief Reads the platform's list of VMs.
-/// @throw nlohmann's exceptions if it is not one
+/// @brief Parses the platform's list of VMs.
+/// @throw nlohmann::json::exception if the document is malformed
 std::vector<listed_vm> parse_vms(const json& document);
 
-/// @brief Reads a worker's list.
-/// @throw nlohmann's exceptions or document_error if it is not one
+/// @brief Parses a worker's list.
+/// @throw nlohmann::json::exception or document_error if the document is
+/// malformed
 worker_list parse_worker_list(const json& document);
 
 } // namespace springstair
--- a/packages/platform/include/springstair/detail/platform/worker_types.hpp
+++ b/packages/platform/include/springstair/detail/platform/worker_types.hpp
@@ -11,21 +11,21 @@
 namespace springstair
 {
 
-/// @brief A task attempt's name: the task, and the attempt's number.
+/// @brief Identifies a task attempt: task id and attempt number.
 using task_attempt = std::pair<std::string, std::int64_t>;
 
-/// @brief A task attempt as the worker lists it.
+/// @brief A task attempt in the list of a worker.
 struct listed_task
 {
-    /// @brief What the worker says of it.
+    /// @brief The state that the worker reports.
     enum class state : std::uint8_t
     {
         running,
         finished,
         failed,
-        lapsed,      ///< its lease ran out; the worker stopped it
-        stopped,     ///< stopped on our word
-        checkpointed ///< stopped on our word, to be resumed
+        lapsed,      ///< its lease expired; the worker stopped it
+        stopped,     ///< stopped on request
+        checkpointed ///< stopped on request, to be resumed
     };
 
     task_attempt name;
@@ -39,15 +39,15 @@
 /// @copydoc to_string(class_kind)
 std::string_view to_string(listed_task::state value) noexcept;
 
-/// @brief Have the worker start an attempt under a lease.
+/// @brief Command to start an attempt under a lease.
 struct worker_start
 {
     start_task what;
-    duration not_after{0}; ///< on the worker's clock; refused later
+    duration not_after{0}; ///< on the worker's clock; refused after this
     bool operator==(const worker_start&) const = default;
 };
 
-/// @brief Have the worker stop an attempt.
+/// @brief Command to stop an attempt.
 struct worker_stop
 {
     task_attempt name;
@@ -55,42 +55,42 @@
     bool operator==(const worker_stop&) const = default;
 };
 
-/// @brief Have the worker forget attempts whose end is on record.
+/// @brief Command to forget attempts whose end is committed.
 struct worker_forget
 {
     std::vector<task_attempt> names;
     bool operator==(const worker_forget&) const = default;
 };
 
-/// @brief Have the worker extend the leases of running attempts.
+/// @brief Command to extend the leases of running attempts.
 struct worker_renew
 {
     std::vector<task_attempt> names;
     bool operator==(const worker_renew&) const = default;
 };
 
-/// @brief What the guard asks of its worker next.
+/// @brief A command of the guard to its worker.
 using worker_action =
     std::variant<worker_start, worker_stop, worker_forget, worker_renew>;
 
-/// @brief Several of them, in order.
+/// @brief Commands in the order of their execution.
 using worker_actions = std::vector<worker_action>;
 
-/// @brief All that a worker says of itself.
+/// @brief The state of a worker as reported by itself.
 struct worker_list
 {
-    std::set<std::string> requests; ///< attempts its executor works on
+    std::set<std::string> requests; ///< attempts in progress at its executor
     std::vector<listed_task> tasks;
-    duration clock{0}; ///< the worker's own reading
+    duration clock{0}; ///< the worker's clock
 
     bool operator==(const worker_list&) const = default;
 };
 
-/// @brief A VM on the platform's lagging list.
+/// @brief A VM in the platform's list, which lags behind the actual state.
 struct listed_vm
 {
     std::string name;
-    std::string address; ///< of our process on it
+    std::string address; ///< of the springstair process on it
     std::string role;    ///< entry or guard
     bool leaving = false;
 
--- a/packages/platform/src/platform_client.cpp
+++ b/packages/platform/src/platform_client.cpp
@@ -43,7 +43,7 @@
     return task;
 }
 
-// Gets a document and reads it; gives nothing if there is none to read.
+// Fetches and parses a document; passes nothing to `done` on failure.
 template <class Value>
 void fetch(http_client& client, const std::string& where,
            Value (*parse)(const json&),
@@ -67,7 +67,7 @@
                     }
                     catch (const std::exception&)
                     {
-                        value.reset(); // not the shape that was agreed
+                        value.reset(); // malformed document
                     }
                     done(std::move(value));
                 });
