--- a/bench/load.cpp
+++ b/bench/load.cpp
@@ -1,8 +1,8 @@
-// Sends an open loop of requests to entries and prints what came of them.
+// Open-loop load generator: sends requests to entries and prints the results.
 //
-// The plan (a JSON file) names the entries and the streams: each stream has
-// a credential, a class, a rate, and a distribution of service times. Open
-// loop: requests leave at their own times, however late answers are.
+// The plan (a JSON file) lists the entries and the streams. Each stream has a
+// credential, a class, a rate and a distribution of service times. Open loop:
+// requests are sent at their scheduled times, however late answers are.
 
 #include <springstair/transport.hpp>
 
@@ -50,9 +50,9 @@
 {
     std::int64_t sent = 0;
     std::int64_t answered = 0;
-    std::int64_t in_window = 0; ///< of these, before the sending ended
+    std::int64_t in_window = 0; ///< of these, before sending ended
     std::int64_t failed = 0;
-    std::int64_t mixed = 0; ///< answers that belong to another request
+    std::int64_t mixed = 0; ///< answers to another request
     std::map<std::string, std::int64_t> not_run;
     std::map<std::string, std::int64_t> unknown;
     std::vector<double> latencies_ms;
@@ -169,7 +169,7 @@
         {
             return of.service_ms;
         }
-        // Log-normal with the wanted mean: a long tail, as renders have.
+        // Log-normal with mean service_ms: a long tail, as for rendering.
         constexpr double sigma = 0.5;
         std::lognormal_distribution<double> shape(-sigma * sigma / 2, sigma);
         return of.service_ms * shape(random_);
@@ -208,7 +208,8 @@
         dispatch(index, id, due, std::move(call), at, targets_.size());
     }
 
-    // The first target from here on that passed its last health check.
+    // The first target at or after this index that passed its last health
+    // check.
     std::uint64_t healthy_from(std::uint64_t at) const
     {
         for (std::uint64_t step = 0; step < targets_.size(); ++step)
@@ -237,8 +238,8 @@
         }
     }
 
-    // As a balancer does: an entry that refuses the connection is passed
-    // over for the next one.
+    // Like a load balancer, tries the next entry if one refuses the
+    // connection.
     void dispatch(std::size_t index, const std::string& id, time_point due,
                   http_call call, std::uint64_t at, std::size_t left)
     {
@@ -324,7 +325,7 @@
     duration length_;
     duration client_delay_;
     std::string prefix_;
-    bool check_ = true; ///< off where the targets are executors
+    bool check_ = true; ///< off if the targets are executors
     std::vector<target> targets_;
     std::vector<stream> streams_;
     std::vector<tally> tallies_;
--- a/bench/office.cpp
+++ b/bench/office.cpp
@@ -1,8 +1,8 @@
-// Measures what the holder of all jobs costs a processor at the size of the
-// largest fleet: 160 workers, 30 lasting jobs of 24 tasks, and each second
-// 10.5 quick and 4.6 heavy jobs. Workers and store are modelled; reports go
-// through JSON as between processes, calls of the system are left out. Prints
-// processor time by part for a second of the fleet's time.
+// Measures the processor time of the leader for the largest fleet: 160 workers,
+// 30 long-running jobs of 24 tasks, and 10.5 quick and 4.6 heavy jobs per
+// second. Workers and store are simulated. Reports are encoded as JSON, as
+// between processes; system calls are not included. Prints the processor time
+// of each part per second of simulated time.
 
 #include <springstair/scheduler.hpp>
 #include <springstair/transport.hpp>
@@ -25,9 +25,9 @@
 constexpr int lasting_jobs = 30;
 constexpr double quick_a_second = 10.5;
 constexpr double heavy_a_second = 4.6;
-// Messages come about so often; after each batch the holder looks for work.
+// Typical interval between batches of messages; a placement pass follows each.
 constexpr auto step_length = milliseconds(2);
-// Of the store's answers.
+// Latency of the store.
 constexpr auto store_delay = milliseconds(4);
 constexpr auto default_report = milliseconds(500);
 constexpr auto ends_report = milliseconds(120);
@@ -42,7 +42,7 @@
            static_cast<double>(now.tv_nsec) / 1e9;
 }
 
-// Adds the processor time of its life to a part.
+// Adds the processor time spent during its lifetime to a total.
 class account
 {
 public:
@@ -395,7 +395,7 @@
     scheduler_core core_;
     rpc_dispatcher rpc_;
     std::vector<modelled_worker> workers_;
-    std::mt19937_64 draw_{1}; // NOLINT: the same on every run
+    std::mt19937_64 draw_{1}; // NOLINT: reproducible
     std::int64_t jobs_ = 0;
     std::optional<commit_batch> in_store_;
     time_point written_at_{};
@@ -414,7 +414,7 @@
     const int workers = count > 1 ? std::atoi(words[1]) : 160;
     constexpr int seconds = 20;
     fleet all(workers);
-    all.play(std::chrono::seconds(5)); // until as much ends as begins
+    all.play(std::chrono::seconds(5)); // warm-up to a steady state
     all.forget_costs();
     all.play(std::chrono::seconds(seconds));
     all.print(seconds);
--- a/bench/slopes.cpp
+++ b/bench/slopes.cpp
@@ -1,6 +1,7 @@
-// Measures how the cost of a role grows with what it knows of: processor
-// time per heartbeat, request, table edit and task step, bytes on the wire,
-// memory per guard, class and task. Prints one line a point.
+// Measures how the cost of a role grows with the number of guards, workspaces
+// and tasks: processor time per heartbeat, request, table edit and task step,
+// bytes on the wire, memory per guard, workspace and task. Prints one line per
+// point.
 
 #include <springstair/entry.hpp>
 #include <springstair/guard.hpp>
@@ -245,7 +246,7 @@
 constexpr int filling_images = 18;
 constexpr resources worker_room{.cpu_millis = 32000, .memory_mb = 128000};
 
-// A worker with nothing at work.
+// The report of an idle worker.
 worker_report worker_of(int index, int sequence)
 {
     const std::string name = "guard-" + std::to_string(index);
@@ -280,7 +281,8 @@
     }
 }
 
-// Passes over waiting fills that find nothing: the usual case under load.
+// Placement passes over waiting best-effort tasks. Passes that find no capacity
+// are the common case under load.
 void measure_placing()
 {
     for (const int workers : {30, 100, 300})
--- a/packages/cli/commands.cpp
+++ b/packages/cli/commands.cpp
@@ -33,7 +33,7 @@
     return value.is_string() ? value.get<std::string>() : value.dump();
 }
 
-// Prints objects as a table whose columns are the given members.
+// Prints objects as a table with the given members as columns.
 void print_rows(const json& rows, const std::vector<std::string>& columns)
 {
     std::map<std::string, std::size_t> widths;
@@ -107,7 +107,7 @@
     return value.is_discarded() ? json(text) : value;
 }
 
-// Whether every process that is alive has the revision, and how many have.
+// How many responsive processes have the revision, and how many there are.
 std::pair<int, int> count_in_force(const json& status, std::int64_t revision)
 {
     int have = 0;
@@ -282,7 +282,7 @@
     {
         need(words, 4);
         json edits = edit_of(with, words[2], "", read_value(words[3]));
-        edits[0]["expects"] = nullptr; // a row that is there is a conflict
+        edits[0]["expects"] = nullptr; // an existing row is a conflict
         return send_edits(with, edits);
     }
     if (verb == "remove-row")
@@ -385,7 +385,7 @@
 // Jobs
 // ---------------------------------------------------------------------------
 
-// Reads logs only: it works while nothing else does.
+// Reads log files only, so it works while all processes are down.
 std::optional<std::vector<log_line>>
 read_logs(const std::vector<std::string>& words, std::size_t first)
 {
--- a/packages/cli/commands.hpp
+++ b/packages/cli/commands.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// What the operators' command line does with its words.
+/// The commands of the operators' command line.
 
 #include <springstair/transport.hpp>
 
@@ -12,14 +12,14 @@
 {
 
 inline constexpr int exit_ok = 0;
-inline constexpr int exit_failed = 1;      ///< refused; nothing was changed
-inline constexpr int exit_usage = 2;       ///< the words are off
-inline constexpr int exit_conflict = 3;    ///< somebody else changed the cell
-inline constexpr int exit_invalid = 4;     ///< the table would have findings
-inline constexpr int exit_unavailable = 5; ///< no entry or no store answers
+inline constexpr int exit_failed = 1;   ///< refused; nothing was changed
+inline constexpr int exit_usage = 2;    ///< invalid arguments
+inline constexpr int exit_conflict = 3; ///< the cell was changed concurrently
+inline constexpr int exit_invalid = 4;  ///< the table would be invalid
+inline constexpr int exit_unavailable = 5; ///< no entry answers, or no store
 inline constexpr int exit_unknown = 6;     ///< it may have taken effect
 
-/// @brief One call of the command line.
+/// @brief One invocation of the command line.
 struct invocation
 {
     std::vector<std::string> entries;
@@ -31,13 +31,14 @@
     std::vector<std::string> words;
 };
 
-/// @brief The words of the command line, for `--help`.
+/// @brief The command summary for `--help`.
 const char* usage();
 
-/// @brief Splits a text; empty parts are left out.
+/// @brief Splits a text at a character; empty parts are omitted.
 std::vector<std::string> split(const std::string& text, char at);
 
-/// @brief Does what the words say. @return the exit code
+/// @brief Executes a command.
+/// @return the exit code
 int run_command(const invocation& call);
 
 } // namespace springstair::cli
--- a/packages/cli/explain.cpp
+++ b/packages/cli/explain.cpp
@@ -25,7 +25,7 @@
            text_field(event, "task").starts_with(job + ".");
 }
 
-// Events that decide over many jobs at once.
+// Events that affect many jobs.
 bool is_common(const json& event)
 {
     static const std::set<std::string> names{"office_taken",
@@ -40,7 +40,7 @@
     return names.contains(text_field(event, "name"));
 }
 
-// Events of a guard, told by itself or by the holder.
+// Events about a guard, logged by itself or by the leader.
 bool is_of_guard(const json& event, const std::set<std::string>& guards)
 {
     static const std::set<std::string> names{
--- a/packages/cli/explain.hpp
+++ b/packages/cli/explain.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// A job's story, put together from the logs of our processes.
+/// The timeline of a job, assembled from the logs of the processes.
 
 #include <springstair/core.hpp>
 
@@ -14,27 +14,28 @@
 /// @brief One line of a log: an event with its time and process.
 struct log_line
 {
-    std::string time; ///< as it was written; sorts by itself
+    std::string time; ///< as logged; sorts lexicographically
     json event;
 
     bool operator==(const log_line&) const = default;
 };
 
-/// @brief Reads the events of a log; other lines are passed over.
+/// @brief Reads the events of a log; other lines are skipped.
 std::vector<log_line> read_log(std::istream& from);
 
-/// @brief The lines that tell what became of a job, in order of time.
+/// @brief The lines that concern a job, ordered by time.
 ///
-/// Its own lines (the job, its tasks), and between the first and the last of
-/// them what happened to the office, the store, and the guards that ran it.
+/// These are the events of the job and its tasks, and between the first and the
+/// last of them the events of leadership, the store, and the guards that ran
+/// its tasks.
 std::vector<log_line> timeline_of(const std::string& job,
                                   std::vector<log_line> lines);
 
-/// @brief Of each data centre that was ever closed or opened, the newest line
-/// that says so of a holder, in the order of their names.
+/// @brief The newest closure_in_force event of each data centre, ordered by the
+/// names of the data centres.
 std::vector<log_line> closures_in(const std::vector<log_line>& lines);
 
-/// @brief One line of a story for a person.
+/// @brief Formats a timeline line for display.
 std::string text_of(const log_line& line);
 
 } // namespace springstair::cli
--- a/packages/cli/main.cpp
+++ b/packages/cli/main.cpp
@@ -1,4 +1,4 @@
-// springstair: the operators' command line.
+// springstair: the command line for operators.
 
 #include "commands.hpp"
 
@@ -58,7 +58,7 @@
         POPT_AUTOHELP POPT_TABLEEND};
     const poptContext context = poptGetContext(
         "springstair", count, arguments, options,
-        POPT_CONTEXT_POSIXMEHARDER); // a value may begin with a dash
+        POPT_CONTEXT_POSIXMEHARDER); // a value may start with a dash
     poptSetOtherOptionHelp(context, usage());
     const int result = poptGetNextOpt(context);
     if (result < -1)
--- a/packages/cli/session.cpp
+++ b/packages/cli/session.cpp
@@ -84,7 +84,6 @@
     return got.status >= server_error ? exit_unavailable : exit_failed;
 }
 
-// Says on the error stream what went wrong.
 int complain(const answer& got)
 {
     const int code = code_of(got);
--- a/packages/cli/session.hpp
+++ b/packages/cli/session.hpp
@@ -1,13 +1,13 @@
 #pragma once
 /// @file
-/// Asking entries, and saying what came of it.
+/// Calls to entries, and the report of errors.
 
 #include "commands.hpp"
 
 namespace springstair::cli
 {
 
-/// @brief What an entry answered.
+/// @brief The answer of an entry.
 struct answer
 {
     int status = 0; ///< 0: no entry answered
@@ -15,21 +15,21 @@
     bool may_have_run = false;
 };
 
-/// @brief Asks the entries of one call of the command line.
+/// @brief Calls the entries that one invocation names.
 class session
 {
 public:
     /// @param call must outlive the session
     explicit session(const invocation& call);
 
-    /// @brief Asks one entry after another until one answers.
+    /// @brief Tries the entries in order until one answers.
     ///
-    /// A call that may have reached one is not made again, unless it only
-    /// reads.
+    /// A call that may have reached an entry is not repeated unless it is a
+    /// GET.
     answer ask(const std::string& method, const std::string& path,
                const std::optional<json>& body = std::nullopt);
 
-    /// @brief The call this session is for.
+    /// @brief The invocation of this session.
     [[nodiscard]] const invocation& call() const;
 
 private:
@@ -37,10 +37,11 @@
     http_client client_;
 };
 
-/// @brief The exit code that goes with an answer.
+/// @brief The exit code for an answer.
 int code_of(const answer& got);
 
-/// @brief Says on the error stream what went wrong. @return the exit code
+/// @brief Prints an error answer to stderr.
+/// @return the exit code
 int complain(const answer& got);
 
 } // namespace springstair::cli
--- a/stand_ins/stand_in.hpp
+++ b/stand_ins/stand_in.hpp
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// What the stand-ins share: the command line, delayed answers, waiting for
-/// the signal to stop. A stand-in takes the platform's place in tests.
+/// Common parts of the stand-ins: command line, delayed answers, waiting for
+/// the stop signal. A stand-in replaces a part of the platform in tests.
 
 #include <springstair/transport.hpp>
 
@@ -20,7 +20,7 @@
 
 using namespace springstair; // NOLINT: a program of its own
 
-/// @brief Runs functions at given times on one thread.
+/// @brief Runs callbacks at given times on one thread.
 class timer
 {
 public:
@@ -36,7 +36,8 @@
     timer(const timer&) = delete;
     timer& operator=(const timer&) = delete;
 
-    /// @brief Runs @p what after @p wait. @return a key for cancel()
+    /// @brief Runs @p what after @p wait.
+    /// @return the sequence number of the callback
     std::uint64_t after(duration wait, std::function<void()> what)
     {
         const absl::MutexLock lock(&mutex_);
@@ -97,7 +98,7 @@
     std::thread thread_;
 };
 
-/// @brief The options of a stand-in: `key=value` words.
+/// @brief The options of a stand-in: `key=value` arguments.
 class options
 {
 public:
@@ -112,7 +113,7 @@
         }
     }
 
-    /// @brief A value as a text.
+    /// @brief The text value of an option.
     [[nodiscard]] std::string text(const std::string& key,
                                    const std::string& fallback) const
     {
@@ -120,7 +121,7 @@
         return found == values_.end() ? fallback : found->second;
     }
 
-    /// @brief A value as a number.
+    /// @brief The numeric value of an option.
     [[nodiscard]] std::int64_t number(const std::string& key,
                                       std::int64_t fallback) const
     {
@@ -132,14 +133,14 @@
     std::map<std::string, std::string> values_;
 };
 
-/// @brief Answers JSON.
+/// @brief Sends a JSON response.
 inline void answer(const std::shared_ptr<http_responder>& to,
                    const json& document, int status = 200)
 {
     to->respond(json_response(status, document));
 }
 
-/// @brief Blocks the stop signals; call it before threads are started.
+/// @brief Blocks the stop signals; must be called before threads are started.
 inline sigset_t block_stop_signals()
 {
     sigset_t signals;
@@ -151,7 +152,7 @@
     return signals;
 }
 
-/// @brief Returns when the process is told to stop.
+/// @brief Waits for a stop signal.
 inline void await_stop(sigset_t signals)
 {
     int taken = 0;
--- a/stand_ins/store_stand_in.cpp
+++ b/stand_ins/store_stand_in.cpp
@@ -1,10 +1,12 @@
-// Takes the place of the platform's key-value service and list of VMs:
-// etcd's JSON gateway (range, transaction, leases) with faults on demand.
+// Stand-in for the platform's key-value service and list of VMs: etcd's JSON
+// gateway (range, transaction, leases) with fault injection.
 //
-// POST /control {"mode": "up" | "down" | "slow" | "lie", "delay_ms": n}
+// POST /control {"mode": "up" | "down" | "slow" | "lie" | "hang",
+//                "delay_ms": n}
 //   down: answers 503 without effect; slow: answers after the delay;
 //   lie: takes effect, then answers 503; hang: never answers.
-// GET /control: calls so far. POST /control/vms: sets the list of VMs.
+// GET /control: number of calls so far. POST /control/vms: sets the list of
+// VMs.
 
 #include "stand_in.hpp"
 
@@ -21,7 +23,7 @@
 
 struct stored
 {
-    std::string value; // base64, as it came
+    std::string value; // base64, as received
     std::int64_t created = 0;
     std::int64_t modified = 0;
     std::int64_t version = 0;
@@ -45,7 +47,7 @@
                               : found->get<std::int64_t>();
 }
 
-// Base64 does not keep the order of keys, so they are kept decoded.
+// Keys are stored decoded because base64 does not preserve their order.
 std::string decoded(const std::string& text)
 {
     std::string out;
@@ -219,7 +221,7 @@
             if (all && put != step.end() && number_in(*put, "lease") != 0 &&
                 !leases_.contains(number_in(*put, "lease")))
             {
-                all = false; // as a put under an unknown lease fails
+                all = false; // etcd rejects a put with an unknown lease
             }
         }
         if (all && !body.at("success").empty())
--- a/stand_ins/worker_stand_in.cpp
+++ b/stand_ins/worker_stand_in.cpp
@@ -1,10 +1,12 @@
-// Takes the place of one executor and its worker.
+// Stand-in for one executor and its worker.
 //
-// The executor: any other POST occupies a slot for `service_ms` of its JSON
-// body and answers with the `id` of the body. The worker: /v1/worker lists,
-// /v1/worker/{start,renew,stop,forget} as the platform's interface has it;
-// a task's payload says how long it runs and whether it fails.
-// POST /control {"fail_all": bool}; GET /control: the recorded history.
+// Worker: GET /v1/worker lists the tasks; /v1/worker/{start,renew,stop,forget}
+// follow the platform's interface. The payload of a task defines how long it
+// runs and whether it fails.
+// Control: POST /control {"fail_all": bool}; GET /control returns the recorded
+// history.
+// Executor: any other POST occupies a slot for `service_ms` of its JSON body
+// and is answered with the `id` of the body.
 
 #include "stand_in.hpp"
 
@@ -118,7 +120,7 @@
     std::string detail;
     json needs;
     std::int64_t begun = 0;
-    std::int64_t done_before = 0; // by earlier attempts, of its run time
+    std::int64_t done_before = 0; // run time completed by earlier attempts
     std::int64_t lease_until = 0;
     std::int64_t ended = 0;
 };
@@ -303,7 +305,7 @@
                               {"state", state}});
     }
 
-    // A task whose lease ran out stopped at that moment.
+    // Ends tasks whose lease has expired, as of the time of expiry.
     void lapse()
     {
         for (auto& [key, run] : runs_)
