--- a/tests/unit/adapter_tests.cpp
+++ b/tests/unit/adapter_tests.cpp
@@ -1,5 +1,5 @@
-// What platform/ reads and writes, the settings of the job system, and the
-// bounds of the log.
+// The platform adapters, the settings of the job system, job records and
+// messages, and the rate limit of the log.
 
 #include <doctest/doctest.h>
 
@@ -45,7 +45,7 @@
             .response = {.status = status, .body = make_body(body)}};
 }
 
-// A store that gives one answer and keeps what it was asked.
+// A store that gives a fixed answer and records the request.
 class one_answer_store
 {
 public:
@@ -89,7 +89,7 @@
 
 } // namespace
 
-TEST_CASE("the operator's configuration becomes a version of the table")
+TEST_CASE("the operator's configuration is decoded into a queue table")
 {
     const queue_table table = adapter::decode_configuration(configuration);
     CHECK(table.version == 7);
@@ -108,7 +108,7 @@
     CHECK_THROWS_AS(adapter::decode_configuration("no"), document_error);
 }
 
-TEST_CASE("a submission becomes a job, each word of it")
+TEST_CASE("every field of a submission is decoded")
 {
     const queue_table table = adapter::decode_configuration(configuration);
     const auto what = adapter::decode_request(
@@ -154,7 +154,7 @@
                                    .most_missing = 3});
 }
 
-TEST_CASE("requests that are answered at once, and with what")
+TEST_CASE("refused requests and their status codes")
 {
     const queue_table table = adapter::decode_configuration(configuration);
     struct row
@@ -192,7 +192,7 @@
               .queue == "r1");
 }
 
-TEST_CASE("answers to callers: states, and when to come back")
+TEST_CASE("answers to callers: states, statuses and Retry-After")
 {
     CHECK(*adapter::state_answer(job_state::succeeded).body ==
           R"({"state":"succeeded"})");
@@ -210,7 +210,7 @@
     CHECK(adapter::timeout_of(bounded) == std::chrono::seconds(3));
 }
 
-TEST_CASE("an executor's heartbeat and its leaving")
+TEST_CASE("an executor's heartbeat and leave request are decoded")
 {
     const auto beat = adapter::decode_heartbeat(
         request("POST", "/springstair/executors/i-7/heartbeat",
@@ -241,7 +241,7 @@
                     document_error);
 }
 
-TEST_CASE("an executor's birth tells its lives apart, where it is told")
+TEST_CASE("the start time, if given, distinguishes incarnations of an executor")
 {
     const auto beat = [](const std::string& born)
     {
@@ -288,7 +288,7 @@
 }
 
 TEST_CASE(
-    "what is acknowledged goes to the life that was looked at, or nowhere")
+    "a poll that acknowledges ends reaches only the incarnation polled before")
 {
     const time_point sent{std::chrono::hours(1)};
     CHECK(adapter::encode(
@@ -297,7 +297,7 @@
     CHECK_FALSE(adapter::encode(poll_executor{}, "a:1").connected_before);
 }
 
-TEST_CASE("orders name the life, the fence and the time limit")
+TEST_CASE("orders contain the incarnation, the fencing token and the deadline")
 {
     const http_call start =
         adapter::encode(start_run{.order = {.task = "j.0.0.0",
@@ -322,7 +322,7 @@
           json{{"fencing_token", 7}, {"last_seen", 3}});
 }
 
-TEST_CASE("what an executor's answer means")
+TEST_CASE("results of orders by the executor's answer")
 {
     struct row
     {
@@ -350,7 +350,7 @@
     }
 }
 
-TEST_CASE("a look's lists, and rubbish in their place")
+TEST_CASE("the answer to a poll: valid and malformed")
 {
     const auto look = adapter::decode_poll(answered(200, R"({"clock_ms": 9,
           "running": [["j.0.0.0", 2, "c", 41], ["j.0.0.1", 1, "", 5, 230]],
@@ -366,7 +366,7 @@
     CHECK_FALSE(adapter::decode_poll(answered(421, "")).has_value());
 }
 
-TEST_CASE("a question for advice, and what its answer means")
+TEST_CASE("an advice query and its answer")
 {
     const advice_query asked{.step = "a.0.1",
                              .lives = {{"x-1", 1'776'000'000'000}, "x-2"}};
@@ -385,7 +385,7 @@
     CHECK_FALSE(adapter::decode_advice(asked, {}).has_value());
 }
 
-TEST_CASE("the store: values travel as base64, conditions as revisions")
+TEST_CASE("the store: values are base64, conditions are revisions")
 {
     one_answer_store store(
         json_response(200, {{"revision", 412}, {"more", false}}));
@@ -407,7 +407,7 @@
                {"remove", json::array()}});
 }
 
-TEST_CASE("the store: what each status means")
+TEST_CASE("the store: result by HTTP status")
 {
     struct row
     {
@@ -467,7 +467,7 @@
     CHECK(events.asked.argument("depends_on") == "3");
 }
 
-TEST_CASE("settings of the job system: every finding, with its place")
+TEST_CASE("settings of the job system: all findings with their places")
 {
     json good{{"role", "job_guard"},          {"name", "n"},
               {"data_centre", "d"},           {"address", "10.0.0.1"},
@@ -496,7 +496,7 @@
     try
     {
         parse_job_settings(bad);
-        FAIL("bad settings were taken");
+        FAIL("invalid settings were accepted");
     }
     catch (const document_error& error)
     {
@@ -511,7 +511,7 @@
     }
 }
 
-TEST_CASE("a job's bounds, its chain and its tasks' names")
+TEST_CASE("a job's limits, critical path and task names")
 {
     job what{.id = "j",
              .queue = "q",
@@ -533,7 +533,7 @@
     }
 }
 
-TEST_CASE("a job's progress is read as it was written")
+TEST_CASE("a job's progress survives encoding and decoding")
 {
     const job_progress kept{
         .state = job_state::running,
@@ -548,8 +548,8 @@
     CHECK_THROWS_AS(decode_progress("{}"), document_error);
 }
 
-// During an upgrade, a record of one version is read by the other.
-TEST_CASE("a record tells of births what its writer knew")
+// During an upgrade, each version reads records written by the other.
+TEST_CASE("start times in records are compatible across versions")
 {
     const auto incarnation_of = [](const std::string& row)
     {
@@ -565,13 +565,13 @@
         .state = job_state::running,
         .tasks = {{.runs = 1, .guard = "g", .life = {"i-7", 5}}}};
     CHECK(decode_progress(encode(kept)) == kept);
-    // What an older version reads stands where it was.
+    // Fields that older versions read keep their positions.
     const json row = json::parse(encode(kept)).at("tasks").at(0);
     CHECK(row.at(7) == "i-7");
     CHECK(row.at(9) == 0);
 }
 
-TEST_CASE("messages tell of births beside what older versions read")
+TEST_CASE("start times in messages are compatible with older versions")
 {
     const executor_incarnation life("i-7", 5);
     const json order = guard_orders{.epoch = 1, .life = life};
@@ -590,7 +590,7 @@
     CHECK_FALSE(life.may_be(executor_incarnation("i-8")));
 }
 
-TEST_CASE("reports and answers pass the wire unchanged")
+TEST_CASE("reports and answers survive encoding and decoding")
 {
     const worker_report report{
         .guard = "g",
@@ -622,7 +622,7 @@
     CHECK(json(answer).get<report_answer>() == answer);
 }
 
-TEST_CASE("the log is bounded, and says what it left out")
+TEST_CASE("the log rate is limited and dropped lines are counted")
 {
     log_rate_limiter budget({.lines_a_second = 10, .burst = 3});
     time_point now{std::chrono::hours(1)};
@@ -636,12 +636,12 @@
     now += std::chrono::milliseconds(100);
     CHECK(budget.admit(now, true));
     now += std::chrono::seconds(1);
-    CHECK_FALSE(budget.admit(now, false)); // nobody reads
+    CHECK_FALSE(budget.admit(now, false)); // the log is not writable
     CHECK(budget.admit(now, true));
     CHECK(budget.dropped() == 3);
 }
 
-TEST_CASE("an entry of the operator's closes a data centre by its key alone")
+TEST_CASE("an operator's key closes a data centre, whatever its value")
 {
     CHECK(platform::closed_data_centre("op/evacuate/pos-a") == "pos-a");
     CHECK(platform::closed_data_centre("op/evacuate/") == std::nullopt);
--- a/tests/unit/connection_pool_tests.cpp
+++ b/tests/unit/connection_pool_tests.cpp
@@ -1,8 +1,8 @@
-// Connections to many peers, as a book without sockets. The pattern: all that
-// are open go silent at once, as after the loss of the process that holds all
-// jobs or of all power. Grounds of the figures: 160 peers and 90 calls to one
-// at once stand for the largest fleet and its busiest peer; a worker takes 64
-// connections, the smallest entry 4,100 descriptors and 160 MB at 32 KB each.
+// connection_pool with simulated connections to many peers. The failure: all
+// open connections become dead at once, as after the loss of the leader or a
+// power failure. 160 peers and 90 simultaneous calls to one peer correspond to
+// the largest fleet and its busiest peer. A worker accepts 64 connections; the
+// smallest entry has 4,100 descriptors and 160 MB, at 32 KB per connection.
 
 #include <doctest/doctest.h>
 
@@ -24,8 +24,9 @@
 constexpr milliseconds order_limit{300};
 constexpr milliseconds silence_found{200};
 
-// A client with the book: calls that have no idle connection open one; dead
-// connections end their calls after the silence bound, others at once.
+// Simulates a client of the pool: a call without an idle connection opens one.
+// Calls on dead connections fail after the ack timeout, others are answered
+// after 2 ms.
 class played_client
 {
 public:
@@ -43,7 +44,7 @@
         }
     }
 
-    // All open connections fall silent.
+    // Makes all open connections dead.
     void hush()
     {
         for (connection& one : connections_)
@@ -52,7 +53,8 @@
         }
     }
 
-    // Ends what is due, and gives the calls in vain.
+    // Ends the calls that are due.
+    // @return the number of calls that failed
     int step(time_point now)
     {
         now_ = now;
@@ -158,7 +160,7 @@
 
 } // namespace
 
-TEST_CASE("160 peers fall silent at once: a few calls in vain each, no more")
+TEST_CASE("160 peers become unresponsive at once: few calls fail per peer")
 {
     constexpr int peers = 160;
     constexpr int calls_each = 8;
@@ -192,7 +194,7 @@
     call_all();
     play(order_limit);
     CHECK(in_vain <= peers * static_cast<int>(most));
-    // What was not in vain is answered within one order's time.
+    // All other calls are answered within the timeout of one order.
     CHECK(client.answered() == 2 * peers * calls_each - in_vain);
     call_all();
     play(milliseconds(50));
@@ -212,11 +214,11 @@
         client.step(now);
         REQUIRE(client.connections() <= http_call::default_max_open_calls);
     }
-    // 15 turns of 2 ms each.
+    // 15 rounds of 2 ms each.
     CHECK(now <= time_point{milliseconds(60)});
 }
 
-TEST_CASE("idle connections opened before a lost call are given up, no others")
+TEST_CASE("only idle connections opened before a failed call are closed")
 {
     connection_pool pool;
     const time_point then{std::chrono::hours(1)};
@@ -225,11 +227,12 @@
     pool.opened("a", 3, then);
     pool.opened("b", 4, then);
     pool.opened("a", 5, then + milliseconds(100));
-    // 1 carried the call, 2 another one; 5 was opened since.
+    // Socket 1 carried the failed call, 2 carries another call, 5 was opened
+    // after the call was sent.
     pool.closed(1);
     CHECK(pool.lost("a", call_failure::unacknowledged, then + milliseconds(50),
                     {2}) == std::vector<int>{3});
-    // What is given up is not named again; it counts until it is closed.
+    // A socket is returned only once; it counts as open until it is closed.
     CHECK(pool.lost("a", call_failure::unacknowledged, then + milliseconds(50),
                     {2})
               .empty());
@@ -240,7 +243,7 @@
                     {}) == std::vector<int>{2, 5});
 }
 
-TEST_CASE("one call without an answer says nothing of the other connections")
+TEST_CASE("one unanswered call does not close the other connections")
 {
     connection_pool pool;
     const time_point then{std::chrono::hours(1)};
@@ -258,7 +261,7 @@
     CHECK(unanswered("b") == std::vector<int>{2});
 }
 
-TEST_CASE("calls to a peer are bounded, those to others are not")
+TEST_CASE("the limit of calls in flight applies to each peer separately")
 {
     connection_pool pool;
     CHECK(pool.begin("a", 2));
--- a/tests/unit/explain_tests.cpp
+++ b/tests/unit/explain_tests.cpp
@@ -1,4 +1,4 @@
-// A job's story from logs.
+// The timeline of a job from logs.
 
 #include "explain.hpp"
 
@@ -11,7 +11,7 @@
 namespace
 {
 
-// Two logs, one after the other, with lines that are no events.
+// Two concatenated logs with lines that are not events.
 constexpr const char* logs = R"(
 2026-12-02 10:00:00.500000 info {"name":"office_taken","process":"entry-0"}
  12.5 entry-0 2026-12-02 10:00:01.000000 info {"name":"job_accepted","process":"entry-0","job":"aa"}
@@ -38,7 +38,7 @@
 
 } // namespace
 
-TEST_CASE("a job's story: its own lines, and what happened around it")
+TEST_CASE("a job's timeline: its own events and related ones during its time")
 {
     std::istringstream in(logs);
     const auto lines = read_log(in);
@@ -53,7 +53,7 @@
     CHECK(timeline_of("a", lines).empty());
 }
 
-TEST_CASE("of each data centre the newest word on whether it is closed")
+TEST_CASE("the newest closure event of each data centre")
 {
     std::istringstream in(R"(
 2026-12-02 10:00:00.500000 info {"name":"closure_in_force","process":"entry-0","data_centre":"east","closed":"yes"}
--- a/tests/unit/foreign_words_tests.cpp
+++ b/tests/unit/foreign_words_tests.cpp
@@ -1,6 +1,6 @@
-// Heartbeats and answers that another writer wrote: members missing or of
-// another type, states that nobody named, bytes that are no document. What
-// cannot be read names no executor to use, and ends no process.
+// Malformed heartbeats and answers: missing members, wrong types, unknown
+// states, invalid JSON. They must neither register an executor nor end the
+// process.
 
 #include "platform.hpp"
 
@@ -54,7 +54,7 @@
 
 } // namespace
 
-TEST_CASE("a heartbeat without what an executor is used by is refused")
+TEST_CASE("a heartbeat without a required member is refused")
 {
     for (const char* member : {"service", "address", "zone", "state",
                                "capacity", "labels", "clock_ms", "seq"})
@@ -73,7 +73,7 @@
     }
 }
 
-TEST_CASE("a heartbeat with members of another type or sense is refused")
+TEST_CASE("a heartbeat with a member of a wrong type or value is refused")
 {
     const std::vector<std::pair<const char*, json>> cases{
         {"state", "resting"},
@@ -102,7 +102,7 @@
     CHECK_THROWS_AS(decode("\xff\xfe{}"), document_error);
 }
 
-TEST_CASE("what a refused heartbeat lacks is told together, with its place")
+TEST_CASE("a refused heartbeat reports all errors together with their places")
 {
     json body = valid_heartbeat();
     body.erase("service");
@@ -110,7 +110,7 @@
     try
     {
         decode(body.dump());
-        FAIL("it was read");
+        FAIL("the heartbeat was accepted");
     }
     catch (const document_error& error)
     {
@@ -120,10 +120,10 @@
     }
 }
 
-TEST_CASE("a heartbeat is read whole or not at all")
+TEST_CASE("a heartbeat is decoded completely or refused")
 {
     CHECK(rc::check(
-        "whatever is dropped, retyped, cut off or replaced",
+        "members or bytes are removed, replaced or truncated",
         []
         {
             json body = valid_heartbeat();
@@ -165,12 +165,12 @@
             }
             catch (const document_error&)
             {
-                // Refused, and told why.
+                // Refused with a reason.
             }
         }));
 }
 
-TEST_CASE("an answer of a worker that is no document refuses or tells nothing")
+TEST_CASE("a malformed answer of a worker is a refusal or no snapshot")
 {
     for (const char* body : {"", "no", "[]", "7", "null", R"({"reason": 7})",
                              R"({"running": 3})", R"({"ended": [[]]})"})
--- a/tests/unit/kept_connection_tests.cpp
+++ b/tests/unit/kept_connection_tests.cpp
@@ -1,5 +1,6 @@
-// Calls that may go only to the process that was there before: a connection
-// ends with the process that took it.
+// Calls restricted by connected_before: they must not reach a process that was
+// started later at the same address. A connection ends with the process that
+// accepted it.
 
 #include <doctest/doctest.h>
 
@@ -47,7 +48,7 @@
 
 } // namespace
 
-TEST_CASE("a call goes on a connection that was made before a time")
+TEST_CASE("a call uses only a connection established before the given time")
 {
     const counting_server server;
     http_client client;
@@ -62,7 +63,7 @@
     CHECK(server.calls == 2);
 }
 
-TEST_CASE("a call does not reach who started again at the address")
+TEST_CASE("a call does not reach a process restarted at the same address")
 {
     auto server = std::make_unique<counting_server>();
     const std::uint16_t port = server->port();
@@ -73,7 +74,7 @@
     server = std::make_unique<counting_server>(port);
     CHECK(client.send_and_wait(call_to(port, since)).how != delivery::answered);
     CHECK(server->calls == 0);
-    // A connection that another call has opened since does not carry it.
+    // A connection that another call has opened later is not eligible.
     REQUIRE(client.send_and_wait(call_to(port)).how == delivery::answered);
     CHECK(client.send_and_wait(call_to(port, since)).how ==
           delivery::no_eligible_connection);
--- a/tests/unit/rpc_client_codec.cpp
+++ b/tests/unit/rpc_client_codec.cpp
@@ -8,9 +8,9 @@
 namespace
 {
 
-// Stands where the library expects a connection: it keeps what the library
-// would send and hands it an answer that has come already. So the library
-// does the encoding, and libcurl the sending.
+// A connector without a connection: it records the request that the library
+// sends and returns a prepared answer, so that only the library's encoding and
+// decoding are used.
 class recorded_connector : public jsonrpc::IClientConnector
 {
 public:
--- a/tests/unit/rpc_client_codec.hpp
+++ b/tests/unit/rpc_client_codec.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// Kept free of newer language features: the library's client headers use
-// dynamic exception specifications, which ended with C++14.
+// Compiled as C++14: the client headers of the library use dynamic exception
+// dynamic exception specifications, which C++17 removed.
 
 #include <string>
 
--- a/tests/unit/rpc_tests.cpp
+++ b/tests/unit/rpc_tests.cpp
@@ -20,7 +20,7 @@
 namespace
 {
 
-// The library's own server, which knows one method.
+// A libjsonrpccpp server with one method.
 struct reference_server : jsonrpc::IProcedureInvokationHandler
 {
     std::unique_ptr<jsonrpc::IProtocolHandler> protocol{
@@ -50,7 +50,7 @@
 
 } // namespace
 
-TEST_CASE("JSON-RPC: results, errors and rubbish")
+TEST_CASE("JSON-RPC: results, errors and malformed input")
 {
     rpc_dispatcher dispatcher;
     dispatcher.add("twice",
@@ -68,9 +68,9 @@
     CHECK_THROWS_AS(rpc_result(dispatcher.handle("rubbish")), rpc_error);
 }
 
-TEST_CASE("JSON-RPC: libjsonrpccpp reads what we write, and the reverse")
+TEST_CASE("JSON-RPC: interoperates with libjsonrpccpp in both directions")
 {
-    SUBCASE("our requests and its answers")
+    SUBCASE("our requests, its answers")
     {
         reference_server server;
         std::string answer;
@@ -81,7 +81,7 @@
                                        answer);
         CHECK_THROWS_AS(rpc_result(answer), rpc_error);
     }
-    SUBCASE("its requests and our answers")
+    SUBCASE("its requests, our answers")
     {
         rpc_dispatcher dispatcher;
         dispatcher.add("twice",
@@ -101,7 +101,7 @@
     }
 }
 
-TEST_CASE("JSON-RPC: malformed requests get the error that the standard names")
+TEST_CASE("JSON-RPC: malformed requests get the standard error codes")
 {
     rpc_dispatcher dispatcher;
     dispatcher.add("echo", [](const json& in) { return in; });
--- a/tests/unit/silent_channel_tests.cpp
+++ b/tests/unit/silent_channel_tests.cpp
@@ -1,4 +1,4 @@
-// Connections that go silent for good, without a reset, while new ones work.
+// Connections that become dead without a reset while new ones work.
 
 #include <doctest/doctest.h>
 
@@ -26,14 +26,14 @@
 
 using std::chrono::milliseconds;
 
-// Answers each request with 200. From hush() on, connections that are open
-// by then stay open and say nothing more.
+// Answers each request with 200. After hush(), the connections open at that
+// time stay open but send nothing more.
 class hushed_server
 {
 public:
     struct options
     {
-        int receive_bytes = 0; ///< of each connection's window; 0: the usual
+        int receive_bytes = 0; ///< receive buffer per connection; 0: default
     };
 
     hushed_server() : hushed_server(options{}) {}
@@ -83,8 +83,8 @@
         return "http://127.0.0.1:" + std::to_string(port_) + "/x";
     }
 
-    // @param delay of each answer, so that calls side by side need a
-    // connection each
+    // @param delay of each answer, so that concurrent calls need a connection
+    // each
     void answer_after(milliseconds delay)
     {
         delay_ = delay;
@@ -96,7 +96,7 @@
         hushed_ = sockets_.size();
     }
 
-    // From here on, connections that are open by now take no more bytes.
+    // From now on, the connections that are open now read no more bytes.
     void stop_reading()
     {
         hush();
@@ -219,7 +219,7 @@
 
 } // namespace
 
-TEST_CASE("silent connections to one peer cost two calls, not one each")
+TEST_CASE("dead connections to one peer cost two calls, not one each")
 {
     hushed_server server;
     http_client client;
@@ -233,12 +233,12 @@
     }
     CHECK(lost == 2);
     CHECK(client.silent_connections() == 2);
-    CHECK(server.requests() == 4 + 12); // nothing is sent twice
-    // New ones are kept again: trust in the old ones is gone, not in all.
+    CHECK(server.requests() == 4 + 12); // nothing is resent
+    // New connections are reused again; only the old ones are closed.
     CHECK(server.connections() <= 4 + 12);
 }
 
-TEST_CASE("after two seconds new connections to the peer are kept")
+TEST_CASE("after two seconds new connections to the peer are reused")
 {
     hushed_server server;
     http_client client;
@@ -255,7 +255,7 @@
     CHECK(server.connections() == before + 1);
 }
 
-TEST_CASE("a peer that is slow on a new connection is no silent one")
+TEST_CASE("a slow answer on a new connection does not count as dead connection")
 {
     hushed_server server;
     http_client client;
@@ -264,7 +264,7 @@
     CHECK(client.silent_connections() == 0);
 }
 
-TEST_CASE("a peer gets no more connections than calls may be open to it")
+TEST_CASE("connections to a peer are limited by its calls in flight")
 {
     hushed_server server;
     http_client client;
@@ -285,11 +285,11 @@
     CHECK(server.connections() == http_call::default_max_open_calls);
 }
 
-TEST_CASE("a call whose turn does not come in time was not sent")
+TEST_CASE("a call that is queued beyond its timeout was not sent")
 {
     hushed_server server;
     http_client client;
-    server.answer_after(milliseconds(400)); // longer than a call may take
+    server.answer_after(milliseconds(400)); // longer than the timeout of a call
     http_call first = call_to(server);
     first.max_open_calls = 1;
     http_call second = first;
@@ -308,7 +308,7 @@
     CHECK(server.requests() <= 1);
 }
 
-TEST_CASE("a call whose turn does not come ends although those before it go on")
+TEST_CASE("a queued call times out while the calls before it are in flight")
 {
     hushed_server server;
     http_client client;
@@ -324,14 +324,15 @@
     CHECK(boot_clock::now() - sent < milliseconds(2000));
 }
 
-TEST_CASE("one dead connection is found out by its bytes, and takes the others")
+TEST_CASE(
+    "unacknowledged bytes reveal a dead connection and close the idle ones")
 {
     hushed_server server({.receive_bytes = 4096});
     http_client client;
     open_connections(client, server, 4);
     server.stop_reading();
-    // More than the peer's window: what it does not take stays with us, as
-    // if it were lost on the way.
+    // Larger than the peer's receive window: the rest stays unacknowledged, as
+    // if it were lost in the network.
     http_call call = call_to(server);
     call.method = "POST";
     call.body = make_body(std::string(8U << 20U, 'x'));
@@ -339,8 +340,8 @@
     call.answers_each_call = false;
     CHECK(client.send_and_wait(call).how == delivery::unknown);
     CHECK(client.silent_connections() == 1);
-    CHECK(server.requests() == 4 + 1); // nothing is sent twice
-    // The other three are not tried.
+    CHECK(server.requests() == 4 + 1); // nothing is resent
+    // The other three connections are not used.
     CHECK(client.send_and_wait(call_to(server)).how == delivery::answered);
     CHECK(client.silent_connections() == 1);
 }
