--- a/packages/transport/include/springstair/detail/transport/connection_pool.hpp
+++ b/packages/transport/include/springstair/detail/transport/connection_pool.hpp
@@ -38,9 +38,10 @@
 class connection_pool
 {
 public:
-    /// @brief Registers a call if fewer than @p most are in flight to the peer.
+    /// @brief Registers a call if fewer than @p max_calls are in flight to the
+    /// peer.
     /// @return whether the call may be sent now
-    bool begin(const std::string& peer, std::size_t most);
+    bool begin(const std::string& peer, std::size_t max_calls);
     /// @brief Unregisters a call that begin() has registered.
     void end(const std::string& peer);
 
@@ -52,12 +53,12 @@
     /// @brief Records that a call on a reused connection was answered.
     void answered(const std::string& peer);
     /// @brief Records that a call on a reused connection got no answer.
-    /// @param began when that call was sent; connections that were opened later
-    /// are not affected
+    /// @param sent_at when that call was sent; connections that were opened
+    /// later are not affected
     /// @param busy the sockets that carry calls; these fail by themselves
     /// @return the peer's idle sockets to close; they are no longer reused
-    std::vector<int> lost(const std::string& peer, call_failure how,
-                          time_point began, const std::set<int>& busy);
+    std::vector<int> lost(const std::string& peer, call_failure failure,
+                          time_point sent_at, const std::set<int>& busy);
 
     /// @brief The usable connections to a peer: sockets and opening times.
     [[nodiscard]] std::map<int, time_point> kept(const std::string& peer) const;
@@ -66,7 +67,7 @@
     /// @brief Number of open connections to all peers, idle or in use.
     [[nodiscard]] std::size_t connections() const noexcept
     {
-        return peers_of_.size();
+        return peer_by_socket_.size();
     }
 
 private:
@@ -77,10 +78,10 @@
         std::map<int, time_point> opened; ///< usable sockets, opening times
     };
 
-    void forget_unused(const std::string& peer);
+    void erase_if_unused(const std::string& peer);
 
     std::map<std::string, peer_state> peers_;
-    std::map<int, std::string> peers_of_; ///< by socket, until closed
+    std::map<int, std::string> peer_by_socket_; ///< open sockets
 };
 
 } // namespace springstair
--- a/packages/transport/include/springstair/detail/transport/http_server.hpp
+++ b/packages/transport/include/springstair/detail/transport/http_server.hpp
@@ -19,7 +19,7 @@
     /// @brief Server-internal state of a request and its response.
     struct exchange;
 
-    explicit http_responder(std::shared_ptr<exchange> of);
+    explicit http_responder(std::shared_ptr<exchange> current);
     ~http_responder();
     http_responder(http_responder&&) noexcept = default;
     http_responder& operator=(http_responder&&) noexcept = default;
--- a/packages/transport/src/connection_pool.cpp
+++ b/packages/transport/src/connection_pool.cpp
@@ -10,25 +10,25 @@
 // idle connections are considered dead. With 1, each order that a worker left
 // unanswered caused new connections; in a simulated day this raised the prices
 // from 0.044 to 0.074 of the day's value.
-constexpr int too_many_unanswered = 2;
+constexpr int unanswered_threshold = 2;
 
 } // namespace
 
-bool connection_pool::begin(const std::string& peer, std::size_t most)
+bool connection_pool::begin(const std::string& peer, std::size_t max_calls)
 {
-    peer_state& of = peers_[peer];
-    if (of.calls >= most)
+    peer_state& state = peers_[peer];
+    if (state.calls >= max_calls)
     {
         return false;
     }
-    ++of.calls;
+    ++state.calls;
     return true;
 }
 
 void connection_pool::end(const std::string& peer)
 {
     --peers_.at(peer).calls;
-    forget_unused(peer);
+    erase_if_unused(peer);
 }
 
 void connection_pool::opened(const std::string& peer, int socket,
@@ -36,20 +36,20 @@
 {
     closed(socket); // the kernel reuses socket numbers
     peers_[peer].opened[socket] = now;
-    peers_of_[socket] = peer;
+    peer_by_socket_[socket] = peer;
 }
 
 void connection_pool::closed(int socket)
 {
-    const auto found = peers_of_.find(socket);
-    if (found == peers_of_.end())
+    const auto found = peer_by_socket_.find(socket);
+    if (found == peer_by_socket_.end())
     {
         return;
     }
     const std::string peer = std::move(found->second);
-    peers_of_.erase(found);
+    peer_by_socket_.erase(found);
     peers_[peer].opened.erase(socket);
-    forget_unused(peer);
+    erase_if_unused(peer);
 }
 
 void connection_pool::answered(const std::string& peer)
@@ -62,31 +62,31 @@
 }
 
 std::vector<int> connection_pool::lost(const std::string& peer,
-                                       call_failure how, time_point began,
+                                       call_failure failure, time_point sent_at,
                                        const std::set<int>& busy)
 {
-    peer_state& of = peers_[peer];
-    ++of.unanswered_in_a_row;
-    const bool dead = how == call_failure::unacknowledged ||
-                      of.unanswered_in_a_row >= too_many_unanswered;
-    std::vector<int> given_up;
+    peer_state& state = peers_[peer];
+    ++state.unanswered_in_a_row;
+    const bool dead = failure == call_failure::unacknowledged ||
+                      state.unanswered_in_a_row >= unanswered_threshold;
+    std::vector<int> to_close;
     if (!dead)
     {
-        return given_up;
+        return to_close;
     }
-    of.unanswered_in_a_row = 0;
-    for (const auto& [socket, since] : of.opened)
+    state.unanswered_in_a_row = 0;
+    for (const auto& [socket, since] : state.opened)
     {
-        if (since <= began && !busy.contains(socket))
+        if (since <= sent_at && !busy.contains(socket))
         {
-            given_up.push_back(socket);
+            to_close.push_back(socket);
         }
     }
-    for (const int socket : given_up)
+    for (const int socket : to_close)
     {
-        of.opened.erase(socket);
+        state.opened.erase(socket);
     }
-    return given_up;
+    return to_close;
 }
 
 std::map<int, time_point> connection_pool::kept(const std::string& peer) const
@@ -103,7 +103,7 @@
 }
 
 // Peer addresses keep changing; without this, peers_ would only grow.
-void connection_pool::forget_unused(const std::string& peer)
+void connection_pool::erase_if_unused(const std::string& peer)
 {
     const auto found = peers_.find(peer);
     if (found != peers_.end() && found->second.calls == 0 &&
--- a/packages/transport/src/http_client.cpp
+++ b/packages/transport/src/http_client.cpp
@@ -28,13 +28,13 @@
 namespace
 {
 
-constexpr int library_failed = 202;
+constexpr int init_failed = 202;
 constexpr int max_poll_ms = 1000;
-constexpr int events_a_turn = 64;
-constexpr std::size_t kept_handles = 256;
-constexpr long kept_connections = 512;
+constexpr int events_per_poll = 64;
+constexpr std::size_t max_idle_handles = 256;
+constexpr long max_cached_connections = 512;
 // How long after its timeout a call may still be ended by libcurl itself.
-constexpr duration library_slack = std::chrono::milliseconds(500);
+constexpr duration curl_timeout_slack = std::chrono::milliseconds(500);
 // Interval between checks for overdue calls; each visits all calls in flight.
 constexpr duration overdue_check_interval = std::chrono::milliseconds(250);
 
@@ -54,13 +54,13 @@
     int epoll = -1;
     int wakeup = -1; ///< an eventfd that wakes the client's thread
     absl::Mutex mutex;
-    std::vector<std::unique_ptr<open_call>> waiting;
+    std::vector<std::unique_ptr<open_call>> submitted;
     bool stopping = false;
     std::map<CURL*, std::unique_ptr<open_call>> open;
     std::vector<CURL*> idle_handles;
     std::optional<time_point> timer; ///< when libcurl must be called next
     connection_pool pool;            ///< used on the client's thread only
-    time_point next_overdue_look{};
+    time_point next_overdue_check{};
     /// Calls over the limit of their peer, by peer, in order.
     std::map<std::string, std::deque<std::unique_ptr<open_call>>> queued;
     std::atomic<std::int64_t> silent_connections = 0;
@@ -85,13 +85,13 @@
             epoll_ctl(self.epoll, EPOLL_CTL_DEL, socket, nullptr);
             return 0;
         }
-        epoll_event wanted{};
-        wanted.events = ((what & CURL_POLL_IN) != 0 ? EPOLLIN : 0U) |
-                        ((what & CURL_POLL_OUT) != 0 ? EPOLLOUT : 0U);
-        wanted.data.fd = socket;
-        if (epoll_ctl(self.epoll, EPOLL_CTL_MOD, socket, &wanted) != 0)
+        epoll_event registration{};
+        registration.events = ((what & CURL_POLL_IN) != 0 ? EPOLLIN : 0U) |
+                              ((what & CURL_POLL_OUT) != 0 ? EPOLLOUT : 0U);
+        registration.data.fd = socket;
+        if (epoll_ctl(self.epoll, EPOLL_CTL_MOD, socket, &registration) != 0)
         {
-            epoll_ctl(self.epoll, EPOLL_CTL_ADD, socket, &wanted);
+            epoll_ctl(self.epoll, EPOLL_CTL_ADD, socket, &registration);
         }
         return 0;
     }
@@ -111,19 +111,19 @@
     {
         epoll = epoll_create1(EPOLL_CLOEXEC);
         wakeup = eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC);
-        epoll_event wanted{};
-        wanted.events = EPOLLIN;
-        wanted.data.fd = wakeup;
+        epoll_event registration{};
+        registration.events = EPOLLIN;
+        registration.data.fd = wakeup;
         if (epoll < 0 || wakeup < 0 ||
-            epoll_ctl(epoll, EPOLL_CTL_ADD, wakeup, &wanted) != 0)
+            epoll_ctl(epoll, EPOLL_CTL_ADD, wakeup, &registration) != 0)
         {
-            throw transport_error(library_failed, "epoll does not start");
+            throw transport_error(init_failed, "epoll initialization failed");
         }
         curl_multi_setopt(multi, CURLMOPT_SOCKETFUNCTION, &on_socket);
         curl_multi_setopt(multi, CURLMOPT_SOCKETDATA, this);
         curl_multi_setopt(multi, CURLMOPT_TIMERFUNCTION, &on_timer);
         curl_multi_setopt(multi, CURLMOPT_TIMERDATA, this);
-        curl_multi_setopt(multi, CURLMOPT_MAXCONNECTS, kept_connections);
+        curl_multi_setopt(multi, CURLMOPT_MAXCONNECTS, max_cached_connections);
     }
 
     void wake() const
@@ -145,10 +145,10 @@
         return static_cast<int>(std::min<std::int64_t>(millis, max_poll_ms));
     }
 
-    void turn()
+    void poll_once()
     {
-        std::array<epoll_event, events_a_turn> events{};
-        const int count = epoll_wait(epoll, events.data(), events_a_turn,
+        std::array<epoll_event, events_per_poll> events{};
+        const int count = epoll_wait(epoll, events.data(), events_per_poll,
                                      poll_milliseconds());
         int running = 0;
         for (int index = 0; index < count; ++index)
@@ -166,7 +166,7 @@
             const bool broken = (event.events & EPOLLERR) != 0;
             if (broken)
             {
-                note_broken(event.data.fd);
+                on_socket_error(event.data.fd);
             }
             curl_multi_socket_action(multi, event.data.fd,
                                      (in ? CURL_CSELECT_IN : 0) |
@@ -181,13 +181,13 @@
         }
     }
 
-    bool take_waiting()
+    bool start_submitted()
     {
         std::vector<std::unique_ptr<open_call>> taken;
         bool stop = false;
         {
             const absl::MutexLock lock(&mutex);
-            taken.swap(waiting);
+            taken.swap(submitted);
             stop = stopping;
         }
         for (auto& call : taken)
@@ -243,7 +243,7 @@
             const auto late = std::move(calls.front());
             calls.pop_front();
             late->done({.how = delivery::not_sent,
-                        .error = "no connection was free in time"});
+                        .error = "timed out while queued for a connection"});
         }
         if (!calls.empty() &&
             pool.begin(peer, calls.front()->call.max_open_calls))
@@ -263,7 +263,7 @@
         const std::unique_ptr<open_call> ended = std::move(found->second);
         open.erase(found);
         curl_multi_remove_handle(multi, handle);
-        if (idle_handles.size() < kept_handles)
+        if (idle_handles.size() < max_idle_handles)
         {
             curl_easy_reset(handle);
             idle_handles.push_back(handle);
@@ -289,53 +289,53 @@
 
     // libcurl does not reuse a connection that is shut down; it closes it at
     // the next check.
-    std::size_t give_up_idle(const open_call& lost, call_failure how)
+    std::size_t close_idle(const open_call& lost, call_failure how)
     {
-        const auto given_up =
+        const auto closed =
             pool.lost(lost.peer, how, lost.since, busy_sockets());
-        for (const int socket : given_up)
+        for (const int socket : closed)
         {
             shutdown(socket, SHUT_RDWR);
         }
-        return given_up.size();
+        return closed.size();
     }
 
-    void note_silent(const open_call& lost, call_failure how)
+    void record_unanswered(const open_call& lost, call_failure how)
     {
         ++silent_connections;
         const http_call& call = lost.call;
-        const bool tells =
+        const bool is_proof =
             how == call_failure::unacknowledged || call.answers_each_call;
-        const std::size_t given_up = tells ? give_up_idle(lost, how) : 0;
+        const std::size_t closed = is_proof ? close_idle(lost, how) : 0;
         const duration waited = boot_clock::now() - lost.since;
         log_event(
             event_id::connection_silent,
             {{"peer", lost.peer},
              {"lost", call.method + " " + call.url.substr(lost.peer.size())},
              {"dead", how == call_failure::unacknowledged ? "yes" : "no"},
-             {"idle_given_up", std::to_string(given_up)},
+             {"idle_given_up", std::to_string(closed)},
              {"waited_ms", std::to_string(to_milliseconds(waited))}});
     }
 
     // libcurl may move a call whose reused connection failed to another one if
     // none of it was sent or it is a GET. Before that, this shuts down the idle
     // connections that failed together with this one.
-    void note_broken(int socket)
+    void on_socket_error(int socket)
     {
         const auto found = std::find_if(
             open.begin(), open.end(),
             [&](const auto& one) { return one.second->socket == socket; });
-        if (found == open.end() || found->second->opened_one)
+        if (found == open.end() || found->second->opened_connection)
         {
             return; // may be connecting: libcurl handles the error
         }
         if (pending_error(socket) == ETIMEDOUT)
         {
-            note_silent(*found->second, call_failure::unacknowledged);
+            record_unanswered(*found->second, call_failure::unacknowledged);
         }
     }
 
-    void collect_ended()
+    void finish_completed()
     {
         int left = 0;
         while (const CURLMsg* message = curl_multi_info_read(multi, &left))
@@ -347,11 +347,11 @@
             CURL* const handle = message->easy_handle;
             const CURLcode code = message->data.result;
             const open_call& ended = *open.at(handle);
-            if (code == CURLE_OPERATION_TIMEDOUT && !ended.opened_one)
+            if (code == CURLE_OPERATION_TIMEDOUT && !ended.opened_connection)
             {
-                note_silent(ended, call_failure::unanswered);
+                record_unanswered(ended, call_failure::unanswered);
             }
-            else if (code == CURLE_OK && !ended.opened_one)
+            else if (code == CURLE_OK && !ended.opened_connection)
             {
                 pool.answered(ended.peer);
             }
@@ -362,25 +362,25 @@
     // Ends each call after its timeout, independently of the calls queued
     // before it and of libcurl: a store write that neither ended nor timed out
     // once blocked all further writes of a leader.
-    void end_overdue()
+    void expire_overdue()
     {
         const time_point now = boot_clock::now();
-        if (now < next_overdue_look)
+        if (now < next_overdue_check)
         {
             return;
         }
-        next_overdue_look = now + overdue_check_interval;
+        next_overdue_check = now + overdue_check_interval;
         std::vector<CURL*> overdue;
         for (const auto& [handle, call] : open)
         {
-            if (now - call->since > call->call.timeout + library_slack)
+            if (now - call->since > call->call.timeout + curl_timeout_slack)
             {
                 overdue.push_back(handle);
             }
         }
         for (CURL* handle : overdue)
         {
-            note_silent(*open.at(handle), call_failure::unanswered);
+            record_unanswered(*open.at(handle), call_failure::unanswered);
             finish(handle, open.at(handle)->result(CURLE_OPERATION_TIMEDOUT));
         }
         std::vector<std::string> peers;
@@ -396,19 +396,19 @@
 
     void run()
     {
-        while (take_waiting())
+        while (start_submitted())
         {
-            turn();
-            collect_ended();
-            end_overdue();
+            poll_once();
+            finish_completed();
+            expire_overdue();
             connections = static_cast<std::int64_t>(pool.connections());
         }
-        end_all();
+        abort_all();
     }
 
-    void end_all()
+    void abort_all()
     {
-        static constexpr const char* why = "the client stops";
+        static constexpr const char* why = "the client is stopping";
         const auto unsent = std::move(queued);
         queued.clear();
         for (const auto& [peer, calls] : unsent)
@@ -431,7 +431,7 @@
     state_->multi = curl_multi_init();
     if (ready != CURLE_OK || state_->multi == nullptr)
     {
-        throw transport_error(library_failed, "libcurl does not start");
+        throw transport_error(init_failed, "libcurl initialization failed");
     }
     state_->set_up_polling();
     state_->thread = std::thread([this] { state_->run(); });
@@ -459,7 +459,7 @@
     auto fresh = std::make_unique<open_call>(std::move(call), std::move(done));
     {
         const absl::MutexLock lock(&state_->mutex);
-        state_->waiting.push_back(std::move(fresh));
+        state_->submitted.push_back(std::move(fresh));
     }
     state_->wake();
 }
@@ -479,9 +479,9 @@
     http_result result;
     absl::Notification ended;
     send(std::move(call),
-         [&](http_result with)
+         [&](http_result answer)
          {
-             result = std::move(with);
+             result = std::move(answer);
              ended.Notify();
          });
     ended.WaitForNotification();
--- a/packages/transport/src/http_server.cpp
+++ b/packages/transport/src/http_server.cpp
@@ -34,7 +34,7 @@
     bool closed = false;
     http_response response;
 
-    void answer(http_response with)
+    void answer(http_response reply)
     {
         const absl::MutexLock lock(&mutex);
         if (answered || closed)
@@ -42,7 +42,7 @@
             return;
         }
         answered = true;
-        response = std::move(with);
+        response = std::move(reply);
         MHD_resume_connection(connection);
     }
 
@@ -142,46 +142,48 @@
         return new std::shared_ptr<exchange>(std::move(fresh));
     }
 
-    MHD_Result receive(exchange& of, const char* data, std::size_t size) const
+    MHD_Result receive(exchange& current, const char* data,
+                       std::size_t size) const
     {
         const bool too_large =
-            of.received.size() + size > options.most_body_bytes;
-        const bool too_slow = boot_clock::now() - of.since > options.max_upload;
+            current.received.size() + size > options.most_body_bytes;
+        const bool too_slow =
+            boot_clock::now() - current.since > options.max_upload;
         if (too_large || too_slow)
         {
             return MHD_NO;
         }
-        of.received.append(data, size);
+        current.received.append(data, size);
         return MHD_YES;
     }
 
-    void hand_over(const std::shared_ptr<exchange>& of)
+    void hand_over(const std::shared_ptr<exchange>& current)
     {
-        of->handed_over = true;
-        of->request.body = make_body(std::move(of->received));
-        MHD_suspend_connection(of->connection);
+        current->handed_over = true;
+        current->request.body = make_body(std::move(current->received));
+        MHD_suspend_connection(current->connection);
         bool refuse = false;
         {
             const absl::MutexLock lock(&mutex);
             refuse = stopping;
         }
-        http_responder responder(of);
+        http_responder responder(current);
         if (refuse)
         {
             responder.respond(to_response({.reason = refusal::draining}));
             return;
         }
-        handler(std::move(of->request), std::move(responder));
+        handler(std::move(current->request), std::move(responder));
     }
 
-    void end(const std::shared_ptr<exchange>& of)
+    void end(const std::shared_ptr<exchange>& current)
     {
         {
-            const absl::MutexLock lock(&of->mutex);
-            of->closed = true;
+            const absl::MutexLock lock(&current->mutex);
+            current->closed = true;
         }
         const absl::MutexLock lock(&mutex);
-        open.erase(of);
+        open.erase(current);
     }
 
     bool nothing_open() const
@@ -299,8 +301,8 @@
 
 } // namespace
 
-http_responder::http_responder(std::shared_ptr<exchange> of)
-    : exchange_(std::move(of))
+http_responder::http_responder(std::shared_ptr<exchange> current)
+    : exchange_(std::move(current))
 {
 }
 
--- a/packages/transport/src/open_call.cpp
+++ b/packages/transport/src/open_call.cpp
@@ -65,13 +65,12 @@
                           curl_sockaddr* address)
 {
     auto& current = *static_cast<open_call*>(context);
-    current.is_no_eligible_connection =
-        current.call.connected_before.has_value();
-    if (current.is_no_eligible_connection || !current.may_be_sent())
+    current.no_eligible_connection = current.call.connected_before.has_value();
+    if (current.no_eligible_connection || !current.may_be_sent())
     {
         return CURL_SOCKET_BAD; // avoids connecting for nothing
     }
-    current.opened_one = true;
+    current.opened_connection = true;
     const int fd = socket(address->family, address->socktype | SOCK_CLOEXEC,
                           address->protocol);
     if (fd < 0 || !set_ack_timeout(fd, current.call.ack_timeout))
@@ -154,8 +153,9 @@
 
 } // namespace
 
-open_call::open_call(http_call what, http_completion then)
-    : call(std::move(what)), done(std::move(then)), peer(peer_of(call.url))
+open_call::open_call(http_call request, http_completion completion)
+    : call(std::move(request)), done(std::move(completion)),
+      peer(peer_of(call.url))
 {
 }
 
@@ -194,15 +194,15 @@
 
 bool open_call::may_be_sent()
 {
-    was_cut_off = call.method != "GET" && !nothing_was_sent(handle);
-    return !was_cut_off;
+    resend_refused = call.method != "GET" && !nothing_was_sent(handle);
+    return !resend_refused;
 }
 
 // The age of a connection counts from when it is established, not from the
 // start of connecting: a process that started in between may have accepted it.
 bool open_call::may_use(int port)
 {
-    if (!call.connected_before && !opened_one)
+    if (!call.connected_before && !opened_connection)
     {
         return true; // the connection's age is irrelevant
     }
@@ -212,42 +212,43 @@
         {
             continue;
         }
-        if (opened_one)
+        if (opened_connection)
         {
             pool->opened(peer, kept, boot_clock::now());
         }
-        is_no_eligible_connection =
+        no_eligible_connection =
             call.connected_before && since >= *call.connected_before;
-        return !is_no_eligible_connection;
+        return !no_eligible_connection;
     }
-    is_no_eligible_connection = call.connected_before.has_value();
-    return !is_no_eligible_connection;
+    no_eligible_connection = call.connected_before.has_value();
+    return !no_eligible_connection;
 }
 
 http_result open_call::result(CURLcode code)
 {
-    http_result to;
-    if (is_no_eligible_connection)
+    http_result ended;
+    if (no_eligible_connection)
     {
-        to.how = delivery::no_eligible_connection;
-        to.error = "no connection that was there before";
-        return to;
+        ended.how = delivery::no_eligible_connection;
+        ended.error = "no connection established before the given time";
+        return ended;
     }
     if (code != CURLE_OK)
     {
-        to.how =
+        ended.how =
             nothing_was_sent(handle) ? delivery::not_sent : delivery::unknown;
-        to.error = was_cut_off ? "the connection ended without an answer"
-                               : curl_easy_strerror(code);
-        return to;
+        ended.error = resend_refused
+                          ? "the connection was closed before an answer"
+                          : curl_easy_strerror(code);
+        return ended;
     }
     long status = 0;
     curl_easy_getinfo(handle, CURLINFO_RESPONSE_CODE, &status);
-    to.how = delivery::answered;
-    to.response = std::move(response);
-    to.response.status = static_cast<int>(status);
-    to.response.body = make_body(std::move(received));
-    return to;
+    ended.how = delivery::answered;
+    ended.response = std::move(response);
+    ended.response.status = static_cast<int>(status);
+    ended.response.body = make_body(std::move(received));
+    return ended;
 }
 
 } // namespace springstair
--- a/packages/transport/src/open_call.hpp
+++ b/packages/transport/src/open_call.hpp
@@ -18,23 +18,23 @@
     std::string peer;
     time_point since = boot_clock::now(); ///< when queued, later when sent
     connection_pool* pool = nullptr;
-    bool opened_one = false;  ///< false: it reuses a connection
-    bool was_cut_off = false; ///< reused connection ended; not resent
-    bool is_no_eligible_connection = false; ///< none that it may use
+    bool opened_connection = false; ///< false: it reuses a connection
+    bool resend_refused = false;    ///< reused connection ended; not resent
+    bool no_eligible_connection = false;    ///< none that it may use
     curl_socket_t socket = CURL_SOCKET_BAD; ///< polled for this call
     CURL* handle = nullptr;
     curl_slist* header_list = nullptr;
     http_response response;
     std::string received;
 
-    open_call(http_call what, http_completion then);
+    open_call(http_call request, http_completion completion);
     open_call(const open_call&) = delete;
     open_call& operator=(const open_call&) = delete;
     ~open_call();
 
     // Sets the libcurl options. Requires `handle` and `pool`.
     void set_up();
-    // Whether libcurl may send the request now; sets was_cut_off if not.
+    // Whether libcurl may send the request now; sets resend_refused if not.
     // libcurl resends by itself when a reused connection ends before the first
     // byte of the answer, but the receiver may have executed the request.
     // Therefore only a GET may be sent twice.
--- a/packages/transport/src/problem.cpp
+++ b/packages/transport/src/problem.cpp
@@ -9,9 +9,9 @@
 constexpr std::string_view problem_type = "application/problem+json";
 constexpr int millis_per_second = 1000;
 
-std::string title_of(const problem_report& what)
+std::string title_of(const problem_report& problem)
 {
-    switch (what.result)
+    switch (problem.result)
     {
     case outcome::not_run:
         return "The request was not run";
@@ -25,9 +25,9 @@
 
 } // namespace
 
-int status_of(const problem_report& what) noexcept
+int status_of(const problem_report& problem) noexcept
 {
-    switch (what.reason)
+    switch (problem.reason)
     {
     case refusal::unauthenticated:
         return 401;
@@ -50,20 +50,20 @@
     }
 }
 
-http_response to_response(const problem_report& what)
+http_response to_response(const problem_report& problem)
 {
-    const std::int64_t millis = to_milliseconds(what.retry_after);
+    const std::int64_t millis = to_milliseconds(problem.retry_after);
     json body{{"type", "about:blank"},
-              {"title", title_of(what)},
-              {"status", status_of(what)},
-              {"outcome", to_string(what.result)},
-              {"reason", to_string(what.reason)}};
-    if (!what.detail.empty())
+              {"title", title_of(problem)},
+              {"status", status_of(problem)},
+              {"outcome", to_string(problem.result)},
+              {"reason", to_string(problem.reason)}};
+    if (!problem.detail.empty())
     {
-        body["detail"] = what.detail;
+        body["detail"] = problem.detail;
     }
     http_response response{
-        .status = status_of(what),
+        .status = status_of(problem),
         .headers = {{"content-type", std::string(problem_type)}},
         .body = {}};
     if (millis > 0)
--- a/packages/transport/src/rpc.cpp
+++ b/packages/transport/src/rpc.cpp
@@ -12,13 +12,13 @@
 
 constexpr const char* protocol_version = "2.0";
 // HTTP pairs each response with its request, so the id can be constant.
-constexpr int only_id = 1;
+constexpr int constant_id = 1;
 
 // Error codes of JSON-RPC 2.0.
-constexpr int unreadable_text = -32700;
+constexpr int parse_error = -32700;
 constexpr int invalid_request = -32600;
-constexpr int unknown_method = -32601;
-constexpr int method_failed = -32602;
+constexpr int method_not_found = -32601;
+constexpr int invalid_params = -32602;
 
 std::string error_answer(int code, const std::string& why, const json& id)
 {
@@ -76,7 +76,7 @@
     json request = json::parse(text, nullptr, false);
     if (request.is_discarded())
     {
-        return error_answer(unreadable_text, "this is not JSON", nullptr);
+        return error_answer(parse_error, "this is not JSON", nullptr);
     }
     if (!is_request(request))
     {
@@ -88,12 +88,12 @@
         state_->methods.find(request["method"].get_ref<const std::string&>());
     if (method == state_->methods.end())
     {
-        return error_answer(unknown_method, "there is no such method", id);
+        return error_answer(method_not_found, "there is no such method", id);
     }
     const json message = message_of(request);
     if (!message.is_object())
     {
-        return error_answer(method_failed, "the parameter message is missing",
+        return error_answer(invalid_params, "the parameter message is missing",
                             id);
     }
     try
@@ -102,14 +102,14 @@
     }
     catch (const std::exception& error)
     {
-        return error_answer(method_failed, error.what(), id);
+        return error_answer(invalid_params, error.what(), id);
     }
 }
 
 std::string rpc_request(const std::string& method, json message)
 {
     json request{
-        {"jsonrpc", protocol_version}, {"id", only_id}, {"method", method}};
+        {"jsonrpc", protocol_version}, {"id", constant_id}, {"method", method}};
     request["params"]["message"] = std::move(message);
     return request.dump();
 }
--- a/tests/unit/connection_pool_tests.cpp
+++ b/tests/unit/connection_pool_tests.cpp
@@ -21,20 +21,20 @@
 
 using std::chrono::milliseconds;
 
-constexpr milliseconds order_limit{300};
-constexpr milliseconds silence_found{200};
+constexpr milliseconds order_timeout{300};
+constexpr milliseconds ack_timeout{200};
 
 // Simulates a client of the pool: a call without an idle connection opens one.
 // Calls on dead connections fail after the ack timeout, others are answered
 // after 2 ms.
-class played_client
+class simulated_client
 {
 public:
-    explicit played_client(std::size_t most) : most_(most) {}
+    explicit simulated_client(std::size_t max_calls) : max_calls_(max_calls) {}
 
     void call(const std::string& peer)
     {
-        if (pool_.begin(peer, most_))
+        if (pool_.begin(peer, max_calls_))
         {
             send(peer);
         }
@@ -45,7 +45,7 @@
     }
 
     // Makes all open connections dead.
-    void hush()
+    void kill_connections()
     {
         for (connection& one : connections_)
         {
@@ -58,7 +58,7 @@
     int step(time_point now)
     {
         now_ = now;
-        int in_vain = 0;
+        int failed = 0;
         for (std::size_t at = 0; at < connections_.size(); ++at)
         {
             connection& one = connections_[at];
@@ -68,14 +68,14 @@
             }
             one.busy = false;
             pool_.end(one.peer);
-            in_vain += one.dead ? 1 : 0;
+            failed += one.dead ? 1 : 0;
             one.dead ? lose(at) : pool_.answered(one.peer);
             answered_ += one.dead ? 0 : 1;
         }
         std::erase_if(connections_,
                       [](const connection& one) { return one.closed; });
         send_waiting();
-        return in_vain;
+        return failed;
     }
 
     [[nodiscard]] std::size_t connections() const
@@ -112,7 +112,7 @@
         }
         found->busy = true;
         found->sent = now_;
-        found->ends = now_ + (found->dead ? silence_found : milliseconds(2));
+        found->ends = now_ + (found->dead ? ack_timeout : milliseconds(2));
     }
 
     void lose(std::size_t at)
@@ -128,11 +128,11 @@
         connection& lost = connections_[at];
         lost.closed = true;
         pool_.closed(lost.socket);
-        const auto given_up = pool_.lost(
+        const auto to_close = pool_.lost(
             lost.peer, call_failure::unacknowledged, lost.sent, busy);
         for (connection& one : connections_)
         {
-            if (std::count(given_up.begin(), given_up.end(), one.socket) != 0)
+            if (std::count(to_close.begin(), to_close.end(), one.socket) != 0)
             {
                 one.closed = true;
                 pool_.closed(one.socket);
@@ -149,7 +149,7 @@
         }
     }
 
-    std::size_t most_;
+    std::size_t max_calls_;
     connection_pool pool_;
     std::vector<connection> connections_;
     std::deque<std::string> waiting_;
@@ -164,8 +164,8 @@
 {
     constexpr int peers = 160;
     constexpr int calls_each = 8;
-    constexpr std::size_t most = http_call::default_max_open_calls;
-    played_client client(most);
+    constexpr std::size_t max_calls = http_call::default_max_open_calls;
+    simulated_client client(max_calls);
     time_point now{};
     const auto call_all = [&]
     {
@@ -177,33 +177,33 @@
             }
         }
     };
-    int in_vain = 0;
+    int failed = 0;
     const auto play = [&](milliseconds length)
     {
         for (const time_point end = now + length; now < end;
              now += milliseconds(1))
         {
-            in_vain += client.step(now);
-            CHECK(client.connections() <= peers * most);
+            failed += client.step(now);
+            CHECK(client.connections() <= peers * max_calls);
         }
     };
     call_all();
     play(milliseconds(50));
     REQUIRE(client.answered() == peers * calls_each);
-    client.hush();
+    client.kill_connections();
     call_all();
-    play(order_limit);
-    CHECK(in_vain <= peers * static_cast<int>(most));
+    play(order_timeout);
+    CHECK(failed <= peers * static_cast<int>(max_calls));
     // All other calls are answered within the timeout of one order.
-    CHECK(client.answered() == 2 * peers * calls_each - in_vain);
+    CHECK(client.answered() == 2 * peers * calls_each - failed);
     call_all();
     play(milliseconds(50));
-    CHECK(client.answered() == 3 * peers * calls_each - in_vain);
+    CHECK(client.answered() == 3 * peers * calls_each - failed);
 }
 
 TEST_CASE("90 orders at once to one worker stay far below its 64 connections")
 {
-    played_client client(http_call::default_max_open_calls);
+    simulated_client client(http_call::default_max_open_calls);
     for (int order = 0; order < 90; ++order)
     {
         client.call("worker");
@@ -221,38 +221,38 @@
 TEST_CASE("only idle connections opened before a failed call are closed")
 {
     connection_pool pool;
-    const time_point then{std::chrono::hours(1)};
-    pool.opened("a", 1, then);
-    pool.opened("a", 2, then);
-    pool.opened("a", 3, then);
-    pool.opened("b", 4, then);
-    pool.opened("a", 5, then + milliseconds(100));
+    const time_point start{std::chrono::hours(1)};
+    pool.opened("a", 1, start);
+    pool.opened("a", 2, start);
+    pool.opened("a", 3, start);
+    pool.opened("b", 4, start);
+    pool.opened("a", 5, start + milliseconds(100));
     // Socket 1 carried the failed call, 2 carries another call, 5 was opened
     // after the call was sent.
     pool.closed(1);
-    CHECK(pool.lost("a", call_failure::unacknowledged, then + milliseconds(50),
+    CHECK(pool.lost("a", call_failure::unacknowledged, start + milliseconds(50),
                     {2}) == std::vector<int>{3});
     // A socket is returned only once; it counts as open until it is closed.
-    CHECK(pool.lost("a", call_failure::unacknowledged, then + milliseconds(50),
+    CHECK(pool.lost("a", call_failure::unacknowledged, start + milliseconds(50),
                     {2})
               .empty());
     CHECK(pool.connections() == 4);
     pool.closed(3);
     CHECK(pool.connections() == 3);
-    CHECK(pool.lost("a", call_failure::unacknowledged, then + milliseconds(200),
-                    {}) == std::vector<int>{2, 5});
+    CHECK(pool.lost("a", call_failure::unacknowledged,
+                    start + milliseconds(200), {}) == std::vector<int>{2, 5});
 }
 
 TEST_CASE("one unanswered call does not close the other connections")
 {
     connection_pool pool;
-    const time_point then{std::chrono::hours(1)};
+    const time_point start{std::chrono::hours(1)};
     const auto unanswered = [&](const std::string& peer)
     {
-        return pool.lost(peer, call_failure::unanswered, then, {});
+        return pool.lost(peer, call_failure::unanswered, start, {});
     };
-    pool.opened("a", 1, then);
-    pool.opened("b", 2, then);
+    pool.opened("a", 1, start);
+    pool.opened("b", 2, start);
     CHECK(unanswered("a").empty());
     pool.answered("a");
     CHECK(unanswered("a").empty());
--- a/tests/unit/rpc_client_codec.hpp
+++ b/tests/unit/rpc_client_codec.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Compiled as C++14: the client headers of the library use dynamic exception
+// Compiled as C++14: the client headers of the library use
 // dynamic exception specifications, which C++17 removed.
 
 #include <string>
--- a/tests/unit/silent_channel_tests.cpp
+++ b/tests/unit/silent_channel_tests.cpp
@@ -26,9 +26,9 @@
 
 using std::chrono::milliseconds;
 
-// Answers each request with 200. After hush(), the connections open at that
+// Answers each request with 200. After mute(), the connections open at that
 // time stay open but send nothing more.
-class hushed_server
+class muted_server
 {
 public:
     struct options
@@ -36,16 +36,16 @@
         int receive_bytes = 0; ///< receive buffer per connection; 0: default
     };
 
-    hushed_server() : hushed_server(options{}) {}
+    muted_server() : muted_server(options{}) {}
 
-    explicit hushed_server(const options& of)
+    explicit muted_server(const options& given)
     {
         listener_ = socket(AF_INET, SOCK_STREAM, 0);
-        if (of.receive_bytes > 0)
+        if (given.receive_bytes > 0)
         {
             REQUIRE(setsockopt(listener_, SOL_SOCKET, SO_RCVBUF,
-                               &of.receive_bytes,
-                               sizeof of.receive_bytes) == 0);
+                               &given.receive_bytes,
+                               sizeof given.receive_bytes) == 0);
         }
         sockaddr_in address{};
         address.sin_family = AF_INET;
@@ -59,7 +59,7 @@
         acceptor_ = std::thread([this] { accept_all(); });
     }
 
-    ~hushed_server()
+    ~muted_server()
     {
         shutdown(listener_, SHUT_RDWR);
         acceptor_.join();
@@ -90,16 +90,16 @@
         delay_ = delay;
     }
 
-    void hush()
+    void mute()
     {
         const std::lock_guard<std::mutex> lock(mutex_);
-        hushed_ = sockets_.size();
+        muted_ = sockets_.size();
     }
 
     // From now on, the connections that are open now read no more bytes.
     void stop_reading()
     {
-        hush();
+        mute();
         reads_ = false;
     }
 
@@ -138,10 +138,10 @@
         poll(&end, 1, -1);
     }
 
-    bool is_hushed(std::size_t number)
+    bool is_muted(std::size_t number)
     {
         const std::lock_guard<std::mutex> lock(mutex_);
-        return number < hushed_;
+        return number < muted_;
     }
 
     void serve(int socket, std::size_t number)
@@ -152,7 +152,7 @@
         std::string received;
         while (true)
         {
-            if (!reads_ && is_hushed(number))
+            if (!reads_ && is_muted(number))
             {
                 await_end(socket);
                 return;
@@ -171,7 +171,7 @@
             received.erase(0, end + 4);
             ++requests_;
             std::this_thread::sleep_for(delay_.load());
-            if (!is_hushed(number))
+            if (!is_muted(number))
             {
                 [[maybe_unused]] const auto written =
                     send(socket, answer.data(), answer.size(), MSG_NOSIGNAL);
@@ -184,14 +184,14 @@
     std::mutex mutex_;
     std::vector<int> sockets_;
     std::vector<std::thread> threads_;
-    std::size_t hushed_ = 0;
+    std::size_t muted_ = 0;
     std::atomic<milliseconds> delay_{milliseconds(0)};
     std::atomic<int> requests_ = 0;
     std::atomic<bool> reads_ = true;
     std::thread acceptor_;
 };
 
-http_call call_to(const hushed_server& server)
+http_call call_to(const muted_server& server)
 {
     return {.method = "GET",
             .url = server.url(),
@@ -199,7 +199,7 @@
             .ack_timeout = milliseconds(200)};
 }
 
-void open_connections(http_client& client, hushed_server& server, int count)
+void open_connections(http_client& client, muted_server& server, int count)
 {
     server.answer_after(milliseconds(60));
     absl::BlockingCounter answered(count);
@@ -221,10 +221,10 @@
 
 TEST_CASE("dead connections to one peer cost two calls, not one each")
 {
-    hushed_server server;
+    muted_server server;
     http_client client;
     open_connections(client, server, 4);
-    server.hush();
+    server.mute();
     int lost = 0;
     for (int call = 0; call < 12; ++call)
     {
@@ -240,10 +240,10 @@
 
 TEST_CASE("after two seconds new connections to the peer are reused")
 {
-    hushed_server server;
+    muted_server server;
     http_client client;
     open_connections(client, server, 3);
-    server.hush();
+    server.mute();
     CHECK(client.send_and_wait(call_to(server)).how != delivery::answered);
     CHECK(client.send_and_wait(call_to(server)).how != delivery::answered);
     std::this_thread::sleep_for(milliseconds(2100));
@@ -257,7 +257,7 @@
 
 TEST_CASE("a slow answer on a new connection does not count as dead connection")
 {
-    hushed_server server;
+    muted_server server;
     http_client client;
     server.answer_after(milliseconds(400));
     CHECK(client.send_and_wait(call_to(server)).how == delivery::unknown);
@@ -266,7 +266,7 @@
 
 TEST_CASE("connections to a peer are limited by its calls in flight")
 {
-    hushed_server server;
+    muted_server server;
     http_client client;
     server.answer_after(milliseconds(10));
     constexpr int calls = 60;
@@ -287,7 +287,7 @@
 
 TEST_CASE("a call that is queued beyond its timeout was not sent")
 {
-    hushed_server server;
+    muted_server server;
     http_client client;
     server.answer_after(milliseconds(400)); // longer than the timeout of a call
     http_call first = call_to(server);
@@ -310,7 +310,7 @@
 
 TEST_CASE("a queued call times out while the calls before it are in flight")
 {
-    hushed_server server;
+    muted_server server;
     http_client client;
     server.answer_after(milliseconds(4000));
     http_call first = call_to(server);
@@ -327,7 +327,7 @@
 TEST_CASE(
     "unacknowledged bytes reveal a dead connection and close the idle ones")
 {
-    hushed_server server({.receive_bytes = 4096});
+    muted_server server({.receive_bytes = 4096});
     http_client client;
     open_connections(client, server, 4);
     server.stop_reading();
