--- a/packages/platform/include/springstair/detail/platform/platform_client.hpp
+++ b/packages/platform/include/springstair/detail/platform/platform_client.hpp
@@ -17,11 +17,11 @@
 
 /// @brief A type that runs tasks for a guard.
 template <class Worker>
-concept task_worker = requires(Worker& worker, const worker_action& what,
+concept task_worker = requires(Worker& worker, const worker_action& action,
                                list_completion done)
 {
     worker.list(std::move(done));
-    worker.carry_out(what);
+    worker.carry_out(action);
 };
 
 /// @brief Client for the JSON interface of a worker.
@@ -36,7 +36,7 @@
     /// @brief Requests the list of what runs.
     void list(list_completion done);
     /// @brief Sends a command. Its effect is visible in the next list.
-    void carry_out(const worker_action& what);
+    void carry_out(const worker_action& action);
 
 private:
     void post(const std::string& path, const json& body);
--- a/packages/platform/src/platform_client.cpp
+++ b/packages/platform/src/platform_client.cpp
@@ -11,9 +11,9 @@
 namespace
 {
 
-constexpr int good = 200;
+constexpr int http_ok = 200;
 constexpr duration call_timeout = std::chrono::seconds(2);
-constexpr std::array<std::string_view, 6> listed_names{
+constexpr std::array<std::string_view, 6> state_names{
     "running", "finished", "failed", "lapsed", "stopped", "checkpointed"};
 
 json to_names(const std::vector<task_attempt>& names)
@@ -45,12 +45,12 @@
 
 // Fetches and parses a document; passes nothing to `done` on failure.
 template <class Value>
-void fetch(http_client& client, const std::string& where,
+void fetch(http_client& client, const std::string& location,
            Value (*parse)(const json&),
            std::function<void(std::optional<Value>)> done)
 {
     client.send({.method = "GET",
-                 .url = "http://" + where,
+                 .url = "http://" + location,
                  .headers = {},
                  .body = {},
                  .timeout = call_timeout},
@@ -60,7 +60,7 @@
                     try
                     {
                         if (result.how == delivery::answered &&
-                            result.response.status == good)
+                            result.response.status == http_ok)
                         {
                             value = parse(parse_body(result.response.body));
                         }
@@ -78,8 +78,7 @@
 std::string_view to_string(listed_task::state value) noexcept
 {
     const auto index = static_cast<std::size_t>(value);
-    return index < listed_names.size() ? listed_names[index]
-                                       : std::string_view{};
+    return index < state_names.size() ? state_names[index] : std::string_view{};
 }
 
 worker_list parse_worker_list(const json& document)
@@ -117,9 +116,9 @@
                  [](const http_result&) {});
 }
 
-void worker_client::carry_out(const worker_action& what)
+void worker_client::carry_out(const worker_action& action)
 {
-    if (const auto* start = std::get_if<worker_start>(&what))
+    if (const auto* start = std::get_if<worker_start>(&action))
     {
         post("/v1/worker/start",
              {{"task", start->what.spec.id},
@@ -132,19 +131,19 @@
               {"lease_ms", to_milliseconds(lease_)}});
         return;
     }
-    if (const auto* stop = std::get_if<worker_stop>(&what))
+    if (const auto* stop = std::get_if<worker_stop>(&action))
     {
         post("/v1/worker/stop", {{"task", stop->name.first},
                                  {"attempt", stop->name.second},
                                  {"checkpoint", stop->keep_checkpoint}});
         return;
     }
-    if (const auto* forget = std::get_if<worker_forget>(&what))
+    if (const auto* forget = std::get_if<worker_forget>(&action))
     {
         post("/v1/worker/forget", {{"attempts", to_names(forget->names)}});
         return;
     }
-    const auto& renew = std::get<worker_renew>(what);
+    const auto& renew = std::get<worker_renew>(action);
     post("/v1/worker/renew", {{"attempts", to_names(renew.names)},
                               {"lease_ms", to_milliseconds(lease_)}});
 }
--- a/tests/unit/adapter_tests.cpp
+++ b/tests/unit/adapter_tests.cpp
@@ -85,7 +85,7 @@
     http_server server_;
 };
 
-constexpr duration patience = std::chrono::seconds(2);
+constexpr duration call_timeout = std::chrono::seconds(2);
 
 } // namespace
 
@@ -397,7 +397,7 @@
                                .of = kv_compare::number::mod_revision,
                                .equals = 3}},
                  .puts = {{.key = "k", .value = "ab", .lease = 5}}},
-                patience, std::move(done));
+                call_timeout, std::move(done));
         });
     CHECK(result.status == adapter::store_status::done);
     CHECK(result.revision == 412);
@@ -422,17 +422,18 @@
     {
         CAPTURE(one.status);
         one_answer_store store({.status = one.status, .body = make_body("")});
-        CHECK(store
-                  .result_of([](adapter::store_client& client,
-                                adapter::store_done done)
-                             { client.read("k", patience, std::move(done)); })
-                  .status == one.means);
+        CHECK(
+            store
+                .result_of(
+                    [](adapter::store_client& client, adapter::store_done done)
+                    { client.read("k", call_timeout, std::move(done)); })
+                .status == one.means);
     }
-    one_answer_store rubbish({.status = 200, .body = make_body("no")});
-    CHECK(rubbish
+    one_answer_store malformed({.status = 200, .body = make_body("no")});
+    CHECK(malformed
               .result_of(
                   [](adapter::store_client& client, adapter::store_done done)
-                  { client.read("k", patience, std::move(done)); })
+                  { client.read("k", call_timeout, std::move(done)); })
               .status == adapter::store_status::unknown);
 }
 
@@ -445,7 +446,7 @@
     one_answer_store conflict(json_response(412, {{"items", {item}}}));
     const auto refused = conflict.result_of(
         [](adapter::store_client& client, adapter::store_done done)
-        { client.transact({}, patience, std::move(done)); });
+        { client.transact({}, call_timeout, std::move(done)); });
     CHECK(refused.status == adapter::store_status::conflict);
     CHECK(refused.items.at(0).value == "node-1");
     CHECK(refused.items.at(0).lease == 9);
