--- a/packages/cli/commands.cpp
+++ b/packages/cli/commands.cpp
@@ -16,8 +16,8 @@
 namespace
 {
 
-constexpr duration in_force_within = std::chrono::seconds(6);
-constexpr duration look_again = std::chrono::milliseconds(100);
+constexpr duration in_force_timeout = std::chrono::seconds(6);
+constexpr duration status_poll_interval = std::chrono::milliseconds(100);
 
 struct usage_error
 {
@@ -67,19 +67,19 @@
     }
 }
 
-int show(session& with, const answer& got,
+int show(session& entries, const answer& response,
          const std::function<void(const json&)>& print)
 {
-    if (code_of(got) != exit_ok)
+    if (exit_code_of(response) != exit_ok)
     {
-        return complain(got);
+        return report_error(response);
     }
-    if (with.call().as_json)
+    if (entries.call().as_json)
     {
-        std::cout << got.body.dump(4) << "\n";
+        std::cout << response.body.dump(4) << "\n";
         return exit_ok;
     }
-    print(got.body);
+    print(response.body);
     return exit_ok;
 }
 
@@ -127,14 +127,14 @@
     return {have, all};
 }
 
-int await_in_force(session& with, std::int64_t revision)
+int await_in_force(session& entries, std::int64_t revision)
 {
-    const time_point until = boot_clock::now() + in_force_within;
+    const time_point until = boot_clock::now() + in_force_timeout;
     std::pair<int, int> count{0, 0};
     while (boot_clock::now() < until)
     {
-        const answer status = with.ask("GET", "/v1/status");
-        if (code_of(status) == exit_ok)
+        const answer status = entries.ask("GET", "/v1/status");
+        if (exit_code_of(status) == exit_ok)
         {
             count = count_in_force(status.body, revision);
             if (count.first == count.second)
@@ -142,9 +142,9 @@
                 break;
             }
         }
-        std::this_thread::sleep_for(look_again);
+        std::this_thread::sleep_for(status_poll_interval);
     }
-    if (!with.call().as_json)
+    if (!entries.call().as_json)
     {
         std::cout << "in force at " << count.first << " of " << count.second
                   << " processes\n";
@@ -152,41 +152,41 @@
     return exit_ok;
 }
 
-int send_edits(session& with, const json& edits)
+int send_edits(session& entries, const json& edits)
 {
-    const answer got = with.ask("PATCH", "/v1/table", edits);
-    if (code_of(got) != exit_ok)
+    const answer response = entries.ask("PATCH", "/v1/table", edits);
+    if (exit_code_of(response) != exit_ok)
     {
-        return complain(got);
+        return report_error(response);
     }
-    const std::int64_t revision = got.body.at("revision");
-    if (with.call().as_json)
+    const std::int64_t revision = response.body.at("revision");
+    if (entries.call().as_json)
     {
-        std::cout << got.body.dump() << "\n";
+        std::cout << response.body.dump() << "\n";
     }
     else
     {
         std::cout << "saved as revision " << revision << std::endl;
     }
-    return with.call().wait ? await_in_force(with, revision) : exit_ok;
+    return entries.call().wait ? await_in_force(entries, revision) : exit_ok;
 }
 
-json edit_of(session& with, const std::string& row, const std::string& column,
-             const json& value)
+json edit_of(session& entries, const std::string& row,
+             const std::string& column, const json& value)
 {
     json edit{{"row", row}, {"value", value}};
     if (!column.empty())
     {
         edit["column"] = column;
     }
-    if (with.call().expects)
+    if (entries.call().expects)
     {
-        edit["expects"] = read_value(*with.call().expects);
+        edit["expects"] = read_value(*entries.call().expects);
     }
     return json::array({edit});
 }
 
-int import_table(session& with, const std::string& path)
+int import_table(session& entries, const std::string& path)
 {
     std::ifstream file(path);
     std::stringstream text;
@@ -196,10 +196,10 @@
     {
         throw usage_error{path + " is not an exported table"};
     }
-    const answer present = with.ask("GET", "/v1/table");
-    if (code_of(present) != exit_ok)
+    const answer present = entries.ask("GET", "/v1/table");
+    if (exit_code_of(present) != exit_ok)
     {
-        return complain(present);
+        return report_error(present);
     }
     json edits = json::array();
     const json& before = present.body.at("rows");
@@ -225,18 +225,18 @@
         std::cout << "nothing to change\n";
         return exit_ok;
     }
-    return send_edits(with, edits);
+    return send_edits(entries, edits);
 }
 
-int export_table(session& with, const std::string& path)
+int export_table(session& entries, const std::string& path)
 {
-    const answer got = with.ask("GET", "/v1/table");
-    if (code_of(got) != exit_ok)
+    const answer response = entries.ask("GET", "/v1/table");
+    if (exit_code_of(response) != exit_ok)
     {
-        return complain(got);
+        return report_error(response);
     }
     std::ofstream file(path);
-    file << json{{"rows", got.body.at("rows")}}.dump(4) << "\n";
+    file << json{{"rows", response.body.at("rows")}}.dump(4) << "\n";
     if (!file.flush())
     {
         throw usage_error{path + " cannot be written"};
@@ -244,65 +244,67 @@
     return exit_ok;
 }
 
-void need(const std::vector<std::string>& words, std::size_t count)
+void require_arguments(const std::vector<std::string>& arguments,
+                       std::size_t count)
 {
-    if (words.size() != count)
+    if (arguments.size() != count)
     {
-        throw usage_error{"wrong number of words; see --help"};
+        throw usage_error{"wrong number of arguments; see --help"};
     }
 }
 
-int table_command(session& with)
+int table_command(session& entries)
 {
-    const std::vector<std::string>& words = with.call().words;
-    const std::string verb = words.size() > 1 ? words[1] : "";
+    const std::vector<std::string>& arguments = entries.call().arguments;
+    const std::string verb = arguments.size() > 1 ? arguments[1] : "";
     if (verb == "show")
     {
-        return show(with, with.ask("GET", "/v1/table"), print_table);
+        return show(entries, entries.ask("GET", "/v1/table"), print_table);
     }
     if (verb == "get")
     {
-        need(words, 4);
-        return show(with, with.ask("GET", "/v1/table"),
+        require_arguments(arguments, 4);
+        return show(entries, entries.ask("GET", "/v1/table"),
                     [&](const json& document)
                     {
-                        const json row =
-                            document.at("rows").value(words[2], json::object());
-                        std::cout << cell_text(row.value(words[3], json()))
+                        const json row = document.at("rows").value(
+                            arguments[2], json::object());
+                        std::cout << cell_text(row.value(arguments[3], json()))
                                   << "\n";
                     });
     }
     if (verb == "set")
     {
-        need(words, 5);
-        return send_edits(
-            with, edit_of(with, words[2], words[3], read_value(words[4])));
+        require_arguments(arguments, 5);
+        return send_edits(entries, edit_of(entries, arguments[2], arguments[3],
+                                           read_value(arguments[4])));
     }
     if (verb == "add-row")
     {
-        need(words, 4);
-        json edits = edit_of(with, words[2], "", read_value(words[3]));
+        require_arguments(arguments, 4);
+        json edits =
+            edit_of(entries, arguments[2], "", read_value(arguments[3]));
         edits[0]["expects"] = nullptr; // an existing row is a conflict
-        return send_edits(with, edits);
+        return send_edits(entries, edits);
     }
     if (verb == "remove-row")
     {
-        need(words, 3);
-        return send_edits(with, edit_of(with, words[2], "", nullptr));
+        require_arguments(arguments, 3);
+        return send_edits(entries, edit_of(entries, arguments[2], "", nullptr));
     }
     if (verb == "import")
     {
-        need(words, 3);
-        return import_table(with, words[2]);
+        require_arguments(arguments, 3);
+        return import_table(entries, arguments[2]);
     }
     if (verb == "export")
     {
-        need(words, 3);
-        return export_table(with, words[2]);
+        require_arguments(arguments, 3);
+        return export_table(entries, arguments[2]);
     }
     if (verb == "history")
     {
-        return show(with, with.ask("GET", "/v1/table/history"),
+        return show(entries, entries.ask("GET", "/v1/table/history"),
                     [](const json& body)
                     {
                         for (const json& one : body.at("history"))
@@ -312,7 +314,7 @@
                         }
                     });
     }
-    throw usage_error{"unknown: table " + verb};
+    throw usage_error{"unknown command: table " + verb};
 }
 
 // ---------------------------------------------------------------------------
@@ -334,10 +336,10 @@
                 "running", "queued", "tasks"});
 }
 
-int task_command(session& with)
+int task_command(session& entries)
 {
-    const std::vector<std::string>& words = with.call().words;
-    const std::string verb = words.size() > 1 ? words[1] : "";
+    const std::vector<std::string>& arguments = entries.call().arguments;
+    const std::string verb = arguments.size() > 1 ? arguments[1] : "";
     const auto print = [](const json& task)
     {
         print_rows(json::array({task}),
@@ -345,27 +347,30 @@
     };
     if (verb == "submit")
     {
-        need(words, 3);
-        return show(with, with.ask("POST", "/v1/tasks", read_value(words[2])),
+        require_arguments(arguments, 3);
+        return show(entries,
+                    entries.ask("POST", "/v1/tasks", read_value(arguments[2])),
                     print);
     }
     if (verb == "show")
     {
-        need(words, 3);
-        return show(with, with.ask("GET", "/v1/tasks/" + words[2]), print);
+        require_arguments(arguments, 3);
+        return show(entries, entries.ask("GET", "/v1/tasks/" + arguments[2]),
+                    print);
     }
     if (verb == "cancel")
     {
-        need(words, 3);
-        return show(with, with.ask("DELETE", "/v1/tasks/" + words[2]), print);
+        require_arguments(arguments, 3);
+        return show(entries, entries.ask("DELETE", "/v1/tasks/" + arguments[2]),
+                    print);
     }
     if (verb == "list")
     {
-        const std::string& whose = with.call().workspace;
+        const std::string& whose = entries.call().workspace;
         const std::string path = whose.empty()
                                      ? "/v1/tasks"
                                      : "/v1/operator/tasks?workspace=" + whose;
-        return show(with, with.ask("GET", path),
+        return show(entries, entries.ask("GET", path),
                     [](const json& body)
                     {
                         print_rows(body.at("tasks"),
@@ -374,11 +379,11 @@
                         if (!body.at("complete").get<bool>())
                         {
                             std::cerr << "an entry did not answer: the list "
-                                         "is not whole\n";
+                                         "is incomplete\n";
                         }
                     });
     }
-    throw usage_error{"unknown: task " + verb};
+    throw usage_error{"unknown command: task " + verb};
 }
 
 // ---------------------------------------------------------------------------
@@ -387,15 +392,15 @@
 
 // Reads log files only, so it works while all processes are down.
 std::optional<std::vector<log_line>>
-read_logs(const std::vector<std::string>& words, std::size_t first)
+read_logs(const std::vector<std::string>& arguments, std::size_t first)
 {
     std::vector<log_line> lines;
-    for (std::size_t index = first; index < words.size(); ++index)
+    for (std::size_t index = first; index < arguments.size(); ++index)
     {
-        std::ifstream file(words[index]);
+        std::ifstream file(arguments[index]);
         if (!file)
         {
-            std::cerr << words[index] << ": cannot be read\n";
+            std::cerr << arguments[index] << ": cannot be read\n";
             return std::nullopt;
         }
         const auto of_file = read_log(file);
@@ -412,26 +417,26 @@
     }
 }
 
-int explain_job(const std::vector<std::string>& words, bool as_json)
+int explain_job(const std::vector<std::string>& arguments, bool as_json)
 {
-    auto lines = read_logs(words, 3);
+    auto lines = read_logs(arguments, 3);
     if (!lines)
     {
         return exit_failed;
     }
-    const auto story = timeline_of(words[2], std::move(*lines));
-    if (story.empty())
+    const auto timeline = timeline_of(arguments[2], std::move(*lines));
+    if (timeline.empty())
     {
-        std::cerr << "no line of these logs tells of job " << words[2] << "\n";
+        std::cerr << "no log event refers to job " << arguments[2] << "\n";
         return exit_failed;
     }
-    print_lines(story, as_json);
+    print_lines(timeline, as_json);
     return exit_ok;
 }
 
-int show_closures(const std::vector<std::string>& words, bool as_json)
+int show_closures(const std::vector<std::string>& arguments, bool as_json)
 {
-    const auto lines = read_logs(words, 2);
+    const auto lines = read_logs(arguments, 2);
     if (!lines)
     {
         return exit_failed;
@@ -440,53 +445,54 @@
     return exit_ok;
 }
 
-int job_command(const std::vector<std::string>& words, bool as_json)
+int job_command(const std::vector<std::string>& arguments, bool as_json)
 {
-    const std::string verb = words.size() < 2 ? "" : words[1];
-    if (verb == "explain" && words.size() >= 4)
+    const std::string verb = arguments.size() < 2 ? "" : arguments[1];
+    if (verb == "explain" && arguments.size() >= 4)
     {
-        return explain_job(words, as_json);
+        return explain_job(arguments, as_json);
     }
-    if (verb == "closures" && words.size() >= 3)
+    if (verb == "closures" && arguments.size() >= 3)
     {
-        return show_closures(words, as_json);
+        return show_closures(arguments, as_json);
     }
     throw usage_error{"job explain ID LOG... or job closures LOG...; see "
                       "--help"};
 }
 
-int dispatch(session& with)
+int dispatch(session& entries)
 {
-    const std::vector<std::string>& words = with.call().words;
-    const std::string noun = words.empty() ? "" : words[0];
+    const std::vector<std::string>& arguments = entries.call().arguments;
+    const std::string noun = arguments.empty() ? "" : arguments[0];
     if (noun == "job")
     {
-        return job_command(words, with.call().as_json);
+        return job_command(arguments, entries.call().as_json);
     }
-    if (with.call().entries.empty())
+    if (entries.call().entries.empty())
     {
         throw usage_error{"--entries or SPRINGSTAIR_ENTRIES is required"};
     }
     if (noun == "table")
     {
-        return table_command(with);
+        return table_command(entries);
     }
     if (noun == "task")
     {
-        return task_command(with);
+        return task_command(entries);
     }
     if (noun == "status")
     {
-        return show(with, with.ask("GET", "/v1/status"), print_status);
+        return show(entries, entries.ask("GET", "/v1/status"), print_status);
     }
     if (noun == "drain")
     {
-        need(words, 2);
-        return show(with,
-                    with.ask("POST", "/v1/drain", json{{"guard", words[1]}}),
-                    [&](const json&) { std::cout << words[1] << " drains\n"; });
+        require_arguments(arguments, 2);
+        return show(
+            entries,
+            entries.ask("POST", "/v1/drain", json{{"guard", arguments[1]}}),
+            [&](const json&) { std::cout << arguments[1] << " drains\n"; });
     }
-    throw usage_error{"unknown: " + noun};
+    throw usage_error{"unknown command: " + noun};
 }
 
 } // namespace
@@ -518,8 +524,8 @@
 {
     try
     {
-        session with(call);
-        return dispatch(with);
+        session entries(call);
+        return dispatch(entries);
     }
     catch (const usage_error& error)
     {
@@ -528,8 +534,7 @@
     }
     catch (const json::exception& error)
     {
-        std::cerr << "an answer has not the shape expected: " << error.what()
-                  << "\n";
+        std::cerr << "unexpected format of an answer: " << error.what() << "\n";
         return exit_failed;
     }
 }
--- a/packages/cli/commands.hpp
+++ b/packages/cli/commands.hpp
@@ -28,7 +28,7 @@
     std::optional<std::string> expects;
     std::string workspace;
     bool wait = true;
-    std::vector<std::string> words;
+    std::vector<std::string> arguments;
 };
 
 /// @brief The command summary for `--help`.
--- a/packages/cli/explain.cpp
+++ b/packages/cli/explain.cpp
@@ -19,14 +19,14 @@
     return is_text ? found->get<std::string>() : std::string();
 }
 
-bool is_about(const json& event, const std::string& job)
+bool concerns_job(const json& event, const std::string& job)
 {
     return text_field(event, "job") == job ||
            text_field(event, "task").starts_with(job + ".");
 }
 
 // Events that affect many jobs.
-bool is_common(const json& event)
+bool concerns_many_jobs(const json& event)
 {
     static const std::set<std::string> names{"office_taken",
                                              "office_lost",
@@ -41,7 +41,7 @@
 }
 
 // Events about a guard, logged by itself or by the leader.
-bool is_of_guard(const json& event, const std::set<std::string>& guards)
+bool concerns_guard(const json& event, const std::set<std::string>& guards)
 {
     static const std::set<std::string> names{
         "worker_known", "worker_lost",  "worker_ejected",
@@ -100,7 +100,7 @@
     std::set<std::string> guards;
     for (const log_line& line : lines)
     {
-        if (!is_about(line.event, job))
+        if (!concerns_job(line.event, job))
         {
             continue;
         }
@@ -115,12 +115,14 @@
     std::erase_if(lines,
                   [&](const log_line& line)
                   {
-                      const bool meanwhile = !first.empty() &&
-                                             line.time >= first &&
-                                             line.time <= last;
-                      const bool told = is_common(line.event) ||
-                                        is_of_guard(line.event, guards);
-                      return !is_about(line.event, job) && !(meanwhile && told);
+                      const bool is_in_period = !first.empty() &&
+                                                line.time >= first &&
+                                                line.time <= last;
+                      const bool is_related =
+                          concerns_many_jobs(line.event) ||
+                          concerns_guard(line.event, guards);
+                      return !concerns_job(line.event, job) &&
+                             !(is_in_period && is_related);
                   });
     return lines;
 }
--- a/packages/cli/main.cpp
+++ b/packages/cli/main.cpp
@@ -82,7 +82,7 @@
         .wait = line.no_wait == 0};
     while (const char* word = poptGetArg(context))
     {
-        call.words.emplace_back(word);
+        call.arguments.emplace_back(word);
     }
     poptFreeContext(context);
     return run_command(call);
--- a/packages/cli/session.cpp
+++ b/packages/cli/session.cpp
@@ -58,55 +58,55 @@
     return last;
 }
 
-int code_of(const answer& got)
+int exit_code_of(const answer& response)
 {
-    if (got.status == 0)
+    if (response.status == 0)
     {
-        return got.may_have_run ? exit_unknown : exit_unavailable;
+        return response.may_have_run ? exit_unknown : exit_unavailable;
     }
-    if (got.status < 300)
+    if (response.status < 300)
     {
         return exit_ok;
     }
-    if (got.body.is_object() && got.body.contains("conflicts"))
+    if (response.body.is_object() && response.body.contains("conflicts"))
     {
         return exit_conflict;
     }
-    if (got.body.is_object() && got.body.contains("findings"))
+    if (response.body.is_object() && response.body.contains("findings"))
     {
         return exit_invalid;
     }
-    if (got.body.is_object() &&
-        got.body.value("outcome", std::string()) == "unknown")
+    if (response.body.is_object() &&
+        response.body.value("outcome", std::string()) == "unknown")
     {
         return exit_unknown;
     }
-    return got.status >= server_error ? exit_unavailable : exit_failed;
+    return response.status >= server_error ? exit_unavailable : exit_failed;
 }
 
-int complain(const answer& got)
+int report_error(const answer& response)
 {
-    const int code = code_of(got);
-    if (got.status == 0)
+    const int code = exit_code_of(response);
+    if (response.status == 0)
     {
-        std::cerr << (got.may_have_run
-                          ? "no answer came; it may have taken effect\n"
+        std::cerr << (response.may_have_run
+                          ? "no answer; the request may have taken effect\n"
                           : "no entry answers\n");
         return code;
     }
-    if (!got.body.is_object())
+    if (!response.body.is_object())
     {
-        std::cerr << "answered " << got.status << "\n";
+        std::cerr << "answered " << response.status << "\n";
         return code;
     }
-    for (const json& one : got.body.value("conflicts", json::array()))
+    for (const json& one : response.body.value("conflicts", json::array()))
     {
         std::cerr << "conflict at " << one.at("row").get<std::string>() << " "
                   << one.at("column").get<std::string>() << ": you expected "
                   << one.at("expected") << ", it is now " << one.at("present")
                   << "\n";
     }
-    for (const json& one : got.body.value("findings", json::array()))
+    for (const json& one : response.body.value("findings", json::array()))
     {
         std::cerr << one.at("place").get<std::string>() << ": "
                   << one.at("message").get<std::string>() << "\n";
@@ -115,10 +115,10 @@
     {
         return code;
     }
-    std::cerr << got.body.value("title", std::string("refused")) << " ("
-              << got.body.value("reason",
-                                got.body.value("outcome", std::string("?")))
-              << ") " << got.body.value("detail", std::string()) << "\n";
+    std::cerr << response.body.value("title", std::string("refused")) << " ("
+              << response.body.value(
+                     "reason", response.body.value("outcome", std::string("?")))
+              << ") " << response.body.value("detail", std::string()) << "\n";
     return code;
 }
 
--- a/packages/cli/session.hpp
+++ b/packages/cli/session.hpp
@@ -38,10 +38,10 @@
 };
 
 /// @brief The exit code for an answer.
-int code_of(const answer& got);
+int exit_code_of(const answer& response);
 
 /// @brief Prints an error answer to stderr.
 /// @return the exit code
-int complain(const answer& got);
+int report_error(const answer& response);
 
 } // namespace springstair::cli
--- a/tests/unit/explain_tests.cpp
+++ b/tests/unit/explain_tests.cpp
@@ -25,11 +25,11 @@
 2026-12-02 10:00:01.500000 info {"name":"worker_paced","process":"g-2"}
 )";
 
-std::vector<std::string> names_of(const std::vector<log_line>& story)
+std::vector<std::string> names_of(const std::vector<log_line>& timeline)
 {
     std::vector<std::string> names;
-    names.reserve(story.size());
-    for (const log_line& line : story)
+    names.reserve(timeline.size());
+    for (const log_line& line : timeline)
     {
         names.push_back(line.event.at("name"));
     }
@@ -43,11 +43,11 @@
     std::istringstream in(logs);
     const auto lines = read_log(in);
     CHECK(lines.size() == 9);
-    const auto story = timeline_of("aa", lines);
-    CHECK(names_of(story) ==
+    const auto timeline = timeline_of("aa", lines);
+    CHECK(names_of(timeline) ==
           std::vector<std::string>{"job_accepted", "run_placed", "store_lost",
                                    "worker_paced", "job_ended"});
-    CHECK(text_of(story.back()) ==
+    CHECK(text_of(timeline.back()) ==
           "2026-12-02 10:00:02.000000  entry-0  job_ended  age_ms=1000  "
           "job=aa");
     CHECK(timeline_of("a", lines).empty());
