--- a/bench/load.cpp
+++ b/bench/load.cpp
@@ -61,22 +61,22 @@
     std::vector<std::string> ids_unknown;
 };
 
-std::string required(const json& from, const char* key)
+std::string required(const json& document, const char* key)
 {
-    return from.at(key).get<std::string>();
+    return document.at(key).get<std::string>();
 }
 
-stream parse_stream(const json& from)
+stream parse_stream(const json& document)
 {
-    return {.label = required(from, "label"),
-            .credential = from.value("credential", std::string()),
-            .work_class = required(from, "class"),
-            .workspace = from.value("workspace", std::string()),
-            .rate = from.at("rate"),
-            .service_ms = from.value("service_ms", 1.0),
-            .fixed = from.value("fixed", false),
-            .deadline_ms = from.value("deadline_ms", 10'000),
-            .repeatable = from.value("repeatable", std::string())};
+    return {.label = required(document, "label"),
+            .credential = document.value("credential", std::string()),
+            .work_class = required(document, "class"),
+            .workspace = document.value("workspace", std::string()),
+            .rate = document.at("rate"),
+            .service_ms = document.value("service_ms", 1.0),
+            .fixed = document.value("fixed", false),
+            .deadline_ms = document.value("deadline_ms", 10'000),
+            .repeatable = document.value("repeatable", std::string())};
 }
 
 double percentile(std::vector<double>& sorted, double which)
@@ -119,7 +119,7 @@
         std::vector<time_point> next;
         for (const stream& one : streams_)
         {
-            next.push_back(begin_ + gap(one));
+            next.push_back(begin_ + next_delay(one));
         }
         while (true)
         {
@@ -135,10 +135,10 @@
             std::this_thread::sleep_for(*first - boot_clock::now());
             const auto index = static_cast<std::size_t>(first - next.begin());
             send(index, *first);
-            *first += gap(streams_[index]);
+            *first += next_delay(streams_[index]);
         }
         const absl::MutexLock lock(&mutex_);
-        mutex_.Await(absl::Condition(this, &generator::all_back));
+        mutex_.Await(absl::Condition(this, &generator::all_ended));
     }
 
     json results(bool with_ids)
@@ -152,74 +152,74 @@
     }
 
 private:
-    bool all_back() const
+    bool all_ended() const
     {
         return open_ == 0;
     }
 
-    duration gap(const stream& of)
+    duration next_delay(const stream& source)
     {
         return from_seconds(
-            std::exponential_distribution<double>(of.rate)(random_));
+            std::exponential_distribution<double>(source.rate)(random_));
     }
 
-    double service_of(const stream& of)
+    double service_of(const stream& source)
     {
-        if (of.fixed)
+        if (source.fixed)
         {
-            return of.service_ms;
+            return source.service_ms;
         }
         // Log-normal with mean service_ms: a long tail, as for rendering.
         constexpr double sigma = 0.5;
         std::lognormal_distribution<double> shape(-sigma * sigma / 2, sigma);
-        return of.service_ms * shape(random_);
+        return source.service_ms * shape(random_);
     }
 
     void send(std::size_t index, time_point due)
     {
-        const stream& of = streams_[index];
+        const stream& source = streams_[index];
         const std::string id =
-            prefix_ + "-" + of.label + "-" + std::to_string(next_id_++);
-        const std::uint64_t at = healthy_from(next_id_);
-        const target& to = targets_[at % targets_.size()];
+            prefix_ + "-" + source.label + "-" + std::to_string(next_id_++);
+        const std::uint64_t first = healthy_from(next_id_);
+        const target& chosen = targets_[first % targets_.size()];
         header_map headers{
-            {"springstair-credential", of.credential},
-            {"springstair-class", of.work_class},
+            {"springstair-credential", source.credential},
+            {"springstair-class", source.work_class},
             {"springstair-attempt", id},
-            {"springstair-workspace", of.workspace},
-            {"springstair-deadline-ms", std::to_string(of.deadline_ms)},
-            {"x-client-dc", to.data_centre}};
-        if (!of.repeatable.empty())
+            {"springstair-workspace", source.workspace},
+            {"springstair-deadline-ms", std::to_string(source.deadline_ms)},
+            {"x-client-dc", chosen.data_centre}};
+        if (!source.repeatable.empty())
         {
-            headers["springstair-repeatable"] = of.repeatable;
+            headers["springstair-repeatable"] = source.repeatable;
         }
         {
             const absl::MutexLock lock(&mutex_);
             ++open_;
             ++tallies_[index].sent;
         }
-        const json body{{"id", id}, {"service_ms", service_of(of)}};
-        http_call call{.method = "POST",
-                       .url = {},
-                       .headers = std::move(headers),
-                       .body = make_body(body.dump()),
-                       .timeout =
-                           std::chrono::milliseconds(of.deadline_ms + 2000)};
-        dispatch(index, id, due, std::move(call), at, targets_.size());
+        const json body{{"id", id}, {"service_ms", service_of(source)}};
+        http_call call{
+            .method = "POST",
+            .url = {},
+            .headers = std::move(headers),
+            .body = make_body(body.dump()),
+            .timeout = std::chrono::milliseconds(source.deadline_ms + 2000)};
+        dispatch(index, id, due, std::move(call), first, targets_.size());
     }
 
     // The first target at or after this index that passed its last health
     // check.
-    std::uint64_t healthy_from(std::uint64_t at) const
+    std::uint64_t healthy_from(std::uint64_t first) const
     {
         for (std::uint64_t step = 0; step < targets_.size(); ++step)
         {
-            if (*targets_[(at + step) % targets_.size()].healthy)
+            if (*targets_[(first + step) % targets_.size()].healthy)
             {
-                return at + step;
+                return first + step;
             }
         }
-        return at;
+        return first;
     }
 
     void check_health()
@@ -241,34 +241,36 @@
     // Like a load balancer, tries the next entry if one refuses the
     // connection.
     void dispatch(std::size_t index, const std::string& id, time_point due,
-                  http_call call, std::uint64_t at, std::size_t left)
+                  http_call call, std::uint64_t target_index, std::size_t left)
     {
-        call.url =
-            "http://" + targets_[at % targets_.size()].address + "/v1/request";
-        clients_[at % clients].send(
+        call.url = "http://" +
+                   targets_[target_index % targets_.size()].address +
+                   "/v1/request";
+        clients_[target_index % clients].send(
             call,
-            [this, index, id, due, call, at, left](const http_result& result)
+            [this, index, id, due, call, target_index,
+             left](const http_result& result)
             {
                 if (result.how == delivery::not_sent && left > 1)
                 {
-                    dispatch(index, id, due, call, at + 1, left - 1);
+                    dispatch(index, id, due, call, target_index + 1, left - 1);
                     return;
                 }
-                take(index, id, due, result);
+                record_result(index, id, due, result);
             });
     }
 
-    void take(std::size_t index, const std::string& id, time_point due,
-              const http_result& result)
+    void record_result(std::size_t index, const std::string& id, time_point due,
+                       const http_result& result)
     {
         const duration waited = boot_clock::now() - due + 2 * client_delay_;
         const absl::MutexLock lock(&mutex_);
-        tally& to = tallies_[index];
+        tally& counts = tallies_[index];
         --open_;
         if (result.how != delivery::answered)
         {
-            ++to.unknown["no answer: " + result.error];
-            to.ids_unknown.push_back(id);
+            ++counts.unknown["no answer: " + result.error];
+            counts.ids_unknown.push_back(id);
             return;
         }
         if (const auto problem = problem_of(result.response))
@@ -276,47 +278,47 @@
             const std::string reason(to_string(problem->reason));
             if (problem->result == outcome::not_run)
             {
-                ++to.not_run[reason];
-                to.ids_not_run.push_back(id);
+                ++counts.not_run[reason];
+                counts.ids_not_run.push_back(id);
                 return;
             }
-            ++to.unknown[reason];
-            to.ids_unknown.push_back(id);
+            ++counts.unknown[reason];
+            counts.ids_unknown.push_back(id);
             return;
         }
         const json body = json::parse(*result.response.body, nullptr, false);
         const bool own = body.is_object() && body.value("id", "") == id;
-        to.mixed += own ? 0 : 1;
+        counts.mixed += own ? 0 : 1;
         if (result.response.status != 200)
         {
-            ++to.failed;
+            ++counts.failed;
             return;
         }
-        ++to.answered;
-        to.in_window += boot_clock::now() < begin_ + length_ ? 1 : 0;
-        to.ids_answered.push_back(id);
+        ++counts.answered;
+        counts.in_window += boot_clock::now() < begin_ + length_ ? 1 : 0;
+        counts.ids_answered.push_back(id);
         const double millis = 1000 * to_seconds(waited);
-        to.latencies_ms.push_back(millis);
+        counts.latencies_ms.push_back(millis);
     }
 
-    static json result(tally& from, bool with_ids)
+    static json result(tally& counts, bool with_ids)
     {
-        std::sort(from.latencies_ms.begin(), from.latencies_ms.end());
-        json all{{"sent", from.sent},
-                 {"answered", from.answered},
-                 {"in_window", from.in_window},
-                 {"failed", from.failed},
-                 {"mixed", from.mixed},
-                 {"not_run", from.not_run},
-                 {"unknown", from.unknown},
-                 {"p50_ms", percentile(from.latencies_ms, 50)},
-                 {"p99_ms", percentile(from.latencies_ms, 99)},
-                 {"p999_ms", percentile(from.latencies_ms, 99.9)}};
+        std::sort(counts.latencies_ms.begin(), counts.latencies_ms.end());
+        json all{{"sent", counts.sent},
+                 {"answered", counts.answered},
+                 {"in_window", counts.in_window},
+                 {"failed", counts.failed},
+                 {"mixed", counts.mixed},
+                 {"not_run", counts.not_run},
+                 {"unknown", counts.unknown},
+                 {"p50_ms", percentile(counts.latencies_ms, 50)},
+                 {"p99_ms", percentile(counts.latencies_ms, 99)},
+                 {"p999_ms", percentile(counts.latencies_ms, 99.9)}};
         if (with_ids)
         {
-            all["ids"] = {{"not_run", from.ids_not_run},
-                          {"answered", from.ids_answered},
-                          {"unknown", from.ids_unknown}};
+            all["ids"] = {{"not_run", counts.ids_not_run},
+                          {"answered", counts.ids_answered},
+                          {"unknown", counts.ids_unknown}};
         }
         return all;
     }
--- a/bench/office.cpp
+++ b/bench/office.cpp
@@ -43,35 +43,38 @@
 }
 
 // Adds the processor time spent during its lifetime to a total.
-class account
+class cpu_timer
 {
 public:
-    explicit account(double& to) : to_(to), begin_(processor_seconds()) {}
-    account(const account&) = delete;
-    account& operator=(const account&) = delete;
-    ~account()
+    explicit cpu_timer(double& total)
+        : total_(total), begin_(processor_seconds())
     {
-        to_ += processor_seconds() - begin_;
+    }
+    cpu_timer(const cpu_timer&) = delete;
+    cpu_timer& operator=(const cpu_timer&) = delete;
+    ~cpu_timer()
+    {
+        total_ += processor_seconds() - begin_;
     }
 
 private:
-    double& to_;
+    double& total_;
     double begin_;
 };
 
-struct modelled_run
+struct simulated_run
 {
     start_order order;
     time_point ends;
     double cpu_millis = 0;
 };
 
-struct modelled_worker
+struct simulated_worker
 {
     worker_report report;
-    std::map<std::string, modelled_run> runs;
+    std::map<std::string, simulated_run> runs;
     time_point next_report{};
-    time_point whole_told{};
+    time_point full_reported_at{};
     std::int64_t ends = 0;
 };
 
@@ -99,13 +102,13 @@
         core_.begin(now_);
         for (std::size_t index = 0; index < workers_.size(); ++index)
         {
-            workers_[index].report = described(static_cast<int>(index));
+            workers_[index].report = description_of(static_cast<int>(index));
         }
         rpc_.add("report",
                  [this](const json& message)
                  {
                      auto report = message.get<worker_report>();
-                     const account spent(parts_["report, decisions"]);
+                     const cpu_timer spent(parts_["report, decisions"]);
                      return json(core_.report(report, now_, now_));
                  });
         for (int job = 0; job < lasting_jobs; ++job)
@@ -114,15 +117,15 @@
         }
     }
 
-    void play(milliseconds length)
+    void simulate(milliseconds length)
     {
         for (const time_point end = now_ + length; now_ < end;
              now_ += step_length)
         {
-            hand_in();
+            submit_jobs();
             report_all();
             {
-                const account spent(parts_["placing"]);
+                const cpu_timer spent(parts_["placing"]);
                 core_.tick(now_, 0);
                 core_.take_decisions();
             }
@@ -130,7 +133,7 @@
         }
     }
 
-    void forget_costs()
+    void reset_costs()
     {
         parts_.clear();
         reports_ = bytes_ = written_ = 0;
@@ -141,9 +144,9 @@
     {
         double sum = 0;
         const auto line =
-            [&](const std::string& what, double value, const char* unit)
+            [&](const std::string& label, double value, const char* unit)
         {
-            std::cout << std::left << std::setw(30) << what << std::right
+            std::cout << std::left << std::setw(30) << label << std::right
                       << std::setw(12) << std::fixed << std::setprecision(2)
                       << value / seconds << " " << unit << " a second\n";
         };
@@ -161,7 +164,7 @@
     }
 
 private:
-    static worker_report described(int index)
+    static worker_report description_of(int index)
     {
         const std::string name = "side-pos-a-" + std::to_string(index);
         return {
@@ -195,31 +198,33 @@
 
     job lasting_job()
     {
-        job what = job_of("lasting");
-        what.steps = {{.count = draw(24),
-                       .demand = {.cpu_millis = draw(6400), .memory_mb = 13000},
-                       .lasting = true,
-                       .image = "s" + std::to_string(jobs_ % 16),
-                       .latency_target_ms = 18}};
-        return what;
+        job definition = job_of("lasting");
+        definition.steps = {
+            {.count = draw(24),
+             .demand = {.cpu_millis = draw(6400), .memory_mb = 13000},
+             .lasting = true,
+             .image = "s" + std::to_string(jobs_ % 16),
+             .latency_target_ms = 18}};
+        return definition;
     }
 
     job quick_job()
     {
-        job what = job_of("quick");
-        what.steps = {{.count = draw(9.4),
-                       .demand = {.cpu_millis = draw(1900), .memory_mb = 3800},
-                       .estimate_ms = 1000}};
-        return what;
+        job definition = job_of("quick");
+        definition.steps = {
+            {.count = draw(9.4),
+             .demand = {.cpu_millis = draw(1900), .memory_mb = 3800},
+             .estimate_ms = 1000}};
+        return definition;
     }
 
     job heavy_job()
     {
-        job what = job_of("heavy");
+        job definition = job_of("heavy");
         const std::string image = "f" + std::to_string(jobs_ % 30);
         for (std::size_t step = 0; step < 2; ++step)
         {
-            what.steps.push_back(
+            definition.steps.push_back(
                 {.count = draw(39),
                  .demand = {.cpu_millis = draw(3500), .memory_mb = 6400},
                  .estimate_ms = 1700,
@@ -227,11 +232,11 @@
                  .fills = true,
                  .checkpoints = true});
         }
-        what.steps[1].after = {0};
-        return what;
+        definition.steps[1].after = {0};
+        return definition;
     }
 
-    void hand_in()
+    void submit_jobs()
     {
         const auto share = std::chrono::duration<double>(step_length).count();
         std::bernoulli_distribution quick(quick_a_second * share);
@@ -246,14 +251,14 @@
         }
     }
 
-    void take(modelled_worker& at, const guard_orders& orders)
+    void take(simulated_worker& worker, const guard_orders& orders)
     {
         for (const start_order& order : orders.starts)
         {
             const bool lasts = order.latency_target_ms > 0;
-            at.runs.try_emplace(
+            worker.runs.try_emplace(
                 order.task,
-                modelled_run{
+                simulated_run{
                     .order = order,
                     .ends = now_ + milliseconds(
                                        lasts ? 70'000
@@ -262,29 +267,29 @@
         }
         for (const stop_order& order : orders.stops)
         {
-            end_run(at, order.task, run_end::stopped);
+            end_run(worker, order.task, run_end::stopped);
         }
     }
 
-    static void end_run(modelled_worker& at, const std::string& task,
+    static void end_run(simulated_worker& worker, const std::string& task,
                         run_end how)
     {
-        const auto found = at.runs.find(task);
-        if (found == at.runs.end())
+        const auto found = worker.runs.find(task);
+        if (found == worker.runs.end())
         {
             return;
         }
-        at.report.ended.push_back({.number = ++at.ends,
-                                   .task = task,
-                                   .run = found->second.order.run,
-                                   .how = how});
-        at.runs.erase(found);
+        worker.report.ended.push_back({.number = ++worker.ends,
+                                       .task = task,
+                                       .run = found->second.order.run,
+                                       .how = how});
+        worker.runs.erase(found);
     }
 
-    void look(modelled_worker& at)
+    void end_finished_runs(simulated_worker& worker)
     {
         std::vector<std::string> over;
-        for (const auto& [task, run] : at.runs)
+        for (const auto& [task, run] : worker.runs)
         {
             if (now_ >= run.ends)
             {
@@ -293,45 +298,45 @@
         }
         for (const std::string& task : over)
         {
-            end_run(at, task, run_end::done);
-            at.next_report = now_;
+            end_run(worker, task, run_end::done);
+            worker.next_report = now_;
         }
     }
 
     void report_all()
     {
-        for (modelled_worker& at : workers_)
+        for (simulated_worker& worker : workers_)
         {
-            look(at);
-            if (now_ < at.next_report)
+            end_finished_runs(worker);
+            if (now_ < worker.next_report)
             {
                 continue;
             }
-            send_report(at);
+            send_report(worker);
         }
         for (const addressed_orders& one : core_.take_orders())
         {
             std::string text;
             {
-                const account spent(parts_["orders, written"]);
+                const cpu_timer spent(parts_["orders, written"]);
                 text = rpc_request("orders", one.orders);
             }
-            const auto at =
+            const auto addressee =
                 std::find_if(workers_.begin(), workers_.end(),
-                             [&](const modelled_worker& worker)
+                             [&](const simulated_worker& worker)
                              { return worker.report.guard == one.guard; });
-            take(*at, one.orders);
+            take(*addressee, one.orders);
         }
     }
 
-    void send_report(modelled_worker& at)
+    void send_report(simulated_worker& worker)
     {
-        worker_report& report = at.report;
+        worker_report& report = worker.report;
         ++report.sequence;
         report.running.clear();
-        report.whole = now_ - at.whole_told >= full_report_interval;
+        report.whole = now_ - worker.full_reported_at >= full_report_interval;
         std::uniform_int_distribution<std::int64_t> wave(0, 3);
-        for (const auto& [task, run] : at.runs)
+        for (const auto& [task, run] : worker.runs)
         {
             if (!report.whole)
             {
@@ -348,7 +353,7 @@
         const std::string text = rpc_request("report", report);
         std::string answer_text;
         {
-            const account spent(parts_["reports, whole"]);
+            const cpu_timer spent(parts_["reports, whole"]);
             answer_text = rpc_.handle(text);
         }
         ++reports_;
@@ -359,11 +364,11 @@
             report.admission = answer.admission;
             return;
         }
-        at.whole_told = report.whole ? now_ : at.whole_told;
-        take(at, answer.orders);
+        worker.full_reported_at = report.whole ? now_ : worker.full_reported_at;
+        take(worker, answer.orders);
         std::erase_if(report.ended, [&](const ended_task& one)
                       { return one.number <= answer.orders.acknowledged; });
-        at.next_report =
+        worker.next_report =
             now_ + (report.ended.empty() ? default_report : ends_report);
     }
 
@@ -371,7 +376,7 @@
     {
         if (in_store_ && now_ >= written_at_)
         {
-            const account spent(parts_["records, written"]);
+            const cpu_timer spent(parts_["records, written"]);
             core_.committed(*in_store_, ++revision_, now_);
             in_store_.reset();
         }
@@ -379,7 +384,7 @@
         {
             return;
         }
-        const account spent(parts_["records, written"]);
+        const cpu_timer spent(parts_["records, written"]);
         in_store_ = core_.next_commit(now_);
         if (in_store_)
         {
@@ -394,7 +399,7 @@
     time_point now_{std::chrono::hours(1)};
     scheduler_core core_;
     rpc_dispatcher rpc_;
-    std::vector<modelled_worker> workers_;
+    std::vector<simulated_worker> workers_;
     std::mt19937_64 draw_{1}; // NOLINT: reproducible
     std::int64_t jobs_ = 0;
     std::optional<commit_batch> in_store_;
@@ -414,8 +419,8 @@
     const int workers = count > 1 ? std::atoi(words[1]) : 160;
     constexpr int seconds = 20;
     fleet all(workers);
-    all.play(std::chrono::seconds(5)); // warm-up to a steady state
-    all.forget_costs();
-    all.play(std::chrono::seconds(seconds));
+    all.simulate(std::chrono::seconds(5)); // warm-up to a steady state
+    all.reset_costs();
+    all.simulate(std::chrono::seconds(seconds));
     all.print(seconds);
 }
--- a/bench/slopes.cpp
+++ b/bench/slopes.cpp
@@ -29,12 +29,12 @@
            static_cast<double>(now.tv_nsec) / 1e9;
 }
 
-double micros_each(int times, const std::function<void(int)>& what)
+double micros_each(int times, const std::function<void(int)>& operation)
 {
     const double begin = processor_seconds();
     for (int index = 0; index < times; ++index)
     {
-        what(index);
+        operation(index);
     }
     return micro * (processor_seconds() - begin) / times;
 }
@@ -44,11 +44,11 @@
     return static_cast<double>(mallinfo2().uordblks);
 }
 
-void print(const std::string& what, double at, double value,
+void print(const std::string& label, double point, double value,
            const std::string& unit)
 {
-    std::cout << std::left << std::setw(46) << what << std::right
-              << std::setw(9) << at << std::setw(12) << std::fixed
+    std::cout << std::left << std::setw(46) << label << std::right
+              << std::setw(9) << point << std::setw(12) << std::fixed
               << std::setprecision(2) << value << " " << unit << "\n";
     std::cout.unsetf(std::ios::floatfield);
 }
@@ -247,7 +247,7 @@
 constexpr resources worker_room{.cpu_millis = 32000, .memory_mb = 128000};
 
 // The report of an idle worker.
-worker_report worker_of(int index, int sequence)
+worker_report idle_report_of(int index, int sequence)
 {
     const std::string name = "guard-" + std::to_string(index);
     worker_report report{
@@ -261,7 +261,7 @@
     return report;
 }
 
-job filling_job(int index, std::int64_t tasks)
+job best_effort_job(int index, std::int64_t tasks)
 {
     return {.id = "fill-" + std::to_string(index),
             .queue = "heavy",
@@ -277,7 +277,7 @@
 {
     for (int index = 0; index < workers; ++index)
     {
-        core.report(worker_of(index, sequence), now, now);
+        core.report(idle_report_of(index, sequence), now, now);
     }
 }
 
@@ -301,7 +301,7 @@
                         {
                             for (int index = 0; index < jobs; ++index)
                             {
-                                core.accept(filling_job(index, 8), now);
+                                core.accept(best_effort_job(index, 8), now);
                             }
                             core.tick(now, 0);
                         });
--- a/stand_ins/stand_in.hpp
+++ b/stand_ins/stand_in.hpp
@@ -36,13 +36,14 @@
     timer(const timer&) = delete;
     timer& operator=(const timer&) = delete;
 
-    /// @brief Runs @p what after @p wait.
+    /// @brief Runs @p callback after @p wait.
     /// @return the sequence number of the callback
-    std::uint64_t after(duration wait, std::function<void()> what)
+    std::uint64_t after(duration wait, std::function<void()> callback)
     {
         const absl::MutexLock lock(&mutex_);
         const std::uint64_t key = next_++;
-        due_.emplace(std::pair(boot_clock::now() + wait, key), std::move(what));
+        due_.emplace(std::pair(boot_clock::now() + wait, key),
+                     std::move(callback));
         return key;
     }
 
@@ -57,7 +58,7 @@
     {
         while (true)
         {
-            std::function<void()> what;
+            std::function<void()> callback;
             {
                 const absl::MutexLock lock(&mutex_);
                 duration wait = std::chrono::milliseconds(20);
@@ -78,10 +79,10 @@
                 {
                     continue;
                 }
-                what = std::move(due_.begin()->second);
+                callback = std::move(due_.begin()->second);
                 due_.erase(due_.begin());
             }
-            what();
+            callback();
         }
     }
 
@@ -134,10 +135,10 @@
 };
 
 /// @brief Sends a JSON response.
-inline void answer(const std::shared_ptr<http_responder>& to,
+inline void answer(const std::shared_ptr<http_responder>& responder,
                    const json& document, int status = 200)
 {
-    to->respond(json_response(status, document));
+    responder->respond(json_response(status, document));
 }
 
 /// @brief Blocks the stop signals; must be called before threads are started.
--- a/stand_ins/store_stand_in.cpp
+++ b/stand_ins/store_stand_in.cpp
@@ -104,7 +104,7 @@
 public:
     json call(const std::string& path, const json& body)
     {
-        lapse_leases();
+        expire_leases();
         if (path == "/v3/kv/range")
         {
             ++reads_;
@@ -149,7 +149,7 @@
         return body;
     }
 
-    void lapse_leases()
+    void expire_leases()
     {
         for (auto lease = leases_.begin(); lease != leases_.end();)
         {
@@ -268,52 +268,53 @@
 {
 public:
     void serve(const http_request& request,
-               const std::shared_ptr<http_responder>& to)
+               const std::shared_ptr<http_responder>& responder)
     {
         const absl::MutexLock lock(&mutex_);
         const json body = json::parse(*request.body, nullptr, false);
         if (request.path.starts_with("/control"))
         {
-            control(request, body, to);
+            control(request, body, responder);
             return;
         }
         if (request.path == "/v1/vms")
         {
-            answer(to, {{"vms", vms_}});
+            answer(responder, {{"vms", vms_}});
             return;
         }
         if (!request.path.starts_with("/v3/"))
         {
-            answer(to, json::object(), not_found);
+            answer(responder, json::object(), not_found);
             return;
         }
         if (mode_ == "hang")
         {
-            hung_.push_back(to);
+            hung_.push_back(responder);
             return;
         }
         if (mode_ == "down")
         {
-            answer(to, json::object(), unavailable);
+            answer(responder, json::object(), unavailable);
             return;
         }
         const json result = store_.call(request.path, body);
         if (mode_ == "lie")
         {
-            answer(to, json::object(), unavailable);
+            answer(responder, json::object(), unavailable);
             return;
         }
         if (mode_ == "slow")
         {
-            timer_.after(delay_, [to, result] { answer(to, result); });
+            timer_.after(delay_,
+                         [responder, result] { answer(responder, result); });
             return;
         }
-        answer(to, result);
+        answer(responder, result);
     }
 
 private:
     void control(const http_request& request, const json& body,
-                 const std::shared_ptr<http_responder>& to)
+                 const std::shared_ptr<http_responder>& responder)
     {
         if (request.path == "/control/vms")
         {
@@ -325,7 +326,7 @@
             delay_ = std::chrono::milliseconds(body.value("delay_ms", 0));
             hung_.clear();
         }
-        answer(to, store_.counts());
+        answer(responder, store_.counts());
     }
 
     absl::Mutex mutex_;
--- a/stand_ins/worker_stand_in.cpp
+++ b/stand_ins/worker_stand_in.cpp
@@ -44,7 +44,7 @@
     }
 
     void serve(const http_request& request,
-               const std::shared_ptr<http_responder>& to)
+               const std::shared_ptr<http_responder>& responder)
     {
         const json body = json::parse(*request.body, nullptr, false);
         const std::string id = body.value("id", std::string());
@@ -69,13 +69,13 @@
                          {"workspace", request.header("springstair-workspace")},
                          {"pad", body.value("pad", std::string())}};
         timers_.after(service + (far ? 2 * far_ : duration{0}),
-                      [this, to, attempt, reply, fails]
+                      [this, responder, attempt, reply, fails]
                       {
                           {
                               const absl::MutexLock lock(&mutex_);
                               busy_.erase(busy_.find(attempt));
                           }
-                          answer(to, reply, fails ? server_error : 200);
+                          answer(responder, reply, fails ? server_error : 200);
                       });
     }
 
@@ -138,7 +138,7 @@
     int start(const json& body)
     {
         const absl::MutexLock lock(&mutex_);
-        lapse();
+        expire_leases();
         const auto key = name_of(body);
         const std::int64_t now = clock_ms();
         const bool same_task =
@@ -161,7 +161,7 @@
         run.done_before = checkpoint.empty() ? 0 : std::stoll(checkpoint);
         run.lease_until = now + body.at("lease_ms").get<std::int64_t>();
         runs_[key] = run;
-        note_overshoot();
+        count_overshoot();
         const bool fails =
             fail_all_ || (payload.is_object() && payload.value("fail", false));
         const std::int64_t run_ms =
@@ -172,7 +172,7 @@
                       [this, key, fails]
                       {
                           const absl::MutexLock inner(&mutex_);
-                          lapse();
+                          expire_leases();
                           end(key, fails ? "failed" : "finished",
                               fails ? "told to fail"
                                     : "result of " + key.first);
@@ -183,7 +183,7 @@
     void renew(const json& body)
     {
         const absl::MutexLock lock(&mutex_);
-        lapse();
+        expire_leases();
         for (const json& item : body.at("attempts"))
         {
             const auto found = runs_.find(name_of(item));
@@ -198,7 +198,7 @@
     void stop(const json& body)
     {
         const absl::MutexLock lock(&mutex_);
-        lapse();
+        expire_leases();
         const auto key = name_of(body);
         const auto found = runs_.find(key);
         if (found == runs_.end())
@@ -233,7 +233,7 @@
     json list(const json& requests)
     {
         const absl::MutexLock lock(&mutex_);
-        lapse();
+        expire_leases();
         json tasks = json::array();
         for (const auto& [key, run] : runs_)
         {
@@ -256,7 +256,7 @@
     json history()
     {
         const absl::MutexLock lock(&mutex_);
-        lapse();
+        expire_leases();
         json all = intervals_;
         for (const auto& [key, run] : runs_)
         {
@@ -306,7 +306,7 @@
     }
 
     // Ends tasks whose lease has expired, as of the time of expiry.
-    void lapse()
+    void expire_leases()
     {
         for (auto& [key, run] : runs_)
         {
@@ -317,7 +317,7 @@
         }
     }
 
-    void note_overshoot()
+    void count_overshoot()
     {
         std::int64_t cpu = 0;
         std::int64_t memory = 0;
@@ -353,29 +353,29 @@
     worker tasks;
 
     void serve(const http_request& request,
-               const std::shared_ptr<http_responder>& to)
+               const std::shared_ptr<http_responder>& responder)
     {
         const std::string& path = request.path;
         if (path == "/v1/worker")
         {
-            answer(to, tasks.list(requests.busy()));
+            answer(responder, tasks.list(requests.busy()));
         }
         else if (path == "/control")
         {
-            control(request, to);
+            control(request, responder);
         }
         else if (path.starts_with("/v1/worker/"))
         {
-            command(path, json::parse(*request.body), to);
+            command(path, json::parse(*request.body), responder);
         }
         else
         {
-            requests.serve(request, to);
+            requests.serve(request, responder);
         }
     }
 
     void control(const http_request& request,
-                 const std::shared_ptr<http_responder>& to)
+                 const std::shared_ptr<http_responder>& responder)
     {
         if (request.method == "POST")
         {
@@ -383,12 +383,12 @@
             requests.fail_all(body.value("fail_all", false));
             tasks.fail_all(body.value("fail_all", false));
         }
-        answer(to,
+        answer(responder,
                {{"executor", requests.history()}, {"worker", tasks.history()}});
     }
 
     void command(const std::string& path, const json& body,
-                 const std::shared_ptr<http_responder>& to)
+                 const std::shared_ptr<http_responder>& responder)
     {
         int status = 200;
         if (path == "/v1/worker/start")
@@ -407,7 +407,7 @@
         {
             tasks.forget(body);
         }
-        answer(to, json::object(), status);
+        answer(responder, json::object(), status);
     }
 };
 
