--- a/tests/unit/adapter_tests.cpp
+++ b/tests/unit/adapter_tests.cpp
@@ -316,9 +316,9 @@
                                            {"deadline_ms", 900},
                                            {"fencing_token", 7},
                                            {"checkpoint", "c"}});
-    const http_call look =
+    const http_call poll =
         adapter::encode(poll_executor{.acknowledged = 3, .fence = 7}, "a:1");
-    CHECK(json::parse(*look.body) ==
+    CHECK(json::parse(*poll.body) ==
           json{{"fencing_token", 7}, {"last_seen", 3}});
 }
 
@@ -352,14 +352,14 @@
 
 TEST_CASE("the answer to a poll: valid and malformed")
 {
-    const auto look = adapter::decode_poll(answered(200, R"({"clock_ms": 9,
+    const auto snapshot = adapter::decode_poll(answered(200, R"({"clock_ms": 9,
           "running": [["j.0.0.0", 2, "c", 41], ["j.0.0.1", 1, "", 5, 230]],
           "ended": [[58, "j.0.0.2", 1, "done", ""]]})"));
-    REQUIRE(look.has_value());
-    CHECK(look->clock_ms == 9);
-    CHECK(look->running.at(0).load == 0);
-    CHECK(look->running.at(1).load == 230);
-    CHECK(look->ended.at(0) ==
+    REQUIRE(snapshot.has_value());
+    CHECK(snapshot->clock_ms == 9);
+    CHECK(snapshot->running.at(0).load == 0);
+    CHECK(snapshot->running.at(1).load == 230);
+    CHECK(snapshot->ended.at(0) ==
           ended_task{
               .number = 58, .task = "j.0.0.2", .run = 1, .how = run_end::done});
     CHECK_FALSE(adapter::decode_poll(answered(200, "{}")).has_value());
