--- a/bench/slopes.cpp
+++ b/bench/slopes.cpp
@@ -1,6 +1,7 @@
-// Measures how the cost of a role grows with what it knows of: processor
-// time per heartbeat, request, table edit and task step, bytes on the wire,
-// memory per guard, class and task. Prints one line a point.
+// Measures how the cost of a role grows with the number of guards, workspaces
+// and tasks: processor time per heartbeat, request, table edit and task step,
+// bytes on the wire, memory per guard, workspace and task. Prints one line per
+// point.
 
 #include <springstair/entry.hpp>
 #include <springstair/guard.hpp>
@@ -28,12 +29,12 @@
            static_cast<double>(now.tv_nsec) / 1e9;
 }
 
-double micros_each(int times, const std::function<void(int)>& what)
+double micros_each(int times, const std::function<void(int)>& operation)
 {
     const double begin = processor_seconds();
     for (int index = 0; index < times; ++index)
     {
-        what(index);
+        operation(index);
     }
     return micro * (processor_seconds() - begin) / times;
 }
@@ -43,11 +44,11 @@
     return static_cast<double>(mallinfo2().uordblks);
 }
 
-void print(const std::string& what, double at, double value,
+void print(const std::string& label, double point, double value,
            const std::string& unit)
 {
-    std::cout << std::left << std::setw(46) << what << std::right
-              << std::setw(9) << at << std::setw(12) << std::fixed
+    std::cout << std::left << std::setw(46) << label << std::right
+              << std::setw(9) << point << std::setw(12) << std::fixed
               << std::setprecision(2) << value << " " << unit << "\n";
     std::cout.unsetf(std::ios::floatfield);
 }
@@ -245,8 +246,8 @@
 constexpr int filling_images = 18;
 constexpr resources worker_room{.cpu_millis = 32000, .memory_mb = 128000};
 
-// A worker with nothing at work.
-worker_report worker_of(int index, int sequence)
+// The report of an idle worker.
+worker_report idle_report_of(int index, int sequence)
 {
     const std::string name = "guard-" + std::to_string(index);
     worker_report report{
@@ -260,7 +261,7 @@
     return report;
 }
 
-job filling_job(int index, std::int64_t tasks)
+job best_effort_job(int index, std::int64_t tasks)
 {
     return {.id = "fill-" + std::to_string(index),
             .queue = "heavy",
@@ -276,11 +277,12 @@
 {
     for (int index = 0; index < workers; ++index)
     {
-        core.report(worker_of(index, sequence), now, now);
+        core.report(idle_report_of(index, sequence), now, now);
     }
 }
 
-// Passes over waiting fills that find nothing: the usual case under load.
+// Placement passes over waiting best-effort tasks. Passes that find no capacity
+// are the common case under load.
 void measure_placing()
 {
     for (const int workers : {30, 100, 300})
@@ -299,7 +301,7 @@
                         {
                             for (int index = 0; index < jobs; ++index)
                             {
-                                core.accept(filling_job(index, 8), now);
+                                core.accept(best_effort_job(index, 8), now);
                             }
                             core.tick(now, 0);
                         });
--- a/stand_ins/store_stand_in.cpp
+++ b/stand_ins/store_stand_in.cpp
@@ -1,10 +1,12 @@
-// Takes the place of the platform's key-value service and list of VMs:
-// etcd's JSON gateway (range, transaction, leases) with faults on demand.
+// Stand-in for the platform's key-value service and list of VMs: etcd's JSON
+// gateway (range, transaction, leases) with fault injection.
 //
-// POST /control {"mode": "up" | "down" | "slow" | "lie", "delay_ms": n}
+// POST /control {"mode": "up" | "down" | "slow" | "lie" | "hang",
+//                "delay_ms": n}
 //   down: answers 503 without effect; slow: answers after the delay;
 //   lie: takes effect, then answers 503; hang: never answers.
-// GET /control: calls so far. POST /control/vms: sets the list of VMs.
+// GET /control: number of calls so far. POST /control/vms: sets the list of
+// VMs.
 
 #include "stand_in.hpp"
 
@@ -21,7 +23,7 @@
 
 struct stored
 {
-    std::string value; // base64, as it came
+    std::string value; // base64, as received
     std::int64_t created = 0;
     std::int64_t modified = 0;
     std::int64_t version = 0;
@@ -45,7 +47,7 @@
                               : found->get<std::int64_t>();
 }
 
-// Base64 does not keep the order of keys, so they are kept decoded.
+// Keys are stored decoded because base64 does not preserve their order.
 std::string decoded(const std::string& text)
 {
     std::string out;
@@ -102,7 +104,7 @@
 public:
     json call(const std::string& path, const json& body)
     {
-        lapse_leases();
+        expire_leases();
         if (path == "/v3/kv/range")
         {
             ++reads_;
@@ -147,7 +149,7 @@
         return body;
     }
 
-    void lapse_leases()
+    void expire_leases()
     {
         for (auto lease = leases_.begin(); lease != leases_.end();)
         {
@@ -219,7 +221,7 @@
             if (all && put != step.end() && number_in(*put, "lease") != 0 &&
                 !leases_.contains(number_in(*put, "lease")))
             {
-                all = false; // as a put under an unknown lease fails
+                all = false; // etcd rejects a put with an unknown lease
             }
         }
         if (all && !body.at("success").empty())
@@ -266,52 +268,53 @@
 {
 public:
     void serve(const http_request& request,
-               const std::shared_ptr<http_responder>& to)
+               const std::shared_ptr<http_responder>& responder)
     {
         const absl::MutexLock lock(&mutex_);
         const json body = json::parse(*request.body, nullptr, false);
         if (request.path.starts_with("/control"))
         {
-            control(request, body, to);
+            control(request, body, responder);
             return;
         }
         if (request.path == "/v1/vms")
         {
-            answer(to, {{"vms", vms_}});
+            answer(responder, {{"vms", vms_}});
             return;
         }
         if (!request.path.starts_with("/v3/"))
         {
-            answer(to, json::object(), not_found);
+            answer(responder, json::object(), not_found);
             return;
         }
         if (mode_ == "hang")
         {
-            hung_.push_back(to);
+            hung_.push_back(responder);
             return;
         }
         if (mode_ == "down")
         {
-            answer(to, json::object(), unavailable);
+            answer(responder, json::object(), unavailable);
             return;
         }
         const json result = store_.call(request.path, body);
         if (mode_ == "lie")
         {
-            answer(to, json::object(), unavailable);
+            answer(responder, json::object(), unavailable);
             return;
         }
         if (mode_ == "slow")
         {
-            timer_.after(delay_, [to, result] { answer(to, result); });
+            timer_.after(delay_,
+                         [responder, result] { answer(responder, result); });
             return;
         }
-        answer(to, result);
+        answer(responder, result);
     }
 
 private:
     void control(const http_request& request, const json& body,
-                 const std::shared_ptr<http_responder>& to)
+                 const std::shared_ptr<http_responder>& responder)
     {
         if (request.path == "/control/vms")
         {
@@ -323,7 +326,7 @@
             delay_ = std::chrono::milliseconds(body.value("delay_ms", 0));
             hung_.clear();
         }
-        answer(to, store_.counts());
+        answer(responder, store_.counts());
     }
 
     absl::Mutex mutex_;
