--- a/packages/daemon/include/springstair/detail/daemon/job_settings.hpp
+++ b/packages/daemon/include/springstair/detail/daemon/job_settings.hpp
@@ -57,6 +57,6 @@
 job_settings parse_job_settings(const json& document);
 
 /// @brief The settings with every default filled in.
-json to_document(const job_settings& from);
+json to_document(const job_settings& settings);
 
 } // namespace springstair
--- a/packages/daemon/src/job_entry_role.cpp
+++ b/packages/daemon/src/job_entry_role.cpp
@@ -34,7 +34,7 @@
 constexpr duration balancer_notice = std::chrono::milliseconds(2600);
 // An entry that is asked to take the office has it after some tens of
 // milliseconds; two may be asked.
-constexpr duration successor_within = std::chrono::milliseconds(1000);
+constexpr duration handover_timeout = std::chrono::milliseconds(1000);
 // Before the grace ends, the process has to be gone.
 constexpr duration grace_margin = std::chrono::milliseconds(700);
 
@@ -42,13 +42,13 @@
 {
 public:
     explicit job_entry_control(process_context& process)
-        : process_(process), store_(process.client, process.from.store),
+        : process_(process), store_(process.client, process.settings.store),
           leader_election_(process, store_, leader_election_callbacks()),
           handover_(process, store_, leader_election_),
-          contact_(process, store_, leader_election_),
+          leader_heartbeat_(process, store_, leader_election_),
           job_scheduler_(process, store_, leader_election_),
           job_request_handler_(process, store_, leader_election_,
-                               job_scheduler_, contact_),
+                               job_scheduler_, leader_heartbeat_),
           operator_(process, store_,
                     {.table =
                          [this](const queue_table& table)
@@ -57,9 +57,9 @@
                          job_request_handler_.set_table(table);
                      },
                      .closed =
-                         [this](const closed_data_centres& known)
+                         [this](const closed_data_centres& closed)
                      {
-                         job_scheduler_.set_closed(known);
+                         job_scheduler_.set_closed(closed);
                      }})
     {
         rpc_.add("report",
@@ -96,38 +96,39 @@
                  });
         rpc_.add("count", [this](const json& message)
                  { return job_request_handler_.count_for_peer(message); });
-        rpc_.add(entry_heartbeat_method,
-                 [this](const json& message) {
-                     return json(answer_entry(message.get<entry_heartbeat>()));
-                 });
+        rpc_.add(
+            entry_heartbeat_method, [this](const json& message)
+            { return json(answer_heartbeat(message.get<entry_heartbeat>())); });
     }
 
     void run()
     {
         const http_server callers(
-            server_at(process_.from.callers, process_.from),
+            server_options(process_.settings.callers, process_.settings),
             process_.on_request([this](const http_arrival& arrival)
                                 { job_request_handler_.on_request(arrival); }));
         const http_server readiness(
-            server_at(process_.from.readiness, process_.from),
+            server_options(process_.settings.readiness, process_.settings),
             process_.on_request([this](const http_arrival& arrival)
                                 { answer_readiness(*arrival.responder); }));
         const http_server internal(
-            server_at(internal_address(process_.from), process_.from),
+            server_options(internal_address(process_.settings),
+                           process_.settings),
             process_.on_request([this](http_arrival arrival)
                                 { answer_internal(arrival); }));
-        const auto figures = serve_metrics(
+        const auto metrics_server = serve_metrics(
             process_, {{"callers", &callers}, {"internal", &internal}});
-        log_event(event_id::process_started,
-                  {{"role", "job_entry"}, {"address", process_.from.callers}});
-        log_bounds(process_.from);
+        log_event(
+            event_id::process_started,
+            {{"role", "job_entry"}, {"address", process_.settings.callers}});
+        log_process_limits(process_.settings);
         process_.run_control(timer_step, [this](time_point now) { tick(now); });
     }
 
 private:
     leader_election::callbacks leader_election_callbacks()
     {
-        return {.taken =
+        return {.elected =
                     [this](std::int64_t epoch)
                 {
                     handover_.begin();
@@ -135,39 +136,40 @@
                 },
                 .lost = [this](const leader_change& next)
                 { job_scheduler_.end(next); },
-                .told =
-                    [this](const std::string& from, std::int64_t epoch)
+                .takeover_answered =
+                    [this](const std::string& requester, std::int64_t epoch)
                 {
-                    tell_taken(from, epoch);
+                    send_takeover_result(requester, epoch);
                 }};
     }
 
     void tick(time_point now)
     {
         follow_operator(now);
-        leader_election_.set_claim_schedule(contact_.turn());
+        leader_election_.set_claim_schedule(
+            leader_heartbeat_.own_claim_schedule());
         leader_election_.tick(now);
-        handover_.tick(now, stop_since_.has_value());
-        contact_.tick(now);
+        handover_.tick(now, drain_started_at_.has_value());
+        leader_heartbeat_.tick(now);
         job_scheduler_.tick(now);
         job_request_handler_.tick(now);
-        if (process_.drain && !stop_since_)
+        if (process_.drain && !drain_started_at_)
         {
-            begin_stop(now);
+            begin_drain(now);
         }
-        if (stop_since_)
+        if (drain_started_at_)
         {
             resign_leadership(now);
             if (may_end(now))
             {
-                process_.parts.stop();
+                process_.threads.stop();
             }
         }
     }
 
-    entry_heartbeat_answer answer_entry(const entry_heartbeat& from)
+    entry_heartbeat_answer answer_heartbeat(const entry_heartbeat& heartbeat)
     {
-        entry_heartbeat_answer answer = handover_.answer(from);
+        entry_heartbeat_answer answer = handover_.answer(heartbeat);
         const bool is_fresh =
             boot_clock::now() - operator_.fresh_at() < leader_info_max_age;
         answer.operator_change = is_fresh ? operator_.newest_change() : 0;
@@ -176,34 +178,36 @@
 
     void follow_operator(time_point now)
     {
-        const bool is_told =
-            !leader_election_.is_leader() && contact_.tells_changes(now);
-        operator_.use_long_poll(is_told &&
-                                process_.from.apply_within >= notified_within);
-        if (is_told)
+        const bool has_fresh_info =
+            !leader_election_.is_leader() &&
+            leader_heartbeat_.is_operator_change_fresh(now);
+        operator_.use_long_poll(has_fresh_info &&
+                                process_.settings.apply_within >=
+                                    notified_within);
+        if (has_fresh_info)
         {
-            operator_.expect(contact_.operator_change());
+            operator_.on_remote_change(leader_heartbeat_.operator_change());
         }
         operator_.tick(now);
     }
 
     // Who asked for it may be cut off from the store, or about to stop.
-    void tell_taken(const std::string& to, std::int64_t epoch)
+    void send_takeover_result(const std::string& requester, std::int64_t epoch)
     {
-        const take_over_result result{.epoch = epoch,
-                                      .by = announced_address(process_.from)};
+        const take_over_result result{
+            .epoch = epoch, .by = announced_address(process_.settings)};
         process_.client.send(
             {.method = "POST",
-             .url = "http://" + to + wire::rpc_path,
+             .url = "http://" + requester + wire::rpc_path,
              .headers = {{"content-type", "application/json"}},
              .body = make_body(rpc_request(took_over_method, result)),
              .timeout = leader_timeout},
             [](const http_result&) {}); // the key tells it, too
     }
 
-    void begin_stop(time_point now)
+    void begin_drain(time_point now)
     {
-        stop_since_ = now;
+        drain_started_at_ = now;
         log_event(event_id::process_draining,
                   {{"open", std::to_string(job_request_handler_.open())}});
     }
@@ -213,25 +217,26 @@
     void resign_leadership(time_point now)
     {
         if (!leader_election_.is_leader() ||
-            now - *stop_since_ > successor_within)
+            now - *drain_started_at_ > handover_timeout)
         {
-            leader_election_.retire();
+            leader_election_.resign();
         }
     }
 
     [[nodiscard]] bool may_end(time_point now) const
     {
-        const duration since = now - *stop_since_;
+        const duration since = now - *drain_started_at_;
         const bool noticed =
             since > balancer_notice && job_request_handler_.open() == 0;
-        return noticed || since > process_.from.grace - grace_margin;
+        return noticed || since > process_.settings.grace - grace_margin;
     }
 
     [[nodiscard]] bool is_ready(time_point now) const
     {
-        return !stop_since_ && job_request_handler_.table().version > 0 &&
+        return !drain_started_at_ && job_request_handler_.table().version > 0 &&
                now - std::max({leader_election_.store_answered(),
-                               operator_.fresh_at(), contact_.answered_at()}) <
+                               operator_.fresh_at(),
+                               leader_heartbeat_.answered_at()}) <
                    store_outage_tolerance + std::chrono::seconds(5);
     }
 
@@ -242,7 +247,7 @@
         {
             was_ready_ = ready;
             log_event(ready ? event_id::entry_ready : event_id::entry_unready,
-                      {{"stopping", stop_since_ ? "yes" : "no"},
+                      {{"stopping", drain_started_at_ ? "yes" : "no"},
                        {"table_version",
                         std::to_string(job_request_handler_.table().version)}});
         }
@@ -268,12 +273,12 @@
     platform::store_client store_;
     leader_election leader_election_;
     leader_handover handover_;
-    leader_heartbeat contact_;
+    leader_heartbeat leader_heartbeat_;
     job_scheduler job_scheduler_;
     job_request_handler job_request_handler_;
     operator_watch operator_;
     rpc_dispatcher rpc_;
-    std::optional<time_point> stop_since_;
+    std::optional<time_point> drain_started_at_;
     bool was_ready_ = false;
 };
 
@@ -282,13 +287,13 @@
 void run_job_entry(const job_settings& from, const std::atomic<bool>& drain)
 {
     process_context process(from, drain);
-    process.parts.add("control",
-                      [&]
-                      {
-                          job_entry_control control(process);
-                          control.run();
-                      });
-    process.parts.run();
+    process.threads.add("control",
+                        [&]
+                        {
+                            job_entry_control control(process);
+                            control.run();
+                        });
+    process.threads.run();
     log_event(event_id::process_stopped);
 }
 
--- a/packages/daemon/src/job_guard_role.cpp
+++ b/packages/daemon/src/job_guard_role.cpp
@@ -29,24 +29,24 @@
 constexpr duration min_report_interval = std::chrono::milliseconds(8);
 // The key is watched only while no holder answers.
 constexpr duration leader_watch_wait = std::chrono::seconds(2);
-constexpr int incarnation_bytes_of_guard = 6;
+constexpr int guard_incarnation_bytes = 6;
 
-run_reconciler_options reconciler_options(const job_settings& from)
+run_reconciler_options reconciler_options(const job_settings& settings)
 {
-    return {.max_lease = from.max_lease, .stop_time = from.stop_time};
+    return {.max_lease = settings.max_lease, .stop_time = settings.stop_time};
 }
 
 class job_guard_control
 {
 public:
     explicit job_guard_control(process_context& process)
-        : process_(process), store_(process.client, process.from.store),
+        : process_(process), store_(process.client, process.settings.store),
           leader_watch_(process, store_, leader_watch_wait,
                         [this](const std::optional<platform::store_item>& item)
                         { on_leader(item); }),
-          keeper_(reconciler_options(process.from),
-                  random_hex(incarnation_bytes_of_guard)),
-          leader_(process.from.entries)
+          reconciler_(reconciler_options(process.settings),
+                      random_hex(guard_incarnation_bytes)),
+          leader_(process.settings.entries)
     {
         rpc_.add("orders", [this](const json& message)
                  { return take_orders(message.get<guard_orders>()); });
@@ -61,26 +61,27 @@
     void run()
     {
         const http_server executors(
-            server_at(process_.from.executors, process_.from),
+            server_options(process_.settings.executors, process_.settings),
             process_.on_request([this](const http_arrival& arrival)
                                 { on_executor(arrival); }));
         const http_server internal(
-            server_at(internal_address(process_.from), process_.from),
+            server_options(internal_address(process_.settings),
+                           process_.settings),
             process_.on_request([this](http_arrival arrival)
                                 { on_internal(arrival); }));
-        const auto figures = serve_metrics(
+        const auto metrics_server = serve_metrics(
             process_, {{"executors", &executors}, {"internal", &internal}});
         log_event(event_id::process_started,
                   {{"role", "job_guard"},
-                   {"address", process_.from.executors},
-                   {"incarnation", keeper_.incarnation()}});
-        log_bounds(process_.from);
+                   {"address", process_.settings.executors},
+                   {"incarnation", reconciler_.incarnation()}});
+        log_process_limits(process_.settings);
         process_.run_control(timer_step, [this](time_point now) { tick(now); });
     }
 
 private:
     // What the heartbeats of one life of the executor said.
-    struct heard_executor
+    struct executor_contact
     {
         std::string address;
         std::int64_t sequence = -1; ///< none yet
@@ -92,14 +93,15 @@
     {
         try
         {
-            if (const auto beat = platform::decode_heartbeat(arrival.request))
+            if (const auto heartbeat =
+                    platform::decode_heartbeat(arrival.request))
             {
-                on_heartbeat(*beat);
+                on_heartbeat(*heartbeat);
             }
             else if (const auto executor =
                          platform::decode_leave(arrival.request))
             {
-                keeper_.on_leave(*executor);
+                reconciler_.on_leave(*executor);
             }
             else
             {
@@ -115,42 +117,43 @@
     }
 
     // Numbers order the heartbeats of one life; the keeper orders lives.
-    void on_heartbeat(const platform::worker_heartbeat& beat)
+    void on_heartbeat(const platform::worker_heartbeat& heartbeat)
     {
-        const executor_incarnation& executor = beat.worker.executor;
-        heard_executor& from = executors_[executor];
-        if (beat.sequence <= from.sequence)
+        const executor_incarnation& executor = heartbeat.worker.executor;
+        executor_contact& contact = executors_[executor];
+        if (heartbeat.sequence <= contact.sequence)
         {
             return;
         }
-        from.sequence = beat.sequence;
-        if (!beat.address.empty())
+        contact.sequence = heartbeat.sequence;
+        if (!heartbeat.address.empty())
         {
-            from.address = beat.address;
+            contact.address = heartbeat.address;
         }
-        keeper_.on_worker(beat.worker, beat.clock_ms, boot_clock::now());
-        if (keeper_.worker().executor != executor)
+        reconciler_.on_worker(heartbeat.worker, heartbeat.clock_ms,
+                              boot_clock::now());
+        if (reconciler_.worker().executor != executor)
         {
             log_event(event_id::executor_unproven,
                       {{"life", executor.text()},
-                       {"present", keeper_.worker().executor.text()}});
+                       {"present", reconciler_.worker().executor.text()}});
         }
     }
 
-    void on_polled(const poll_executor& what, const http_result& result,
+    void on_polled(const poll_executor& poll, const http_result& result,
                    time_point sent)
     {
-        const executor_incarnation before = keeper_.worker().executor;
-        keeper_.on_polled(what.executor, platform::decode_result(result),
-                          platform::decode_poll(result), sent,
-                          boot_clock::now());
-        if (keeper_.worker().executor == before)
+        const executor_incarnation before = reconciler_.worker().executor;
+        reconciler_.on_polled(poll.executor, platform::decode_result(result),
+                              platform::decode_poll(result), sent,
+                              boot_clock::now());
+        if (reconciler_.worker().executor == before)
         {
             return;
         }
         log_event(event_id::worker_lost,
                   {{"life", before.text()},
-                   {"next", keeper_.worker().executor.text()},
+                   {"next", reconciler_.worker().executor.text()},
                    {"why", "its address is another life's"}});
         std::erase_if(executors_,
                       [&](const auto& one) { return one.first == before; });
@@ -158,7 +161,7 @@
 
     void carry_out(const executor_action& action)
     {
-        std::visit([this](const auto& what) { send(what); }, action);
+        std::visit([this](const auto& request) { send(request); }, action);
     }
 
     const std::string& address_of(const executor_incarnation& executor) const
@@ -166,18 +169,19 @@
         const auto found = executors_.find(executor);
         const bool known =
             found != executors_.end() && !found->second.address.empty();
-        return known ? found->second.address : process_.from.executor;
+        return known ? found->second.address : process_.settings.executor;
     }
 
     template <class Order, class Done>
-    void call_executor(const Order& what, Done done)
+    void call_executor(const Order& order, Done done)
     {
-        process_.client.send(platform::encode(what, address_of(what.executor)),
-                             process_.on_control<http_result>(std::move(done)));
+        process_.client.send(
+            platform::encode(order, address_of(order.executor)),
+            process_.on_control<http_result>(std::move(done)));
     }
 
-    static void note_order(const char* order, const std::string& task,
-                           std::int64_t run, order_result result)
+    static void log_failed_order(const char* order, const std::string& task,
+                                 std::int64_t run, order_result result)
     {
         if (result != order_result::accepted)
         {
@@ -189,42 +193,44 @@
         }
     }
 
-    void send(const start_run& what)
+    void send(const start_run& start)
     {
-        call_executor(what,
-                      [this, what](const http_result& result)
+        call_executor(start,
+                      [this, start](const http_result& result)
                       {
                           const auto how = platform::decode_result(result);
-                          note_order("start", what.order.task, what.order.run,
-                                     how);
-                          keeper_.on_started(what, how, boot_clock::now());
+                          log_failed_order("start", start.order.task,
+                                           start.order.run, how);
+                          reconciler_.on_started(start, how, boot_clock::now());
                       });
     }
 
-    void send(const stop_run& what)
+    void send(const stop_run& stop)
     {
-        call_executor(what,
-                      [this, what](const http_result& result)
+        call_executor(stop,
+                      [this, stop](const http_result& result)
                       {
                           const auto how = platform::decode_result(result);
-                          note_order("stop", what.order.task, what.order.run,
-                                     how);
-                          keeper_.on_stopped(what, how, boot_clock::now());
+                          log_failed_order("stop", stop.order.task,
+                                           stop.order.run, how);
+                          reconciler_.on_stopped(stop, how, boot_clock::now());
                       });
     }
 
-    void send(const throttle_run& what)
+    void send(const throttle_run& throttle)
     {
-        call_executor(
-            what, [this, what](const http_result& result)
-            { keeper_.on_paced(what, platform::decode_result(result)); });
+        call_executor(throttle,
+                      [this, throttle](const http_result& result) {
+                          reconciler_.on_paced(throttle,
+                                               platform::decode_result(result));
+                      });
     }
 
-    void send(const poll_executor& what)
+    void send(const poll_executor& poll)
     {
         const time_point sent = boot_clock::now();
-        call_executor(what, [this, sent, what](const http_result& result)
-                      { on_polled(what, result, sent); });
+        call_executor(poll, [this, sent, poll](const http_result& result)
+                      { on_polled(poll, result, sent); });
     }
 
     // The holder -------------------------------------------------------------
@@ -237,33 +243,33 @@
             value.is_object() ? value.value("address", "") : "";
         if (!address.empty())
         {
-            follow(address);
+            set_leader(address);
         }
     }
 
-    void on_leader_changed(const leader_change& what)
+    void on_leader_changed(const leader_change& change)
     {
-        if (what.epoch > keeper_.epoch())
+        if (change.epoch > reconciler_.epoch())
         {
-            follow(what.holder);
+            set_leader(change.holder);
         }
     }
 
-    void ask_store(time_point now)
+    void update_leader_watch(time_point now)
     {
         const bool needed = leader_.needs_store();
-        if (needed && !asks_store_)
+        if (needed && !is_watching_)
         {
             leader_watch_.refresh();
         }
-        asks_store_ = needed;
+        is_watching_ = needed;
         if (needed)
         {
             leader_watch_.tick(now);
         }
     }
 
-    void follow(const std::string& address)
+    void set_leader(const std::string& address)
     {
         if (leader_.follow(address))
         {
@@ -274,7 +280,7 @@
 
     json take_orders(const guard_orders& orders)
     {
-        const bool taken = keeper_.on_orders(orders, boot_clock::now());
+        const bool taken = reconciler_.on_orders(orders, boot_clock::now());
         return {{"taken", taken}};
     }
 
@@ -296,9 +302,9 @@
             return;
         }
         reporting_ = true;
-        worker_report report = keeper_.report(now);
-        report.guard = process_.from.name;
-        report.address = announced_address(process_.from);
+        worker_report report = reconciler_.report(now);
+        report.guard = process_.settings.name;
+        report.address = announced_address(process_.settings);
         report.sequence = ++report_sequence_;
         process_.client.send(
             {.method = "POST",
@@ -320,10 +326,10 @@
         if (answer && answer->holds)
         {
             leader_.answered();
-            next_report_ = sent + (keeper_.has_ends() ? ends_report_interval
-                                                      : report_interval);
-            follow(target);
-            keeper_.on_answer(*answer, report, sent, now);
+            next_report_ = sent + (reconciler_.has_ends() ? ends_report_interval
+                                                          : report_interval);
+            set_leader(target);
+            reconciler_.on_answer(*answer, report, sent, now);
             return;
         }
         next_report_ = now + report_retry;
@@ -334,18 +340,18 @@
         }
         if (answer)
         {
-            follow(answer->holder);
+            set_leader(answer->holder);
         }
     }
 
     void tick(time_point now)
     {
-        ask_store(now);
-        for (const executor_action& action : keeper_.due(now))
+        update_leader_watch(now);
+        for (const executor_action& action : reconciler_.due(now))
         {
             carry_out(action);
         }
-        for (const pace_change& one : keeper_.take_pace_changes())
+        for (const pace_change& one : reconciler_.take_pace_changes())
         {
             log_event(event_id::worker_paced,
                       {{"filling", one.filling},
@@ -357,7 +363,7 @@
                        {"use_percent",
                         std::to_string(static_cast<int>(100 * one.use))}});
         }
-        if (keeper_.take_report_due() && !leader_.has_failed())
+        if (reconciler_.take_report_due() && !leader_.has_failed())
         {
             next_report_ = std::min(next_report_, now + min_report_interval);
         }
@@ -368,20 +374,20 @@
         if (process_.drain)
         {
             log_event(event_id::process_draining);
-            process_.parts.stop();
+            process_.threads.stop();
         }
     }
 
     process_context& process_;
     platform::store_client store_;
     leader_watch leader_watch_;
-    run_reconciler keeper_;
+    run_reconciler reconciler_;
     leader_finder leader_;
     rpc_dispatcher rpc_;
-    std::map<executor_incarnation, heard_executor> executors_;
+    std::map<executor_incarnation, executor_contact> executors_;
     std::int64_t report_sequence_ = 0;
     bool reporting_ = false;
-    bool asks_store_ = false; ///< no holder answers
+    bool is_watching_ = false; ///< no holder answers
     time_point next_report_{};
 };
 
@@ -390,13 +396,13 @@
 void run_job_guard(const job_settings& from, const std::atomic<bool>& drain)
 {
     process_context process(from, drain);
-    process.parts.add("control",
-                      [&]
-                      {
-                          job_guard_control control(process);
-                          control.run();
-                      });
-    process.parts.run();
+    process.threads.add("control",
+                        [&]
+                        {
+                            job_guard_control control(process);
+                            control.run();
+                        });
+    process.threads.run();
     log_event(event_id::process_stopped);
 }
 
--- a/packages/daemon/src/job_request_forwarding.cpp
+++ b/packages/daemon/src/job_request_forwarding.cpp
@@ -25,10 +25,10 @@
 constexpr duration probe_timeout = std::chrono::milliseconds(600);
 // Of the entries that could help, so many are asked for one request: each of
 // them says within milliseconds that it cannot, or is not reached.
-constexpr std::size_t most_asked = 4;
+constexpr std::size_t max_peers_per_request = 4;
 // An entry that could not help is passed over for so long.
 constexpr duration failed_peer_backoff = std::chrono::seconds(2);
-constexpr int good_status = 200;
+constexpr int ok_status = 200;
 constexpr int gone_status = 410;
 constexpr int bad_request_status = 400;
 constexpr int unavailable_status = 503;
@@ -36,11 +36,11 @@
 bool is_served(const http_result& result)
 {
     return result.how == delivery::answered &&
-           (result.response.status == good_status ||
+           (result.response.status == ok_status ||
             result.response.status == gone_status);
 }
 
-bool is_surely_not_done(const http_result& result)
+bool is_known_not_done(const http_result& result)
 {
     return result.how == delivery::not_sent ||
            (result.how == delivery::answered &&
@@ -58,98 +58,103 @@
 // The holder reaches the store, or gives its office up; then those that it
 // told of, then those of the settings.
 std::string
-job_request_handler::next_forward_target(const open_request& of) const
+job_request_handler::next_forward_target(const open_request& request) const
 {
-    std::vector<std::string> known{leader_election_.leader()};
-    const auto& peers = contact_.peers();
-    const auto& entries = process_.from.entries;
-    known.insert(known.end(), peers.begin(), peers.end());
-    known.insert(known.end(), entries.begin(), entries.end());
-    const std::string own = announced_address(process_.from);
+    std::vector<std::string> candidates{leader_election_.leader()};
+    const auto& peers = leader_heartbeat_.peers();
+    const auto& entries = process_.settings.entries;
+    candidates.insert(candidates.end(), peers.begin(), peers.end());
+    candidates.insert(candidates.end(), entries.begin(), entries.end());
+    const std::string own = announced_address(process_.settings);
     const time_point now = boot_clock::now();
-    const auto may_help = [&](const std::string& one)
+    const auto can_serve = [&](const std::string& address)
     {
-        const auto found = failed_peers_.find(one);
-        const bool is_helpless = found != failed_peers_.end() &&
-                                 now - found->second < failed_peer_backoff;
-        return !one.empty() && one != own && !is_helpless &&
-               std::ranges::find(of.asked, one) == of.asked.end();
+        const auto found = failed_peers_.find(address);
+        const bool is_in_backoff = found != failed_peers_.end() &&
+                                   now - found->second < failed_peer_backoff;
+        return !address.empty() && address != own && !is_in_backoff &&
+               std::ranges::find(request.tried_peers, address) ==
+                   request.tried_peers.end();
     };
-    const auto found = std::ranges::find_if(known, may_help);
-    return found == known.end() || of.asked.size() >= most_asked ? std::string()
-                                                                 : *found;
+    const auto found = std::ranges::find_if(candidates, can_serve);
+    return found == candidates.end() ||
+                   request.tried_peers.size() >= max_peers_per_request
+               ? std::string()
+               : *found;
 }
 
-void job_request_handler::forward_request(const forwarded_request& what,
-                                          const request_ptr& to,
-                                          std::function<void()> in_vain)
+void job_request_handler::forward_request(
+    const forwarded_request& forwarded, const request_ptr& request,
+    std::function<void()> on_forward_failed)
 {
-    to->passed_on = true;
-    const std::string address = next_forward_target(*to);
-    const duration left = to->give_up - boot_clock::now();
+    request->forwarded = true;
+    const std::string address = next_forward_target(*request);
+    const duration left = request->deadline - boot_clock::now();
     if (address.empty() || left <= duration{0})
     {
-        in_vain();
+        on_forward_failed();
         return;
     }
-    to->asked.push_back(address);
+    request->tried_peers.push_back(address);
     process_.client.send(
-        {.method = what.method,
-         .url = "http://" + address + path_of(what.method, what.job),
+        {.method = forwarded.method,
+         .url = "http://" + address + path_of(forwarded.method, forwarded.job),
          .headers = {{"content-type", "application/json"}},
-         .body = what.body,
+         .body = forwarded.body,
          .timeout = std::min(left, forward_timeout),
          .connect_timeout = leader_timeout},
         process_.on_control<http_result>(
-            [this, what, to,
-             in_vain = std::move(in_vain)](const http_result& result)
-            { on_forward_result(what, to, result, in_vain); }));
+            [this, forwarded, request,
+             on_forward_failed =
+                 std::move(on_forward_failed)](const http_result& result) {
+                on_forward_result(forwarded, request, result,
+                                  on_forward_failed);
+            }));
 }
 
-void job_request_handler::on_forward_result(const forwarded_request& what,
-                                            const request_ptr& to,
-                                            const http_result& result,
-                                            std::function<void()> in_vain)
+void job_request_handler::on_forward_result(
+    const forwarded_request& forwarded, const request_ptr& request,
+    const http_result& result, std::function<void()> on_forward_failed)
 {
     log_event(event_id::job_passed_on,
-              {{"job", what.job},
-               {"request", what.method},
-               {"to", to->asked.back()},
+              {{"job", forwarded.job},
+               {"request", forwarded.method},
+               {"to", request->tried_peers.back()},
                {"answer", result.how == delivery::answered
                               ? std::to_string(result.response.status)
                               : "none"}});
     if (is_served(result))
     {
-        answer(to, {.status = result.response.status,
-                    .headers = {{"content-type", "application/json"}},
-                    .body = result.response.body});
+        answer(request, {.status = result.response.status,
+                         .headers = {{"content-type", "application/json"}},
+                         .body = result.response.body});
         return;
     }
-    if (is_surely_not_done(result))
+    if (is_known_not_done(result))
     {
-        failed_peers_[to->asked.back()] = boot_clock::now();
-        forward_request(what, to, std::move(in_vain));
+        failed_peers_[request->tried_peers.back()] = boot_clock::now();
+        forward_request(forwarded, request, std::move(on_forward_failed));
         return;
     }
-    to->may_be_done = true;
-    in_vain();
+    request->may_be_written = true;
+    on_forward_failed();
 }
 
 // What another entry can do in place of this one. If none can, it is done here
 // once the store is back.
 void job_request_handler::forward_or_retry(const char* method,
                                            const std::string& id,
-                                           const request_ptr& to,
-                                           std::function<void()> later_here)
+                                           const request_ptr& request,
+                                           std::function<void()> retry_here)
 {
-    if (to->passed_on)
+    if (request->forwarded)
     {
-        again(to, std::move(later_here));
+        retry_later(request, std::move(retry_here));
         return;
     }
-    forward_request({.method = method, .job = id}, to,
-                    [this, to, later_here = std::move(later_here)]
-                    { again(to, later_here); });
+    forward_request({.method = method, .job = id}, request,
+                    [this, request, retry_here = std::move(retry_here)]
+                    { retry_later(request, retry_here); });
 }
 
 // ---------------------------------------------------------------------------
@@ -162,8 +167,8 @@
     auto request = std::make_shared<open_request>(
         open_request{.responder = arrival.responder,
                      .arrived = now,
-                     .give_up = now + forward_timeout - answer_margin,
-                     .passed_on = true});
+                     .deadline = now + forward_timeout - answer_margin,
+                     .forwarded = true});
     ++open_;
     try
     {
@@ -176,25 +181,25 @@
     }
 }
 
-void job_request_handler::serve_forwarded(const http_request& what,
-                                          const request_ptr& to)
+void job_request_handler::serve_forwarded(const http_request& incoming,
+                                          const request_ptr& request)
 {
-    const std::string id = what.path.size() > forward_path.size()
-                               ? what.path.substr(forward_path.size() + 1)
+    const std::string id = incoming.path.size() > forward_path.size()
+                               ? incoming.path.substr(forward_path.size() + 1)
                                : std::string();
-    const bool is_shown = what.method == "GET" && job_scheduler_.shown(id);
+    const bool is_shown = incoming.method == "GET" && job_scheduler_.shown(id);
     if (store_unavailable_since_ && !is_shown)
     {
-        answer(to, platform::not_taken_answer(caller_retry_after,
-                                              "the store is away here, too"));
+        answer(request, platform::not_taken_answer(
+                            caller_retry_after, "the store is away here, too"));
         return;
     }
-    if (what.method == "POST")
+    if (incoming.method == "POST")
     {
-        submit(json::parse(*what.body).get<job>(), to);
+        submit(json::parse(*incoming.body).get<job>(), request);
         return;
     }
-    what.method == "DELETE" ? cancel(id, to) : show(id, to);
+    incoming.method == "DELETE" ? cancel(id, request) : show(id, request);
 }
 
 // ---------------------------------------------------------------------------
@@ -215,16 +220,16 @@
                     [this](const store_result& result)
                     {
                         probing_ = false;
-                        note_store(result);
+                        record_store_result(result);
                     }));
 }
 
 // One thing is known of the store: whether it answers this process.
-void job_request_handler::note_store(const store_result& result)
+void job_request_handler::record_store_result(const store_result& result)
 {
-    const bool away = result.status == store_status::unknown ||
-                      result.status == store_status::refused;
-    if (!away)
+    const bool unavailable = result.status == store_status::unknown ||
+                             result.status == store_status::refused;
+    if (!unavailable)
     {
         timeout_.answered(result.took);
         if (store_unavailable_since_)
--- a/packages/daemon/src/job_request_handler.cpp
+++ b/packages/daemon/src/job_request_handler.cpp
@@ -13,7 +13,7 @@
 using platform::store_result;
 using platform::store_status;
 
-constexpr duration retry_pause = std::chrono::milliseconds(40);
+constexpr duration retry_delay = std::chrono::milliseconds(40);
 
 } // namespace
 
@@ -21,9 +21,9 @@
                                          platform::store_client& store,
                                          leader_election& election,
                                          job_scheduler& scheduler,
-                                         const leader_heartbeat& contact)
+                                         const leader_heartbeat& heartbeat)
     : process_(process), store_(store), leader_election_(election),
-      job_scheduler_(scheduler), contact_(contact)
+      job_scheduler_(scheduler), leader_heartbeat_(heartbeat)
 {
 }
 
@@ -38,77 +38,79 @@
     auto request = std::make_shared<open_request>(
         open_request{.responder = arrival.responder,
                      .arrived = now,
-                     .give_up = now + platform::timeout_of(arrival.request) -
-                                answer_margin});
+                     .deadline = now + platform::timeout_of(arrival.request) -
+                                 answer_margin});
     ++open_;
-    const auto what = platform::decode_request(arrival.request, table_);
-    std::visit([&](const auto& one) { handle(one, request); }, what);
+    const auto decoded = platform::decode_request(arrival.request, table_);
+    std::visit([&](const auto& one) { handle(one, request); }, decoded);
 }
 
-void job_request_handler::answer(const request_ptr& to, http_response with)
+void job_request_handler::answer(const request_ptr& request,
+                                 http_response response)
 {
     --open_;
-    to->responder->respond(std::move(with));
+    request->responder->respond(std::move(response));
 }
 
-duration job_request_handler::call_time(const request_ptr& to) const
+duration job_request_handler::call_timeout(const request_ptr& request) const
 {
-    const duration left = to->give_up - boot_clock::now();
+    const duration left = request->deadline - boot_clock::now();
     return std::clamp<duration>(left, std::chrono::milliseconds(20),
                                 timeout_.value());
 }
 
-void job_request_handler::again(const request_ptr& to,
-                                std::function<void()> what)
+void job_request_handler::retry_later(const request_ptr& request,
+                                      std::function<void()> action)
 {
-    const time_point at = boot_clock::now() + retry_pause;
-    if (at < to->give_up)
+    const time_point retry_at = boot_clock::now() + retry_delay;
+    if (retry_at < request->deadline)
     {
-        later_.emplace_back(at, std::move(what));
+        delayed_.emplace_back(retry_at, std::move(action));
         return;
     }
-    answer(to, to->may_be_done
-                   ? platform::unknown_answer("the store gave no answer")
-                   : platform::not_taken_answer(caller_retry_after,
-                                                "the store is away"));
+    answer(request, request->may_be_written
+                        ? platform::unknown_answer("the store gave no answer")
+                        : platform::not_taken_answer(caller_retry_after,
+                                                     "the store is away"));
 }
 
 void job_request_handler::tick(time_point now)
 {
     probe(now);
-    while (!later_.empty() && later_.front().first <= now)
+    while (!delayed_.empty() && delayed_.front().first <= now)
     {
-        const auto what = std::move(later_.front().second);
-        later_.pop_front();
-        what();
+        const auto action = std::move(delayed_.front().second);
+        delayed_.pop_front();
+        action();
     }
 }
 
-void job_request_handler::handle(const platform::refused_request& what,
-                                 const request_ptr& to)
+void job_request_handler::handle(const platform::refused_request& refused,
+                                 const request_ptr& request)
 {
-    answer(to, what.answer);
+    answer(request, refused.answer);
 }
 
 // ---------------------------------------------------------------------------
 // Showing
 // ---------------------------------------------------------------------------
 
-void job_request_handler::handle(const platform::show_request& what,
-                                 const request_ptr& to)
+void job_request_handler::handle(const platform::show_request& message,
+                                 const request_ptr& request)
 {
-    show(what.id, to);
+    show(message.id, request);
 }
 
-void job_request_handler::show(const std::string& id, const request_ptr& to)
+void job_request_handler::show(const std::string& id,
+                               const request_ptr& request)
 {
     if (const auto state = job_scheduler_.shown(id))
     {
-        answer(to, platform::state_answer(*state));
+        answer(request, platform::state_answer(*state));
         return;
     }
     query_leader("show", {{"id", id}},
-                 [this, id, to](const std::optional<json>& known)
+                 [this, id, request](const std::optional<json>& known)
                  {
                      const auto state =
                          known
@@ -116,10 +118,10 @@
                              : std::nullopt;
                      if (state)
                      {
-                         answer(to, platform::state_answer(*state));
+                         answer(request, platform::state_answer(*state));
                          return;
                      }
-                     show_from_store(id, to);
+                     show_from_store(id, request);
                  });
 }
 
@@ -151,69 +153,70 @@
 }
 
 void job_request_handler::show_from_store(const std::string& id,
-                                          const request_ptr& to)
+                                          const request_ptr& request)
 {
-    if (store_unavailable_since_ && !to->passed_on)
+    if (store_unavailable_since_ && !request->forwarded)
     {
-        forward_or_retry("GET", id, to,
-                         [this, id, to] { show_from_store(id, to); });
+        forward_or_retry("GET", id, request,
+                         [this, id, request] { show_from_store(id, request); });
         return;
     }
-    store_.range(job_key(id), {}, call_time(to),
+    store_.range(job_key(id), {}, call_timeout(request),
                  process_.on_control<store_result>(
-                     [this, id, to](const store_result& result)
-                     { on_job_read(id, to, result); }));
+                     [this, id, request](const store_result& result)
+                     { on_job_read(id, request, result); }));
 }
 
 void job_request_handler::on_job_read(const std::string& id,
-                                      const request_ptr& to,
+                                      const request_ptr& request,
                                       const store_result& result)
 {
-    note_store(result);
+    record_store_result(result);
     if (result.status != store_status::done)
     {
-        forward_or_retry("GET", id, to,
-                         [this, id, to] { show_from_store(id, to); });
+        forward_or_retry("GET", id, request,
+                         [this, id, request] { show_from_store(id, request); });
         return;
     }
     if (result.items.empty())
     {
-        answer(to, platform::no_such_job_answer());
+        answer(request, platform::no_such_job_answer());
         return;
     }
     const bool cancelled =
         std::any_of(result.items.begin(), result.items.end(),
                     [](const platform::store_item& item)
                     { return parse_job_key(item.key).cancellation; });
-    show_progress(id, cancelled, to);
+    show_progress(id, cancelled, request);
 }
 
 // A job that ended before its cancellation came keeps its state.
 void job_request_handler::show_progress(const std::string& id, bool cancelled,
-                                        const request_ptr& to)
+                                        const request_ptr& request)
 {
     store_.read(
-        progress_key(id), call_time(to),
+        progress_key(id), call_timeout(request),
         process_.on_control<store_result>(
-            [this, id, cancelled, to](const store_result& result)
+            [this, id, cancelled, request](const store_result& result)
             {
-                note_store(result);
+                record_store_result(result);
                 const bool absent = result.status == store_status::absent;
                 const bool read = result.status == store_status::done &&
                                   !result.items.empty();
                 if (!absent && !read)
                 {
-                    forward_or_retry("GET", id, to,
-                                     [this, id, cancelled, to]
-                                     { show_progress(id, cancelled, to); });
+                    forward_or_retry("GET", id, request,
+                                     [this, id, cancelled, request] {
+                                         show_progress(id, cancelled, request);
+                                     });
                     return;
                 }
-                const job_state kept =
+                const job_state stored =
                     absent ? job_state::pending
                            : decode_progress(result.items.front().value).state;
-                const bool stopped = cancelled && !is_final(kept);
-                answer(to, platform::state_answer(stopped ? job_state::cancelled
-                                                          : kept));
+                const bool stopped = cancelled && !is_final(stored);
+                answer(request, platform::state_answer(
+                                    stopped ? job_state::cancelled : stored));
             }));
 }
 
@@ -221,70 +224,73 @@
 // Cancelling
 // ---------------------------------------------------------------------------
 
-void job_request_handler::handle(const platform::cancel_request& what,
-                                 const request_ptr& to)
+void job_request_handler::handle(const platform::cancel_request& message,
+                                 const request_ptr& request)
 {
-    cancel(what.id, to);
+    cancel(message.id, request);
 }
 
-void job_request_handler::cancel(const std::string& id, const request_ptr& to)
+void job_request_handler::cancel(const std::string& id,
+                                 const request_ptr& request)
 {
-    if (store_unavailable_since_ && !to->passed_on)
+    if (store_unavailable_since_ && !request->forwarded)
     {
-        forward_or_retry("DELETE", id, to, [this, id, to] { cancel(id, to); });
+        forward_or_retry("DELETE", id, request,
+                         [this, id, request] { cancel(id, request); });
         return;
     }
     if (job_scheduler_.core().find(id) != nullptr)
     {
-        write_cancellation(id, to);
+        write_cancellation(id, request);
         return;
     }
-    store_.read(job_key(id), call_time(to),
+    store_.read(job_key(id), call_timeout(request),
                 process_.on_control<store_result>(
-                    [this, id, to](const store_result& result)
-                    { on_cancel_read(id, to, result); }));
+                    [this, id, request](const store_result& result)
+                    { on_cancel_read(id, request, result); }));
 }
 
 void job_request_handler::on_cancel_read(const std::string& id,
-                                         const request_ptr& to,
+                                         const request_ptr& request,
                                          const store_result& result)
 {
-    note_store(result);
+    record_store_result(result);
     if (result.status == store_status::absent)
     {
-        answer(to, platform::no_such_job_answer());
+        answer(request, platform::no_such_job_answer());
         return;
     }
     if (result.status != store_status::done)
     {
-        forward_or_retry("DELETE", id, to, [this, id, to] { cancel(id, to); });
+        forward_or_retry("DELETE", id, request,
+                         [this, id, request] { cancel(id, request); });
         return;
     }
-    write_cancellation(id, to);
+    write_cancellation(id, request);
 }
 
 void job_request_handler::write_cancellation(const std::string& id,
-                                             const request_ptr& to)
+                                             const request_ptr& request)
 {
-    store_.transact(cancellation_of(id), call_time(to),
+    store_.transact(cancellation_of(id), call_timeout(request),
                     process_.on_control<store_result>(
-                        [this, id, to](const store_result& result)
+                        [this, id, request](const store_result& result)
                         {
-                            note_store(result);
+                            record_store_result(result);
                             if (result.status != store_status::done)
                             {
-                                to->may_be_done = true;
-                                forward_or_retry("DELETE", id, to,
-                                                 [this, id, to] {
-                                                     write_cancellation(id, to);
-                                                 });
+                                request->may_be_written = true;
+                                forward_or_retry(
+                                    "DELETE", id, request,
+                                    [this, id, request]
+                                    { write_cancellation(id, request); });
                                 return;
                             }
                             log_event(event_id::job_cancelled, {{"job", id}});
                             job_scheduler_.job_was_cancelled(id);
                             query_leader("cancelled", {{"id", id}},
                                          [](const std::optional<json>&) {});
-                            answer(to, platform::accepted_answer());
+                            answer(request, platform::accepted_answer());
                         }));
 }
 
@@ -292,19 +298,19 @@
 // Counting
 // ---------------------------------------------------------------------------
 
-void job_request_handler::handle(const platform::count_request& what,
-                                 const request_ptr& to)
+void job_request_handler::handle(const platform::count_request& message,
+                                 const request_ptr& request)
 {
-    const std::string queue = what.queue;
+    const std::string queue = message.queue;
     if (job_scheduler_.ready())
     {
-        answer(to,
+        answer(request,
                platform::count_answer(job_scheduler_.core().waiting(queue)));
         return;
     }
     query_leader(
         "count", {{"queue", queue}},
-        [this, queue, to](const std::optional<json>& known)
+        [this, queue, request](const std::optional<json>& known)
         {
             if (known && known->contains("waiting"))
             {
@@ -312,11 +318,12 @@
             }
             else if (!last_counts_.contains(queue))
             {
-                answer(to, platform::not_taken_answer(
-                               caller_retry_after, "the holder is not known"));
+                answer(request,
+                       platform::not_taken_answer(caller_retry_after,
+                                                  "the holder is not known"));
                 return;
             }
-            answer(to, platform::count_answer(last_counts_[queue]));
+            answer(request, platform::count_answer(last_counts_[queue]));
         });
 }
 
--- a/packages/daemon/src/job_request_handler.hpp
+++ b/packages/daemon/src/job_request_handler.hpp
@@ -30,7 +30,7 @@
 public:
     job_request_handler(process_context& process, platform::store_client& store,
                         leader_election& election, job_scheduler& scheduler,
-                        const leader_heartbeat& contact);
+                        const leader_heartbeat& heartbeat);
 
     void set_table(const queue_table& table);
     void on_request(const http_arrival& arrival);
@@ -57,12 +57,13 @@
     {
         std::shared_ptr<http_responder> responder;
         time_point arrived;
-        time_point give_up;       ///< then the caller waits no longer
-        bool may_be_done = false; ///< some write got no answer
+        time_point deadline;         ///< then the caller waits no longer
+        bool may_be_written = false; ///< some write got no answer
         std::int64_t tries = 0;
-        std::int64_t unanswered = 0; ///< tries that the store left so
-        bool passed_on = false;      ///< another entry has tried, or asks us
-        std::vector<std::string> asked{}; ///< entries that it was passed on to
+        std::int64_t unanswered_tries = 0; ///< tries that the store left so
+        bool forwarded = false; ///< another entry has tried, or asks us
+        std::vector<std::string>
+            tried_peers{}; ///< entries that it was passed on to
     };
     using request_ptr = std::shared_ptr<open_request>;
 
@@ -74,58 +75,69 @@
         shared_body body{};
     };
 
-    void handle(const platform::submit_request& what, const request_ptr& to);
-    void handle(const platform::show_request& what, const request_ptr& to);
-    void handle(const platform::cancel_request& what, const request_ptr& to);
-    void handle(const platform::count_request& what, const request_ptr& to);
-    void handle(const platform::refused_request& what, const request_ptr& to);
-
-    void submit(const job& what, const request_ptr& to);
-    void on_submitted(const job& what, const request_ptr& to,
+    void handle(const platform::submit_request& message,
+                const request_ptr& request);
+    void handle(const platform::show_request& message,
+                const request_ptr& request);
+    void handle(const platform::cancel_request& message,
+                const request_ptr& request);
+    void handle(const platform::count_request& message,
+                const request_ptr& request);
+    void handle(const platform::refused_request& refused,
+                const request_ptr& request);
+
+    void submit(const job& definition, const request_ptr& request);
+    void on_submitted(const job& definition, const request_ptr& request,
                       const platform::store_result& result);
-    void on_unserved(const job& what, const request_ptr& to);
-    void forward(const job& what, const request_ptr& to);
-    void notify_leader(const job& what);
-    void show(const std::string& id, const request_ptr& to);
-    void show_from_store(const std::string& id, const request_ptr& to);
-    void on_job_read(const std::string& id, const request_ptr& to,
+    void on_store_failed(const job& definition, const request_ptr& request);
+    void forward_submission(const job& definition, const request_ptr& request);
+    void notify_leader(const job& definition);
+    void show(const std::string& id, const request_ptr& request);
+    void show_from_store(const std::string& id, const request_ptr& request);
+    void on_job_read(const std::string& id, const request_ptr& request,
                      const platform::store_result& result);
     void show_progress(const std::string& id, bool cancelled,
-                       const request_ptr& to);
-    void cancel(const std::string& id, const request_ptr& to);
-    void on_cancel_read(const std::string& id, const request_ptr& to,
+                       const request_ptr& request);
+    void cancel(const std::string& id, const request_ptr& request);
+    void on_cancel_read(const std::string& id, const request_ptr& request,
                         const platform::store_result& result);
-    void write_cancellation(const std::string& id, const request_ptr& to);
+    void write_cancellation(const std::string& id, const request_ptr& request);
 
     // Passing requests on while the store gives no service here.
-    void forward_request(const forwarded_request& what, const request_ptr& to,
-                         std::function<void()> in_vain);
-    void on_forward_result(const forwarded_request& what, const request_ptr& to,
+    void forward_request(const forwarded_request& forwarded,
+                         const request_ptr& request,
+                         std::function<void()> on_forward_failed);
+    void on_forward_result(const forwarded_request& forwarded,
+                           const request_ptr& request,
                            const http_result& result,
-                           std::function<void()> in_vain);
-    [[nodiscard]] std::string next_forward_target(const open_request& of) const;
-    void serve_forwarded(const http_request& what, const request_ptr& to);
+                           std::function<void()> on_forward_failed);
+    [[nodiscard]] std::string
+    next_forward_target(const open_request& request) const;
+    void serve_forwarded(const http_request& incoming,
+                         const request_ptr& request);
     void forward_or_retry(const char* method, const std::string& id,
-                          const request_ptr& to, std::function<void()> again);
+                          const request_ptr& request,
+                          std::function<void()> retry_here);
     void probe(time_point now);
 
     /// Runs something later, or answers that the time is over.
-    void again(const request_ptr& to, std::function<void()> what);
-    void answer(const request_ptr& to, http_response with);
+    void retry_later(const request_ptr& request, std::function<void()> action);
+    void answer(const request_ptr& request, http_response response);
     void query_leader(const char* method, const json& message,
                       std::function<void(std::optional<json>)> done);
-    [[nodiscard]] duration call_time(const request_ptr& to) const;
-    void note_store(const platform::store_result& result);
-    void give_up(const job& what, const request_ptr& to, const char* why);
-    void answer_unknown(const job& what, const request_ptr& to);
-    void refuse_submission(const job& what, const request_ptr& to,
+    [[nodiscard]] duration call_timeout(const request_ptr& request) const;
+    void record_store_result(const platform::store_result& result);
+    void fail_submission(const job& definition, const request_ptr& request,
+                         const char* why);
+    void answer_unknown(const job& definition, const request_ptr& request);
+    void refuse_submission(const job& definition, const request_ptr& request,
                            const char* why);
 
     process_context& process_;
     platform::store_client& store_;
     leader_election& leader_election_;
     job_scheduler& job_scheduler_;
-    const leader_heartbeat& contact_;
+    const leader_heartbeat& leader_heartbeat_;
     queue_table table_;
     adaptive_timeout timeout_;
     /// Since when the store has given no answer here; nothing while it does.
@@ -135,7 +147,7 @@
     /// Entries that could not help, and when they last could not.
     std::map<std::string, time_point> failed_peers_;
     std::int64_t open_ = 0;
-    std::deque<std::pair<time_point, std::function<void()>>> later_;
+    std::deque<std::pair<time_point, std::function<void()>>> delayed_;
     std::map<std::string, std::int64_t> last_counts_;
 };
 
--- a/packages/daemon/src/job_request_submission.cpp
+++ b/packages/daemon/src/job_request_submission.cpp
@@ -18,134 +18,148 @@
 constexpr std::int64_t max_unanswered = 2;
 } // namespace
 
-void job_request_handler::handle(const platform::submit_request& what,
-                                 const request_ptr& to)
+void job_request_handler::handle(const platform::submit_request& message,
+                                 const request_ptr& request)
 {
-    const queue_row* const queue = table_.queue(what.what.queue);
-    if (queue->advice && process_.from.advice.empty())
+    const queue_row* const queue = table_.queue(message.what.queue);
+    if (queue->advice && process_.settings.advice.empty())
     {
-        refuse_submission(what.what, to,
+        refuse_submission(message.what, request,
                           "the settings name no service to ask for advice");
         return;
     }
-    job taken = what.what;
-    taken.accepted_ms = day_milliseconds();
+    job accepted = message.what;
+    accepted.accepted_ms = unix_milliseconds();
     // The store may turn away this VM only: another entry can write the job.
-    store_unavailable_since_ ? forward(taken, to) : submit(taken, to);
+    store_unavailable_since_ ? forward_submission(accepted, request)
+                             : submit(accepted, request);
 }
 
 // Another entry writes the same job, or finds it.
-void job_request_handler::forward(const job& what, const request_ptr& to)
+void job_request_handler::forward_submission(const job& definition,
+                                             const request_ptr& request)
 {
     forward_request(
         {.method = "POST",
-         .job = what.id,
-         .body = make_body(json(what).dump())},
-        to, [this, what, to] { give_up(what, to, "the store is away"); });
+         .job = definition.id,
+         .body = make_body(json(definition).dump())},
+        request,
+        [this, definition, request]
+        { fail_submission(definition, request, "the store is away"); });
 }
 
 // What may have been written somewhere must not be refused.
-void job_request_handler::give_up(const job& what, const request_ptr& to,
-                                  const char* why)
+void job_request_handler::fail_submission(const job& definition,
+                                          const request_ptr& request,
+                                          const char* why)
 {
-    to->may_be_done ? answer_unknown(what, to)
-                    : refuse_submission(what, to, why);
+    request->may_be_written ? answer_unknown(definition, request)
+                            : refuse_submission(definition, request, why);
 }
 
-void job_request_handler::refuse_submission(const job& what,
-                                            const request_ptr& to,
+void job_request_handler::refuse_submission(const job& definition,
+                                            const request_ptr& request,
                                             const char* why)
 {
-    process_.numbers.count("job_not_taken", {what.queue, "job"}, why);
-    const duration away = store_unavailable_since_
-                              ? boot_clock::now() - *store_unavailable_since_
-                              : duration{0};
+    process_.process_metrics.count("job_not_taken", {definition.queue, "job"},
+                                   why);
+    const duration outage = store_unavailable_since_
+                                ? boot_clock::now() - *store_unavailable_since_
+                                : duration{0};
     log_event(event_id::job_not_taken,
-              {{"job", what.id},
+              {{"job", definition.id},
                {"why", why},
-               {"tries", std::to_string(to->tries)},
-               {"store_away_ms", std::to_string(to_milliseconds(away))}});
-    answer(to, platform::not_taken_answer(caller_retry_after, why));
+               {"tries", std::to_string(request->tries)},
+               {"store_away_ms", std::to_string(to_milliseconds(outage))}});
+    answer(request, platform::not_taken_answer(caller_retry_after, why));
 }
 
-void job_request_handler::submit(const job& what, const request_ptr& to)
+void job_request_handler::submit(const job& definition,
+                                 const request_ptr& request)
 {
-    ++to->tries;
-    store_.transact(acceptance_of(what), call_time(to),
+    ++request->tries;
+    store_.transact(acceptance_of(definition), call_timeout(request),
                     process_.on_control<store_result>(
-                        [this, what, to](const store_result& result)
-                        { on_submitted(what, to, result); }));
+                        [this, definition, request](const store_result& result)
+                        { on_submitted(definition, request, result); }));
 }
 
 // The job is created if it is not there. A conflict shows that it is: this
 // request, or an earlier one for the same job, was done.
-void job_request_handler::on_submitted(const job& what, const request_ptr& to,
+void job_request_handler::on_submitted(const job& definition,
+                                       const request_ptr& request,
                                        const store_result& result)
 {
-    note_store(result);
+    record_store_result(result);
     if (result.status == store_status::done ||
         result.status == store_status::conflict)
     {
         log_event(event_id::job_accepted,
-                  {{"job", what.id},
-                   {"queue", what.queue},
+                  {{"job", definition.id},
+                   {"queue", definition.queue},
                    {"table_version", std::to_string(table_.version)},
                    {"revision", std::to_string(result.revision)},
                    {"took_ms", std::to_string(to_milliseconds(
-                                   boot_clock::now() - to->arrived))}});
-        process_.numbers.observe("accept", {what.queue, "job"},
-                                 boot_clock::now() - to->arrived);
-        answer(to, platform::accepted_answer());
+                                   boot_clock::now() - request->arrived))}});
+        process_.process_metrics.observe("accept", {definition.queue, "job"},
+                                         boot_clock::now() - request->arrived);
+        answer(request, platform::accepted_answer());
         if (result.status == store_status::done)
         {
-            notify_leader(what);
+            notify_leader(definition);
         }
         return;
     }
     if (result.status == store_status::unknown)
     {
-        to->may_be_done = true;
-        ++to->unanswered;
+        request->may_be_written = true;
+        ++request->unanswered_tries;
     }
-    if (to->unanswered >= max_unanswered)
+    if (request->unanswered_tries >= max_unanswered)
     {
-        on_unserved(what, to);
+        on_store_failed(definition, request);
         return;
     }
     if (result.status == store_status::refused)
     {
-        on_unserved(what, to);
+        on_store_failed(definition, request);
         return;
     }
-    again(to, [this, what, to] { submit(what, to); });
+    retry_later(request,
+                [this, definition, request] { submit(definition, request); });
 }
 
 // The job may be written here or not; written by another entry it is the same
 // job. If none can, the caller is told at once, and asks again elsewhere.
-void job_request_handler::on_unserved(const job& what, const request_ptr& to)
+void job_request_handler::on_store_failed(const job& definition,
+                                          const request_ptr& request)
 {
-    to->passed_on ? give_up(what, to, "the store refuses") : forward(what, to);
+    request->forwarded
+        ? fail_submission(definition, request, "the store refuses")
+        : forward_submission(definition, request);
 }
 
-void job_request_handler::answer_unknown(const job& what, const request_ptr& to)
+void job_request_handler::answer_unknown(const job& definition,
+                                         const request_ptr& request)
 {
-    process_.numbers.count("job_not_taken", {what.queue, "job"}, "unknown");
+    process_.process_metrics.count("job_not_taken", {definition.queue, "job"},
+                                   "unknown");
     log_event(event_id::job_not_taken,
-              {{"job", what.id},
+              {{"job", definition.id},
                {"why", "the store gave no answer; it may have the job"},
-               {"tries", std::to_string(to->tries)}});
-    answer(to, platform::unknown_answer("the store gave no answer"));
+               {"tries", std::to_string(request->tries)}});
+    answer(request, platform::unknown_answer("the store gave no answer"));
 }
 
 // Saves the time until the holder finds the job in the store.
-void job_request_handler::notify_leader(const job& what)
+void job_request_handler::notify_leader(const job& definition)
 {
     if (job_scheduler_.ready())
     {
-        job_scheduler_.job_was_accepted(what);
+        job_scheduler_.job_was_accepted(definition);
         return;
     }
-    query_leader("accepted", what, [](const std::optional<json>&) {});
+    query_leader("accepted", definition, [](const std::optional<json>&) {});
 }
 
 } // namespace springstair
--- a/packages/daemon/src/job_scheduler.cpp
+++ b/packages/daemon/src/job_scheduler.cpp
@@ -27,7 +27,7 @@
 constexpr duration min_hedge_delay = std::chrono::milliseconds(100);
 // A copy is given up after this many times the wait for the next one.
 constexpr int max_write_attempts_in_flight = 4;
-constexpr duration min_limit = std::chrono::milliseconds(400);
+constexpr duration min_write_timeout = std::chrono::milliseconds(400);
 // An order is repeated by the next reports; waiting longer helps nobody.
 constexpr duration order_timeout = std::chrono::milliseconds(600);
 
@@ -37,7 +37,7 @@
                              platform::store_client& store,
                              leader_election& election)
     : process_(process), store_(store), leader_election_(election),
-      core_({.closing = {.close_within = process.from.close_within}}),
+      core_({.closing = {.close_within = process.settings.close_within}}),
       page_timeout_(max_page),
       hedge_delay_(adaptive_timeout::default_max, min_hedge_delay)
 {
@@ -66,7 +66,7 @@
 void job_scheduler::begin_batch(time_point now)
 {
     batch_ = core_.next_commit(now);
-    ++batches_;
+    ++batch_number_;
     write_attempts_ = 0;
     first_attempt_at_ = now;
     next_attempt_at_ = now;
@@ -84,13 +84,14 @@
     }
     next_attempt_at_ = now + hedge_delay_.value();
     const duration limit = std::max<duration>(
-        max_write_attempts_in_flight * hedge_delay_.value(), min_limit);
+        max_write_attempts_in_flight * hedge_delay_.value(), min_write_timeout);
     store_.transact(transaction_of(*batch_, core_.epoch()), limit,
                     process_.on_control<store_result>(
-                        [this, now, term = term_,
-                         number = batches_](const store_result& result)
+                        [this, now, generation = generation_,
+                         number = batch_number_](const store_result& result)
                         {
-                            if (term == term_ && number == batches_ && batch_)
+                            if (generation == generation_ &&
+                                number == batch_number_ && batch_)
                             {
                                 on_written(result, now);
                             }
@@ -99,7 +100,7 @@
 
 void job_scheduler::end_batch(std::int64_t revision, time_point sent)
 {
-    leader_election_.verified(sent);
+    leader_election_.confirm_leadership(sent);
     core_.committed(*batch_, revision, boot_clock::now());
     batch_.reset();
 }
@@ -113,17 +114,17 @@
         end_batch(result.revision, sent);
         return;
     case store_status::conflict:
-        if (const auto revision = written_before(result))
+        if (const auto revision = earlier_write_revision(result))
         {
             end_batch(*revision, sent);
             return;
         }
-        leader_election_.superseded("a write found another holder");
+        leader_election_.step_down("a write found another holder");
         return;
     case store_status::refused:
     case store_status::absent:
     case store_status::compacted:
-        next_attempt_at_ = boot_clock::now() + pause;
+        next_attempt_at_ = boot_clock::now() + retry_delay;
         return;
     case store_status::unknown:
         return; // the next copy is due by itself
@@ -133,15 +134,15 @@
 // A conflict with our own earlier copy of the same batch: it was done, and
 // only its answer was lost. Gives the revision that it wrote.
 std::optional<std::int64_t>
-job_scheduler::written_before(const store_result& result) const
+job_scheduler::earlier_write_revision(const store_result& result) const
 {
     std::map<std::string, const store_item*> items;
     for (const store_item& item : result.items)
     {
         items[item.key] = &item;
     }
-    const auto holder = items.find(leader_key);
-    if (holder == items.end() || holder->second->revision != core_.epoch())
+    const auto leader = items.find(leader_key);
+    if (leader == items.end() || leader->second->revision != core_.epoch())
     {
         return std::nullopt;
     }
@@ -167,12 +168,12 @@
         return;
     }
     next_interference_save_ = now + interference_save_interval;
-    std::vector<pair_interference> harms = core_.known_interference();
-    if (harms == saved_interference_)
+    std::vector<pair_interference> current = core_.known_interference();
+    if (current == saved_interference_)
     {
         return;
     }
-    saved_interference_ = std::move(harms);
+    saved_interference_ = std::move(current);
     store_.transact({.puts = {{.key = interference_key,
                                .value = json(saved_interference_).dump()}}},
                     timeout_.value(), [](const store_result&) {});
@@ -182,20 +183,20 @@
 // Guards
 // ---------------------------------------------------------------------------
 
-report_answer job_scheduler::report(const worker_report& from)
+report_answer job_scheduler::report(const worker_report& incoming)
 {
     report_answer answer;
     if (ready())
     {
-        answer = core_.report(from, boot_clock::now(),
-                              leader_election_.verified_at());
+        answer = core_.report(incoming, boot_clock::now(),
+                              leader_election_.confirmed_at());
     }
     answer.holder = leader_election_.leader();
     return answer;
 }
 
 // Otherwise they would hear of it with the answers to their next reports.
-void job_scheduler::tell_guards(const leader_change& next)
+void job_scheduler::notify_guards(const leader_change& next)
 {
     if (next.holder.empty())
     {
@@ -203,11 +204,11 @@
     }
     const shared_body body =
         make_body(rpc_request(leader_changed_method, next));
-    for (const auto& [guard, at] : core_.workers())
+    for (const auto& [guard, worker] : core_.workers())
     {
         process_.client.send(
             {.method = "POST",
-             .url = "http://" + at.address + wire::rpc_path,
+             .url = "http://" + worker.address + wire::rpc_path,
              .headers = {{"content-type", "application/json"}},
              .body = body,
              .timeout = order_timeout},
@@ -215,25 +216,26 @@
     }
 }
 
-void job_scheduler::ask_for_advice(time_point now)
+void job_scheduler::request_advice(time_point now)
 {
-    const auto question =
-        process_.from.advice.empty() ? std::nullopt : core_.next_question(now);
+    const auto question = process_.settings.advice.empty()
+                              ? std::nullopt
+                              : core_.next_question(now);
     if (!question)
     {
         return;
     }
     process_.client.send(
-        platform::encode(*question, process_.from.advice),
+        platform::encode(*question, process_.settings.advice),
         process_.on_control<http_result>(
             [this, asked = *question, sent = now,
-             term = term_](const http_result& result)
+             generation = generation_](const http_result& result)
             {
-                if (term != term_)
+                if (generation != generation_)
                 {
                     return;
                 }
-                const time_point came = boot_clock::now();
+                const time_point received_at = boot_clock::now();
                 const auto answer = platform::decode_advice(asked, result);
                 log_event(
                     event_id::advice_came,
@@ -241,8 +243,8 @@
                      {"good", answer ? std::to_string(answer->tickets.size())
                                      : "no answer"},
                      {"took_ms",
-                      std::to_string(to_milliseconds(came - sent))}});
-                core_.advised(answer, came);
+                      std::to_string(to_milliseconds(received_at - sent))}});
+                core_.advised(answer, received_at);
             }));
 }
 
@@ -272,16 +274,16 @@
     core_.set_table(table);
 }
 
-void job_scheduler::set_closed(const closed_data_centres& known)
+void job_scheduler::set_closed(const closed_data_centres& closed)
 {
-    core_.set_closed(known, boot_clock::now());
+    core_.set_closed(closed, boot_clock::now());
 }
 
-void job_scheduler::job_was_accepted(const job& what)
+void job_scheduler::job_was_accepted(const job& definition)
 {
     if (ready())
     {
-        core_.accept(what, boot_clock::now());
+        core_.accept(definition, boot_clock::now());
     }
 }
 
@@ -295,27 +297,27 @@
 
 void job_scheduler::tick(time_point now)
 {
-    if (at_ == stage::idle)
+    if (stage_ == stage::idle)
     {
         return;
     }
-    if (at_ != stage::holding)
+    if (stage_ != stage::ready)
     {
         if (!reading_ && now >= next_read_)
         {
-            at_ == stage::loading_interference ? decode_interference()
-                                               : read_page();
+            stage_ == stage::loading_interference ? load_interference()
+                                                  : read_page();
         }
         return;
     }
     if (!watching_ && now >= next_watch_)
     {
-        jobs_since_ == 0 ? read_again() : watch();
+        jobs_revision_ == 0 ? reread_jobs() : watch();
     }
-    core_.tick(now, day_milliseconds());
+    core_.tick(now, unix_milliseconds());
     write();
     save_interference(now);
-    ask_for_advice(now);
+    request_advice(now);
     send_orders();
     log_decisions();
     publish_metrics(now);
@@ -329,44 +331,47 @@
     }
     for (const finished_job& one : core_.take_finished())
     {
-        const class_name of{one.queue, std::string(to_string(one.state))};
-        process_.numbers.observe("job", of, one.age);
-        process_.numbers.observe("job_to_start", of, one.to_start);
+        const class_name queue_class{one.queue,
+                                     std::string(to_string(one.state))};
+        process_.process_metrics.observe("job", queue_class, one.age);
+        process_.process_metrics.observe("job_to_start", queue_class,
+                                         one.to_start);
     }
 }
 
-void job_scheduler::publish_service_metrics(const std::string& of,
+void job_scheduler::publish_service_metrics(const std::string& prefix,
                                             const availability_counts& account)
 {
-    metrics& to = process_.numbers;
-    to.set(of + "_tasks", static_cast<double>(account.tasks));
-    to.set(of + "_at_work", static_cast<double>(account.at_work));
-    to.set(of + "_over_target", static_cast<double>(account.over_target));
-    to.set(of + "_unplaced", static_cast<double>(account.unplaced));
+    metrics& gauges = process_.process_metrics;
+    gauges.set(prefix + "_tasks", static_cast<double>(account.tasks));
+    gauges.set(prefix + "_at_work", static_cast<double>(account.at_work));
+    gauges.set(prefix + "_over_target",
+               static_cast<double>(account.over_target));
+    gauges.set(prefix + "_unplaced", static_cast<double>(account.unplaced));
 }
 
 void job_scheduler::publish_metrics(time_point now)
 {
-    if (now < next_figures_)
+    if (now < next_metrics_at_)
     {
         return;
     }
-    next_figures_ = now + metrics_interval;
+    next_metrics_at_ = now + metrics_interval;
     const scheduler_figures figures = core_.figures();
-    metrics& to = process_.numbers;
-    to.set("runs_placed", static_cast<double>(figures.starts));
-    to.set("runs_refused", static_cast<double>(figures.refused));
-    to.set("runs_lost", static_cast<double>(figures.lost));
-    to.set("runs_failed", static_cast<double>(figures.failed_runs));
-    to.set("jobs_open", static_cast<double>(figures.jobs_open));
-    to.set("workers", static_cast<double>(figures.workers));
-    to.set("data_centres_closed",
-           static_cast<double>(figures.closed_data_centres));
-    to.set("runs_in_closed_data_centres",
-           static_cast<double>(figures.runs_in_closed));
+    metrics& gauges = process_.process_metrics;
+    gauges.set("runs_placed", static_cast<double>(figures.starts));
+    gauges.set("runs_refused", static_cast<double>(figures.refused));
+    gauges.set("runs_lost", static_cast<double>(figures.lost));
+    gauges.set("runs_failed", static_cast<double>(figures.failed_runs));
+    gauges.set("jobs_open", static_cast<double>(figures.jobs_open));
+    gauges.set("workers", static_cast<double>(figures.workers));
+    gauges.set("data_centres_closed",
+               static_cast<double>(figures.closed_data_centres));
+    gauges.set("runs_in_closed_data_centres",
+               static_cast<double>(figures.runs_in_closed));
     publish_service_metrics("lasting", figures.lasting);
     publish_service_metrics("largest_lasting", figures.largest_lasting);
-    to.set("office_epoch", static_cast<double>(core_.epoch()));
+    gauges.set("office_epoch", static_cast<double>(core_.epoch()));
 }
 
 } // namespace springstair
--- a/packages/daemon/src/job_scheduler_loading.cpp
+++ b/packages/daemon/src/job_scheduler_loading.cpp
@@ -28,25 +28,25 @@
 
 void job_scheduler::begin(std::int64_t epoch)
 {
-    ++term_;
+    ++generation_;
     core_.begin_term(epoch, boot_clock::now());
-    at_ = stage::reading_jobs;
+    stage_ = stage::reading_jobs;
     reading_ = false;
     watching_ = false;
     next_read_ = {};
     page_after_.clear();
     batch_.reset();
-    kept_jobs_.clear();
-    kept_cancellations_.clear();
-    kept_progress_.clear();
-    jobs_since_ = 0;
+    loaded_jobs_.clear();
+    loaded_cancellations_.clear();
+    loaded_progress_.clear();
+    jobs_revision_ = 0;
 }
 
 void job_scheduler::end(const leader_change& next)
 {
-    tell_guards(next);
-    ++term_;
-    at_ = stage::idle;
+    notify_guards(next);
+    ++generation_;
+    stage_ = stage::idle;
     core_.begin_term(0, boot_clock::now());
 }
 
@@ -54,16 +54,17 @@
 {
     reading_ = true;
     const char* const prefix =
-        at_ == stage::reading_jobs ? jobs_prefix : progress_prefix;
-    store_.range(prefix, page_after_, page_timeout_.value(),
-                 process_.on_control<store_result>(
-                     [this, term = term_](const store_result& result)
-                     {
-                         if (term == term_)
-                         {
-                             on_page(result);
-                         }
-                     }));
+        stage_ == stage::reading_jobs ? jobs_prefix : progress_prefix;
+    store_.range(
+        prefix, page_after_, page_timeout_.value(),
+        process_.on_control<store_result>(
+            [this, generation = generation_](const store_result& result)
+            {
+                if (generation == generation_)
+                {
+                    on_page(result);
+                }
+            }));
 }
 
 void job_scheduler::on_page(const store_result& result)
@@ -72,36 +73,36 @@
     if (result.status != store_status::done)
     {
         page_timeout_.unanswered();
-        next_read_ = boot_clock::now() + pause;
+        next_read_ = boot_clock::now() + retry_delay;
         return;
     }
     page_timeout_.answered(result.took);
-    if (jobs_since_ == 0)
+    if (jobs_revision_ == 0)
     {
-        jobs_since_ = result.revision; // later pages may be newer
+        jobs_revision_ = result.revision; // later pages may be newer
     }
     for (const store_item& item : result.items)
     {
-        take_item(item);
+        load_item(item);
     }
     page_after_ = result.next_page();
     if (!page_after_.empty())
     {
         return;
     }
-    at_ = at_ == stage::reading_jobs ? stage::reading_progress
-                                     : stage::loading_interference;
+    stage_ = stage_ == stage::reading_jobs ? stage::reading_progress
+                                           : stage::loading_interference;
 }
 
 // Harms are a help, not a need: whatever the store says, the office begins.
-void job_scheduler::decode_interference()
+void job_scheduler::load_interference()
 {
     reading_ = true;
     store_.read(interference_key, timeout_.value(),
                 process_.on_control<store_result>(
-                    [this, term = term_](const store_result& result)
+                    [this, generation = generation_](const store_result& result)
                     {
-                        if (term != term_)
+                        if (generation != generation_)
                         {
                             return;
                         }
@@ -121,24 +122,24 @@
                     }));
 }
 
-void job_scheduler::take_item(const store_item& item)
+void job_scheduler::load_item(const store_item& item)
 {
     try
     {
-        if (at_ == stage::reading_progress)
+        if (stage_ == stage::reading_progress)
         {
             const std::string id =
                 item.key.substr(std::string_view(progress_prefix).size());
-            kept_progress_[id] = {decode_progress(item.value), item.revision};
+            loaded_progress_[id] = {decode_progress(item.value), item.revision};
             return;
         }
-        const job_entry_key key = parse_job_key(item.key);
+        const job_key_parts key = parse_job_key(item.key);
         if (key.cancellation)
         {
-            kept_cancellations_.insert(key.id);
+            loaded_cancellations_.insert(key.id);
             return;
         }
-        kept_jobs_[key.id] = decode_job(item.value);
+        loaded_jobs_[key.id] = decode_job(item.value);
     }
     catch (const document_error& error)
     {
@@ -150,26 +151,28 @@
 void job_scheduler::adopt_all()
 {
     const time_point now = boot_clock::now();
-    for (auto& [id, what] : kept_jobs_)
+    for (auto& [id, definition] : loaded_jobs_)
     {
-        const auto found = kept_progress_.find(id);
-        const bool known = found != kept_progress_.end();
-        core_.adopt(std::move(what),
-                    known ? std::optional(found->second.first) : std::nullopt,
-                    known ? found->second.second : 0, now, day_milliseconds());
+        const auto progress = loaded_progress_.find(id);
+        const bool has_progress = progress != loaded_progress_.end();
+        core_.adopt(std::move(definition),
+                    has_progress ? std::optional(progress->second.first)
+                                 : std::nullopt,
+                    has_progress ? progress->second.second : 0, now,
+                    unix_milliseconds());
     }
     core_.begin(now);
-    for (const std::string& id : kept_cancellations_)
+    for (const std::string& id : loaded_cancellations_)
     {
         core_.cancel(id, now);
     }
     log_event(event_id::office_taken,
               {{"epoch", std::to_string(core_.epoch())},
-               {"jobs", std::to_string(kept_jobs_.size())},
-               {"progress", std::to_string(kept_progress_.size())}});
-    kept_jobs_.clear();
-    kept_progress_.clear();
-    at_ = stage::holding;
+               {"jobs", std::to_string(loaded_jobs_.size())},
+               {"progress", std::to_string(loaded_progress_.size())}});
+    loaded_jobs_.clear();
+    loaded_progress_.clear();
+    stage_ = stage::ready;
 }
 
 // ---------------------------------------------------------------------------
@@ -180,15 +183,16 @@
 {
     watching_ = true;
     const time_point sent = boot_clock::now();
-    store_.watch(jobs_prefix, jobs_since_, watch_wait,
-                 process_.on_control<store_result>(
-                     [this, sent, term = term_](const store_result& result)
-                     {
-                         if (term == term_)
-                         {
-                             on_watch(result, sent);
-                         }
-                     }));
+    store_.watch(
+        jobs_prefix, jobs_revision_, watch_wait,
+        process_.on_control<store_result>(
+            [this, sent, generation = generation_](const store_result& result)
+            {
+                if (generation == generation_)
+                {
+                    on_watch(result, sent);
+                }
+            }));
 }
 
 void job_scheduler::on_watch(const store_result& result, time_point sent)
@@ -197,26 +201,26 @@
     if (result.status != store_status::done)
     {
         // What was missed is read anew.
-        const bool at_once = boot_clock::now() - sent > pause;
-        next_watch_ = boot_clock::now() + (at_once ? duration{0} : pause);
-        read_again();
+        const bool at_once = boot_clock::now() - sent > retry_delay;
+        next_watch_ = boot_clock::now() + (at_once ? duration{0} : retry_delay);
+        reread_jobs();
         return;
     }
     next_watch_ = boot_clock::now() + watch_interval;
     for (const store_item& item : result.items)
     {
-        jobs_since_ = std::max(jobs_since_, item.revision);
-        learn(item);
+        jobs_revision_ = std::max(jobs_revision_, item.revision);
+        apply_job_item(item);
     }
 }
 
-void job_scheduler::learn(const store_item& item)
+void job_scheduler::apply_job_item(const store_item& item)
 {
     if (item.gone)
     {
         return;
     }
-    const job_entry_key key = parse_job_key(item.key);
+    const job_key_parts key = parse_job_key(item.key);
     const time_point now = boot_clock::now();
     if (key.cancellation)
     {
@@ -238,45 +242,46 @@
     }
 }
 
-void job_scheduler::read_again()
+void job_scheduler::reread_jobs()
 {
     watching_ = true;
-    store_.range(jobs_prefix, page_after_, page_timeout_.value(),
-                 process_.on_control<store_result>(
-                     [this, term = term_](const store_result& result)
-                     {
-                         if (term == term_)
-                         {
-                             on_read_again(result);
-                         }
-                     }));
+    store_.range(
+        jobs_prefix, page_after_, page_timeout_.value(),
+        process_.on_control<store_result>(
+            [this, generation = generation_](const store_result& result)
+            {
+                if (generation == generation_)
+                {
+                    on_jobs_reread(result);
+                }
+            }));
 }
 
-void job_scheduler::on_read_again(const store_result& result)
+void job_scheduler::on_jobs_reread(const store_result& result)
 {
     watching_ = false;
     if (result.status != store_status::done)
     {
         page_timeout_.unanswered();
         page_after_.clear();
-        next_watch_ = boot_clock::now() + pause;
-        jobs_since_ = 0; // a watch from here has no history: read again
+        next_watch_ = boot_clock::now() + retry_delay;
+        jobs_revision_ = 0; // a watch from here has no history: read again
         return;
     }
     page_timeout_.answered(result.took);
     if (page_after_.empty())
     {
-        jobs_since_ = result.revision;
+        jobs_revision_ = result.revision;
     }
     // A cancellation sorts right after its job.
     for (const store_item& item : result.items)
     {
-        learn(item);
+        apply_job_item(item);
     }
     page_after_ = result.next_page();
     if (!page_after_.empty())
     {
-        read_again();
+        reread_jobs();
     }
 }
 
--- a/packages/daemon/src/job_settings.cpp
+++ b/packages/daemon/src/job_settings.cpp
@@ -59,10 +59,10 @@
 }
 
 duration milliseconds(object_reader& reader, std::string_view key,
-                      std::int64_t usual)
+                      std::int64_t default_value)
 {
-    return std::chrono::milliseconds(
-        reader.integer(key, usual, {.least = 1, .most = max_milliseconds}));
+    return std::chrono::milliseconds(reader.integer(
+        key, default_value, {.least = 1, .most = max_milliseconds}));
 }
 
 job_role read_role(object_reader& reader)
@@ -105,65 +105,68 @@
 {
     findings all;
     object_reader reader(document, "", all);
-    job_settings to;
-    to.role = read_role(reader);
-    const bool entry = to.role == job_role::job_entry;
-    to.name = reader.text("name");
-    to.data_centre = reader.text("data_centre");
-    to.address = reader.text("address");
-    to.announced_address =
-        reader.text("announced_address", std::optional(to.address));
-    to.internal_port = static_cast<std::uint16_t>(reader.integer(
+    job_settings settings;
+    settings.role = read_role(reader);
+    const bool entry = settings.role == job_role::job_entry;
+    settings.name = reader.text("name");
+    settings.data_centre = reader.text("data_centre");
+    settings.address = reader.text("address");
+    settings.announced_address =
+        reader.text("announced_address", std::optional(settings.address));
+    settings.internal_port = static_cast<std::uint16_t>(reader.integer(
         "internal_port", std::nullopt, {.least = 1, .most = max_port}));
-    to.store = endpoint(reader, "store", true);
-    to.entries = read_entries(reader, to.internal_port);
-    to.max_lease = milliseconds(reader, "longest_lease_ms", default_lease_ms);
-    to.stop_time = milliseconds(reader, "stop_ms", default_stop_ms);
-    to.apply_within = milliseconds(reader, "apply_within_ms", default_apply_ms);
-    to.close_within = milliseconds(reader, "close_within_ms", default_close_ms);
-    to.grace = from_seconds(reader.positive("grace_s", default_grace_s));
-    to.callers = endpoint(reader, "callers", entry);
-    to.readiness = endpoint(reader, "readiness", entry);
-    to.executors = endpoint(reader, "executors", !entry);
-    to.executor = endpoint(reader, "executor", !entry);
-    to.advice = endpoint(reader, "advice", false);
-    to.metrics = endpoint(reader, "metrics", false);
-    to.processors = reader.positive("processors", default_processors);
-    to.memory_mb =
+    settings.store = endpoint(reader, "store", true);
+    settings.entries = read_entries(reader, settings.internal_port);
+    settings.max_lease =
+        milliseconds(reader, "longest_lease_ms", default_lease_ms);
+    settings.stop_time = milliseconds(reader, "stop_ms", default_stop_ms);
+    settings.apply_within =
+        milliseconds(reader, "apply_within_ms", default_apply_ms);
+    settings.close_within =
+        milliseconds(reader, "close_within_ms", default_close_ms);
+    settings.grace = from_seconds(reader.positive("grace_s", default_grace_s));
+    settings.callers = endpoint(reader, "callers", entry);
+    settings.readiness = endpoint(reader, "readiness", entry);
+    settings.executors = endpoint(reader, "executors", !entry);
+    settings.executor = endpoint(reader, "executor", !entry);
+    settings.advice = endpoint(reader, "advice", false);
+    settings.metrics = endpoint(reader, "metrics", false);
+    settings.processors = reader.positive("processors", default_processors);
+    settings.memory_mb =
         reader.integer("memory_mb", 0, {.least = 0, .most = max_memory_mb});
-    to.descriptors =
+    settings.descriptors =
         reader.integer("descriptors", 0, {.least = 0, .most = max_descriptors});
     reader.reject_unknown();
     if (!all.empty())
     {
         throw document_error(std::move(all));
     }
-    return to;
+    return settings;
 }
 
-json to_document(const job_settings& from)
+json to_document(const job_settings& settings)
 {
-    json document{
-        {"role", from.role == job_role::job_entry ? "job_entry" : "job_guard"},
-        {"name", from.name},
-        {"data_centre", from.data_centre},
-        {"address", from.address},
-        {"announced_address", from.announced_address},
-        {"internal_port", from.internal_port},
-        {"store", from.store},
-        {"entries", from.entries},
-        {"longest_lease_ms", to_milliseconds(from.max_lease)},
-        {"stop_ms", to_milliseconds(from.stop_time)},
-        {"apply_within_ms", to_milliseconds(from.apply_within)},
-        {"close_within_ms", to_milliseconds(from.close_within)},
-        {"grace_s", to_seconds(from.grace)},
-        {"processors", from.processors},
-        {"memory_mb", from.memory_mb},
-        {"descriptors", from.descriptors}};
+    json document{{"role", settings.role == job_role::job_entry ? "job_entry"
+                                                                : "job_guard"},
+                  {"name", settings.name},
+                  {"data_centre", settings.data_centre},
+                  {"address", settings.address},
+                  {"announced_address", settings.announced_address},
+                  {"internal_port", settings.internal_port},
+                  {"store", settings.store},
+                  {"entries", settings.entries},
+                  {"longest_lease_ms", to_milliseconds(settings.max_lease)},
+                  {"stop_ms", to_milliseconds(settings.stop_time)},
+                  {"apply_within_ms", to_milliseconds(settings.apply_within)},
+                  {"close_within_ms", to_milliseconds(settings.close_within)},
+                  {"grace_s", to_seconds(settings.grace)},
+                  {"processors", settings.processors},
+                  {"memory_mb", settings.memory_mb},
+                  {"descriptors", settings.descriptors}};
     const std::map<std::string, std::string> endpoints{
-        {"callers", from.callers},     {"readiness", from.readiness},
-        {"executors", from.executors}, {"executor", from.executor},
-        {"advice", from.advice},       {"metrics", from.metrics}};
+        {"callers", settings.callers},     {"readiness", settings.readiness},
+        {"executors", settings.executors}, {"executor", settings.executor},
+        {"advice", settings.advice},       {"metrics", settings.metrics}};
     for (const auto& [key, endpoint] : endpoints)
     {
         if (!endpoint.empty())
--- a/packages/daemon/src/job_store.cpp
+++ b/packages/daemon/src/job_store.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-constexpr std::string_view cancellation_mark = "/cancelled";
+constexpr std::string_view cancellation_suffix = "/cancelled";
 
 } // namespace
 
@@ -19,7 +19,7 @@
 
 std::string cancellation_key(const std::string& id)
 {
-    return job_key(id) + std::string(cancellation_mark);
+    return job_key(id) + std::string(cancellation_suffix);
 }
 
 std::string progress_key(const std::string& id)
@@ -27,15 +27,15 @@
     return progress_prefix + id;
 }
 
-job_entry_key parse_job_key(const std::string& key)
+job_key_parts parse_job_key(const std::string& key)
 {
-    job_entry_key to{.id = key.substr(std::string_view(jobs_prefix).size())};
-    if (to.id.ends_with(cancellation_mark))
+    job_key_parts parts{.id = key.substr(std::string_view(jobs_prefix).size())};
+    if (parts.id.ends_with(cancellation_suffix))
     {
-        to.id.resize(to.id.size() - cancellation_mark.size());
-        to.cancellation = true;
+        parts.id.resize(parts.id.size() - cancellation_suffix.size());
+        parts.cancellation = true;
     }
-    return to;
+    return parts;
 }
 
 job decode_job(const std::string& text)
@@ -50,13 +50,13 @@
     }
 }
 
-kv_transaction acceptance_of(const job& what)
+kv_transaction acceptance_of(const job& definition)
 {
-    const std::string key = job_key(what.id);
+    const std::string key = job_key(definition.id);
     return {.compares = {{.key = key,
                           .of = kv_compare::number::mod_revision,
                           .equals = 0}},
-            .puts = {{.key = key, .value = json(what).dump()}}};
+            .puts = {{.key = key, .value = json(definition).dump()}}};
 }
 
 kv_transaction cancellation_of(const std::string& id)
@@ -66,18 +66,19 @@
 
 kv_transaction transaction_of(const commit_batch& batch, std::int64_t epoch)
 {
-    kv_transaction to{.compares = {{.key = leader_key,
-                                    .of = kv_compare::number::mod_revision,
-                                    .equals = epoch}}};
+    kv_transaction transaction{
+        .compares = {{.key = leader_key,
+                      .of = kv_compare::number::mod_revision,
+                      .equals = epoch}}};
     for (const progress_write& write : batch)
     {
         const std::string key = progress_key(write.job);
-        to.compares.push_back({.key = key,
-                               .of = kv_compare::number::mod_revision,
-                               .equals = write.expected_revision});
-        to.puts.push_back({.key = key, .value = write.text});
+        transaction.compares.push_back({.key = key,
+                                        .of = kv_compare::number::mod_revision,
+                                        .equals = write.expected_revision});
+        transaction.puts.push_back({.key = key, .value = write.text});
     }
-    return to;
+    return transaction;
 }
 
 } // namespace springstair
--- a/packages/daemon/src/job_store.hpp
+++ b/packages/daemon/src/job_store.hpp
@@ -24,18 +24,18 @@
 std::string progress_key(const std::string& id);
 
 /// What a key below jobs_prefix says.
-struct job_entry_key
+struct job_key_parts
 {
     std::string id;
     bool cancellation = false;
 };
-job_entry_key parse_job_key(const std::string& key);
+job_key_parts parse_job_key(const std::string& key);
 
 /// Reads a stored job. @throw document_error 102 if it is not one
 job decode_job(const std::string& text);
 
 /// The transaction that accepts a job: it is created if it is not there.
-kv_transaction acceptance_of(const job& what);
+kv_transaction acceptance_of(const job& definition);
 /// The transaction that keeps a cancellation.
 kv_transaction cancellation_of(const std::string& id);
 /// The transaction that writes a batch under an office.
--- a/packages/daemon/src/leader_election.cpp
+++ b/packages/daemon/src/leader_election.cpp
@@ -20,13 +20,13 @@
 constexpr duration watch_wait = std::chrono::seconds(8);
 // An entry that others go before hears of a new holder from anyone.
 constexpr duration long_watch_wait = std::chrono::seconds(20);
-constexpr duration pause = std::chrono::milliseconds(150);
+constexpr duration retry_delay = std::chrono::milliseconds(150);
 constexpr int nonce_bytes = 6;
 
 json leader_value(const process_context& process, const std::string& nonce)
 {
-    return {{"entry", process.from.name},
-            {"address", announced_address(process.from)},
+    return {{"entry", process.settings.name},
+            {"address", announced_address(process.settings)},
             {"nonce", nonce}};
 }
 
@@ -44,27 +44,28 @@
 } // namespace
 
 leader_election::leader_election(process_context& process,
-                                 platform::store_client& store, callbacks then)
-    : process_(process), store_(store), then_(std::move(then)),
+                                 platform::store_client& store,
+                                 callbacks handlers)
+    : process_(process), store_(store), callbacks_(std::move(handlers)),
       watch_(process, store, watch_wait,
              [this](const std::optional<platform::store_item>& item)
-             { follow(item); }),
+             { on_leader_key(item); }),
       nonce_(random_hex(nonce_bytes))
 {
 }
 
 void leader_election::tick(time_point now)
 {
-    if (at_ == stage::leader)
+    if (stage_ == stage::leader)
     {
         watch_.tick(now);
         if (now >= next_renewal_ && !renewing_)
         {
             renew();
         }
-        if (now - verified_ > check_interval)
+        if (now - confirmed_at_ > check_interval)
         {
-            check();
+            check_key();
         }
         return;
     }
@@ -73,10 +74,10 @@
     {
         return;
     }
-    if (at_ == stage::candidate && now >= next_)
+    if (stage_ == stage::candidate && now >= next_attempt_at_)
     {
         const bool usable = lease_ != 0 && now < lease_fresh_until_;
-        usable ? claim() : take();
+        usable ? claim() : request_lease();
     }
 }
 
@@ -98,88 +99,91 @@
 // Following another holder
 // ---------------------------------------------------------------------------
 
-void leader_election::follow(const std::optional<platform::store_item>& item)
+void leader_election::on_leader_key(
+    const std::optional<platform::store_item>& item)
 {
     if (item && item->revision < newest_epoch())
     {
         return; // a newer one is known
     }
-    if (at_ == stage::leader)
+    if (stage_ == stage::leader)
     {
         const bool newer = item && item->revision > epoch_;
         if (newer)
         {
-            lose("another entry holds it",
-                 {.epoch = item->revision, .holder = address_in(*item)});
+            lose_leadership(
+                "another entry holds it",
+                {.epoch = item->revision, .holder = address_in(*item)});
         }
         else if (!item)
         {
-            check();
+            check_key();
         }
     }
-    if (at_ == stage::leader || at_ == stage::resigned)
+    if (stage_ == stage::leader || stage_ == stage::resigned)
     {
         return;
     }
-    replaces_ = 0;
+    expected_revision_ = 0;
     if (!item)
     {
         leader_.clear();
-        if (at_ == stage::follower)
+        if (stage_ == stage::follower)
         {
-            next_ = boot_clock::now() + turn_.delay;
+            next_attempt_at_ = boot_clock::now() + claim_schedule_.delay;
         }
-        at_ = stage::candidate;
+        stage_ = stage::candidate;
         return;
     }
     if (document_of(*item).value("nonce", "") == nonce_)
     {
-        hold(item->revision, boot_clock::now());
+        become_leader(item->revision, boot_clock::now());
         return;
     }
     record_leader(*item);
     if (!takeover_from_.empty())
     {
         // Another one was faster.
-        then_.told(std::exchange(takeover_from_, {}), 0);
+        callbacks_.takeover_answered(std::exchange(takeover_from_, {}), 0);
     }
     if (is_own_previous_incarnation())
     {
-        replaces_ = item->revision;
-        at_ = stage::candidate;
+        expected_revision_ = item->revision;
+        stage_ = stage::candidate;
         return;
     }
-    at_ = stage::follower;
+    stage_ = stage::follower;
 }
 
-void leader_election::set_claim_schedule(const claim_schedule& turn)
+void leader_election::set_claim_schedule(const claim_schedule& schedule)
 {
-    turn_ = turn;
-    watch_.set_wait(turn.is_successor ? watch_wait : long_watch_wait);
+    claim_schedule_ = schedule;
+    watch_.set_wait(schedule.is_successor ? watch_wait : long_watch_wait);
 }
 
 void leader_election::recheck_leader()
 {
-    if (at_ == stage::follower)
+    if (stage_ == stage::follower)
     {
         watch_.refresh();
     }
 }
 
-void leader_election::told(std::int64_t epoch, const std::string& leader)
+void leader_election::observe_leader(std::int64_t epoch,
+                                     const std::string& leader)
 {
-    if (epoch <= newest_epoch() || leader.empty() || at_ == stage::resigned)
+    if (epoch <= newest_epoch() || leader.empty() || stage_ == stage::resigned)
     {
         return;
     }
-    if (at_ == stage::leader)
+    if (stage_ == stage::leader)
     {
-        lose("another entry tells of a newer holder",
-             {.epoch = epoch, .holder = leader});
+        lose_leadership("another entry tells of a newer holder",
+                        {.epoch = epoch, .holder = leader});
     }
     leader_ = leader;
     leader_epoch_ = epoch;
-    at_ = stage::follower;
+    stage_ = stage::follower;
 }
 
 // The key of a process of this VM that is gone: this one has its port. It need
@@ -187,7 +191,7 @@
 // power and the next office (the holders' log of a played day, 62 workers).
 bool leader_election::is_own_previous_incarnation() const
 {
-    return !has_held_ && leader_ == announced_address(process_.from);
+    return !was_leader_ && leader_ == announced_address(process_.settings);
 }
 
 void leader_election::record_leader(const platform::store_item& item)
@@ -201,33 +205,33 @@
 // ---------------------------------------------------------------------------
 
 // The claim names the holder's revision: of several entries, one takes it.
-void leader_election::take_over(const take_over_request& what)
+void leader_election::take_over(const take_over_request& request)
 {
-    if (at_ != stage::follower || what.epoch < newest_epoch())
+    if (stage_ != stage::follower || request.epoch < newest_epoch())
     {
-        then_.told(what.from, 0);
+        callbacks_.takeover_answered(request.from, 0);
         return;
     }
-    takeover_from_ = what.from;
-    replaces_ = what.epoch;
-    at_ = stage::candidate;
-    next_ = {};
+    takeover_from_ = request.from;
+    expected_revision_ = request.epoch;
+    stage_ = stage::candidate;
+    next_attempt_at_ = {};
 }
 
 // Who was asked to take an office and cannot says so: another one can.
-void leader_election::note_unserved()
+void leader_election::on_claim_failed()
 {
-    next_ = boot_clock::now() + pause;
+    next_attempt_at_ = boot_clock::now() + retry_delay;
     if (takeover_from_.empty())
     {
         return;
     }
-    replaces_ = 0;
-    at_ = stage::follower;
-    then_.told(std::exchange(takeover_from_, {}), 0);
+    expected_revision_ = 0;
+    stage_ = stage::follower;
+    callbacks_.takeover_answered(std::exchange(takeover_from_, {}), 0);
 }
 
-void leader_election::take()
+void leader_election::request_lease()
 {
     busy_ = true;
     store_.grant_lease(
@@ -242,7 +246,7 @@
     note_answer(result);
     if (result.status != store_status::done)
     {
-        note_unserved();
+        on_claim_failed();
         return;
     }
     lease_ = result.lease;
@@ -257,7 +261,7 @@
     const time_point sent = boot_clock::now();
     store_.transact({.compares = {{.key = leader_key,
                                    .of = kv_compare::number::mod_revision,
-                                   .equals = replaces_}},
+                                   .equals = expected_revision_}},
                      .puts = {{.key = leader_key,
                                .value = leader_value(process_, nonce_).dump(),
                                .lease = lease_}}},
@@ -271,20 +275,21 @@
 {
     busy_ = false;
     note_answer(result);
-    if (at_ == stage::resigned)
+    if (stage_ == stage::resigned)
     {
         return;
     }
     switch (result.status)
     {
     case store_status::done:
-        hold(result.revision, sent);
+        become_leader(result.revision, sent);
         return;
     case store_status::conflict:
         if (!result.items.empty())
         {
             const platform::store_item& other = result.items.front();
-            follow(other.revision == 0 ? std::nullopt : std::optional(other));
+            on_leader_key(other.revision == 0 ? std::nullopt
+                                              : std::optional(other));
         }
         return;
     case store_status::absent: // the lease is over
@@ -293,25 +298,25 @@
     case store_status::compacted:
     case store_status::refused:
     case store_status::unknown:
-        note_unserved();
+        on_claim_failed();
         return;
     }
 }
 
-void leader_election::hold(std::int64_t revision, time_point sent)
+void leader_election::become_leader(std::int64_t revision, time_point sent)
 {
-    at_ = stage::leader;
-    held_since_ = boot_clock::now();
-    has_held_ = true;
-    replaces_ = 0;
+    stage_ = stage::leader;
+    leader_since_ = boot_clock::now();
+    was_leader_ = true;
+    expected_revision_ = 0;
     epoch_ = revision;
-    verified_ = sent;
+    confirmed_at_ = sent;
     next_renewal_ = sent + renew_interval;
-    leader_ = announced_address(process_.from);
-    then_.taken(epoch_);
+    leader_ = announced_address(process_.settings);
+    callbacks_.elected(epoch_);
     if (!takeover_from_.empty())
     {
-        then_.told(std::exchange(takeover_from_, {}), epoch_);
+        callbacks_.takeover_answered(std::exchange(takeover_from_, {}), epoch_);
     }
 }
 
@@ -333,23 +338,23 @@
 {
     renewing_ = false;
     note_answer(result);
-    if (at_ != stage::leader)
+    if (stage_ != stage::leader)
     {
         return;
     }
     if (result.status == store_status::absent)
     {
-        lose("its lease is over");
+        lose_leadership("its lease is over");
         return;
     }
     if (result.status != store_status::done)
     {
-        next_renewal_ = boot_clock::now() + pause;
+        next_renewal_ = boot_clock::now() + retry_delay;
     }
 }
 
 // A lease that lives does not prove that the key is still there.
-void leader_election::check()
+void leader_election::check_key()
 {
     if (checking_)
     {
@@ -363,7 +368,7 @@
                     {
                         checking_ = false;
                         note_answer(result);
-                        if (at_ != stage::leader)
+                        if (stage_ != stage::leader)
                         {
                             return;
                         }
@@ -372,53 +377,54 @@
                             result.items.front().revision == epoch_;
                         if (result.status == store_status::done && ours)
                         {
-                            verified(sent);
+                            confirm_leadership(sent);
                         }
                         else if (result.status == store_status::done ||
                                  result.status == store_status::absent)
                         {
-                            lose("its key is gone");
+                            lose_leadership("its key is gone");
                         }
                     }));
 }
 
-void leader_election::verified(time_point sent)
+void leader_election::confirm_leadership(time_point sent)
 {
-    verified_ = std::max(verified_, sent);
+    confirmed_at_ = std::max(confirmed_at_, sent);
     store_answered_ = std::max(store_answered_, sent);
 }
 
-void leader_election::superseded(const char* why)
+void leader_election::step_down(const char* why)
 {
-    if (at_ == stage::leader)
+    if (stage_ == stage::leader)
     {
-        lose(why);
+        lose_leadership(why);
     }
 }
 
-void leader_election::lose(const char* why, const leader_change& next)
+void leader_election::lose_leadership(const char* why,
+                                      const leader_change& next)
 {
     log_event(event_id::office_lost,
               {{"epoch", std::to_string(epoch_)},
                {"why", why},
                {"verified_ms_ago", std::to_string(to_milliseconds(
-                                       boot_clock::now() - verified_))}});
-    at_ = stage::follower;
+                                       boot_clock::now() - confirmed_at_))}});
+    stage_ = stage::follower;
     watch_.refresh();
     lease_ = 0;
     leader_epoch_ = std::max(leader_epoch_, epoch_);
     epoch_ = 0;
-    next_ = {};
+    next_attempt_at_ = {};
     leader_.clear();
     nonce_ = random_hex(nonce_bytes);
-    then_.lost(next);
+    callbacks_.lost(next);
 }
 
-void leader_election::retire()
+void leader_election::resign()
 {
-    const bool held = at_ == stage::leader;
-    at_ = stage::resigned;
-    if (!held)
+    const bool was_leading = stage_ == stage::leader;
+    stage_ = stage::resigned;
+    if (!was_leading)
     {
         return;
     }
@@ -427,7 +433,7 @@
     // The key goes with its lease, and another entry takes over at once.
     store_.end_lease(lease_, timeout_.value(), [](const store_result&) {});
     leader_.clear();
-    then_.lost({});
+    callbacks_.lost({});
 }
 
 } // namespace springstair
--- a/packages/daemon/src/leader_election.hpp
+++ b/packages/daemon/src/leader_election.hpp
@@ -19,50 +19,51 @@
 public:
     struct callbacks
     {
-        std::function<void(std::int64_t epoch)> taken;
+        std::function<void(std::int64_t epoch)> elected;
         /// @param next the next holder, if it is known
         std::function<void(const leader_change& next)> lost;
         /// An office that this entry was asked to take was taken, or not.
-        std::function<void(const std::string& from, std::int64_t epoch)> told;
+        std::function<void(const std::string& from, std::int64_t epoch)>
+            takeover_answered;
     };
 
     leader_election(process_context& process, platform::store_client& store,
-                    callbacks then);
+                    callbacks handlers);
 
     void tick(time_point now);
     /// Gives the office up and takes it no more.
-    void retire();
+    void resign();
     /// The holder asks this entry to take its office.
-    void take_over(const take_over_request& what);
+    void take_over(const take_over_request& request);
     /// When this entry claims an office that is free.
-    void set_claim_schedule(const claim_schedule& turn);
+    void set_claim_schedule(const claim_schedule& schedule);
     /// The holder does not answer: the store is asked who holds.
     void recheck_leader();
     /// Another entry says who holds. A newer holder than is known here is
     /// believed; the store has the last word.
-    void told(std::int64_t epoch, const std::string& leader);
+    void observe_leader(std::int64_t epoch, const std::string& leader);
     /// A write conditioned on the office succeeded; it was sent at a time.
-    void verified(time_point sent);
+    void confirm_leadership(time_point sent);
     /// A write conditioned on the office found another one.
-    void superseded(const char* why);
+    void step_down(const char* why);
 
     [[nodiscard]] bool is_leader() const noexcept
     {
-        return at_ == stage::leader;
+        return stage_ == stage::leader;
     }
     [[nodiscard]] std::int64_t epoch() const noexcept
     {
         return epoch_;
     }
     /// Since when it holds the office.
-    [[nodiscard]] time_point held_since() const noexcept
+    [[nodiscard]] time_point leader_since() const noexcept
     {
-        return held_since_;
+        return leader_since_;
     }
     /// When the office was last known to be ours.
-    [[nodiscard]] time_point verified_at() const noexcept
+    [[nodiscard]] time_point confirmed_at() const noexcept
     {
-        return verified_;
+        return confirmed_at_;
     }
     /// The newest office that is known here, its own or another's.
     [[nodiscard]] std::int64_t newest_epoch() const noexcept
@@ -89,33 +90,34 @@
         resigned
     };
 
-    void follow(const std::optional<platform::store_item>& item);
+    void on_leader_key(const std::optional<platform::store_item>& item);
     void record_leader(const platform::store_item& item);
     [[nodiscard]] bool is_own_previous_incarnation() const;
-    void take();
+    void request_lease();
     void on_lease(const platform::store_result& result);
     void claim();
     void on_claim(const platform::store_result& result, time_point sent);
     void renew();
     void on_renewed(const platform::store_result& result);
-    void check();
-    void hold(std::int64_t revision, time_point sent);
-    void lose(const char* why, const leader_change& next = {});
+    void check_key();
+    void become_leader(std::int64_t revision, time_point sent);
+    void lose_leadership(const char* why, const leader_change& next = {});
     void note_answer(const platform::store_result& result);
-    void note_unserved();
+    void on_claim_failed();
 
     process_context& process_;
     platform::store_client& store_;
-    callbacks then_;
+    callbacks callbacks_;
     leader_watch watch_;
-    stage at_ = stage::follower;
+    stage stage_ = stage::follower;
     adaptive_timeout timeout_;
     std::string nonce_; ///< tells this attempt's key from any other
     std::string leader_;
     std::int64_t leader_epoch_ = 0;
-    std::int64_t replaces_ = 0; ///< claimed over this revision; 0: none there
-    bool has_held_ = false;     ///< this process, at some time
-    claim_schedule turn_;
+    std::int64_t expected_revision_ =
+        0;                    ///< claimed over this revision; 0: none there
+    bool was_leader_ = false; ///< this process, at some time
+    claim_schedule claim_schedule_;
     /// Whose office is being taken; empty: nobody's.
     std::string takeover_from_;
     bool busy_ = false; ///< a claim is under way
@@ -124,9 +126,9 @@
     std::int64_t lease_ = 0;
     time_point lease_fresh_until_{}; ///< too old to begin an office on
     std::int64_t epoch_ = 0;
-    time_point held_since_{};
-    time_point verified_{};
-    time_point next_{};
+    time_point leader_since_{};
+    time_point confirmed_at_{};
+    time_point next_attempt_at_{};
     time_point next_renewal_{};
     time_point store_answered_{};
 };
--- a/packages/daemon/src/leader_handover.cpp
+++ b/packages/daemon/src/leader_handover.cpp
@@ -8,7 +8,7 @@
 
 // To be granted a lease and to claim the office takes two answers of the store;
 // another entry is asked after that.
-constexpr duration result_within = std::chrono::milliseconds(500);
+constexpr duration takeover_timeout = std::chrono::milliseconds(500);
 
 } // namespace
 
@@ -28,8 +28,8 @@
 leader_state leader_handover::state(time_point now, bool stopping) const
 {
     const duration silent = now - store_.served_at();
-    return {.processors = process_.from.processors,
-            .held_for = now - leader_election_.held_since(),
+    return {.processors = process_.settings.processors,
+            .held_for = now - leader_election_.leader_since(),
             .store_silent = store_.is_unavailable() ? silent : duration{0},
             .stopping = stopping};
 }
@@ -42,7 +42,7 @@
     }
     if (!asked_.empty())
     {
-        if (now - asked_at_ < result_within)
+        if (now - asked_at_ < takeover_timeout)
         {
             return;
         }
@@ -55,24 +55,25 @@
     }
 }
 
-void leader_handover::ask(const handover_target& what, time_point now)
+void leader_handover::ask(const handover_target& target, time_point now)
 {
-    asked_ = what.to;
+    asked_ = target.to;
     asked_at_ = now;
     log_event(event_id::office_offered,
-              {{"to", what.to},
+              {{"to", target.to},
                {"epoch", std::to_string(leader_election_.epoch())},
-               {"why", std::string(to_string(what.why))}});
+               {"why", std::string(to_string(target.why))}});
     const take_over_request request{.epoch = leader_election_.epoch(),
-                                    .from = announced_address(process_.from)};
+                                    .from =
+                                        announced_address(process_.settings)};
     process_.client.send(
         {.method = "POST",
-         .url = "http://" + what.to + wire::rpc_path,
+         .url = "http://" + target.to + wire::rpc_path,
          .headers = {{"content-type", "application/json"}},
          .body = make_body(rpc_request(take_over_method, request)),
-         .timeout = result_within},
+         .timeout = takeover_timeout},
         process_.on_control<http_result>(
-            [this, to = what.to](const http_result& result)
+            [this, to = target.to](const http_result& result)
             {
                 if (result.how != delivery::answered)
                 {
@@ -85,7 +86,7 @@
 {
     if (result.epoch > 0)
     {
-        leader_election_.told(result.epoch, result.by);
+        leader_election_.observe_leader(result.epoch, result.by);
     }
     else if (result.by == asked_)
     {
@@ -94,7 +95,7 @@
     }
 }
 
-entry_heartbeat_answer leader_handover::answer(const entry_heartbeat& from)
+entry_heartbeat_answer leader_handover::answer(const entry_heartbeat& heartbeat)
 {
     entry_heartbeat_answer answer{.epoch = leader_election_.newest_epoch(),
                                   .holder = leader_election_.leader(),
@@ -102,9 +103,9 @@
     if (answer.holds)
     {
         const time_point now = boot_clock::now();
-        entries_.note(from, now);
-        answer.rank = entries_.rank(from.address, now);
-        answer.peers = entries_.peers_of(from, now);
+        entries_.note(heartbeat, now);
+        answer.rank = entries_.rank(heartbeat.address, now);
+        answer.peers = entries_.peers_of(heartbeat, now);
     }
     return answer;
 }
--- a/packages/daemon/src/leader_handover.hpp
+++ b/packages/daemon/src/leader_handover.hpp
@@ -22,13 +22,13 @@
     /// An entry that was asked says what came of it.
     void on_result(const take_over_result& result);
     /// The answer to an entry's heartbeat.
-    entry_heartbeat_answer answer(const entry_heartbeat& from);
+    entry_heartbeat_answer answer(const entry_heartbeat& heartbeat);
     /// A new office begins: nobody has been heard.
     void begin();
 
 private:
     [[nodiscard]] leader_state state(time_point now, bool stopping) const;
-    void ask(const handover_target& what, time_point now);
+    void ask(const handover_target& target, time_point now);
 
     process_context& process_;
     const platform::store_client& store_;
--- a/packages/daemon/src/leader_heartbeat.cpp
+++ b/packages/daemon/src/leader_heartbeat.cpp
@@ -12,13 +12,13 @@
 constexpr duration heartbeat_interval = std::chrono::milliseconds(2000);
 // A holder answers within milliseconds; a crowded thin link takes longer.
 constexpr duration heartbeat_timeout = std::chrono::milliseconds(400);
-constexpr duration retry_pause = std::chrono::milliseconds(150);
+constexpr duration retry_delay = std::chrono::milliseconds(150);
 // One lost heartbeat is not rare; a second one is news.
-constexpr std::size_t lost_after = 2;
+constexpr std::size_t failures_before_recheck = 2;
 // All entries meet a new holder, which is busy then.
 constexpr int max_delay_ms = 300;
 
-duration some_delay()
+duration random_delay()
 {
     static std::minstd_rand random{std::random_device{}()};
     return std::chrono::milliseconds(
@@ -34,7 +34,7 @@
 {
 }
 
-bool leader_heartbeat::tells_changes(time_point now) const
+bool leader_heartbeat::is_operator_change_fresh(time_point now) const
 {
     return operator_change_ > 0 &&
            now - answered_at_ < heartbeat_interval + heartbeat_timeout;
@@ -44,17 +44,17 @@
 {
     if (leader_election_.is_leader())
     {
-        asked_.clear();
+        target_leader_.clear();
         return;
     }
     if (!leader_election_.leader().empty() &&
-        leader_election_.leader() != asked_)
+        leader_election_.leader() != target_leader_)
     {
-        asked_ = leader_election_.leader();
+        target_leader_ = leader_election_.leader();
         failures_ = 0;
-        next_ = now + some_delay();
+        next_heartbeat_at_ = now + random_delay();
     }
-    if (busy_ || now < next_)
+    if (busy_ || now < next_heartbeat_at_)
     {
         return;
     }
@@ -68,15 +68,15 @@
 // Every other time the holder, also while it does not answer: it may be back.
 std::string leader_heartbeat::next_target()
 {
-    const std::string own = announced_address(process_.from);
+    const std::string own = announced_address(process_.settings);
     if (!leader_election_.leader().empty() && failures_ % 2 == 0)
     {
         return leader_election_.leader();
     }
-    const auto& others = peers_.empty() ? process_.from.entries : peers_;
+    const auto& others = peers_.empty() ? process_.settings.entries : peers_;
     for (std::size_t tried = 0; tried < others.size(); ++tried)
     {
-        const std::string& one = others[++others_ % others.size()];
+        const std::string& one = others[++next_peer_ % others.size()];
         if (one != own)
         {
             return one;
@@ -85,18 +85,19 @@
     return leader_election_.leader();
 }
 
-void leader_heartbeat::send(const std::string& to, time_point now)
+void leader_heartbeat::send(const std::string& target, time_point now)
 {
     busy_ = true;
-    const entry_heartbeat what{.address = announced_address(process_.from),
-                               .data_centre = process_.from.data_centre,
-                               .processors = process_.from.processors,
-                               .store_away = store_.is_unavailable()};
+    const entry_heartbeat heartbeat{
+        .address = announced_address(process_.settings),
+        .data_centre = process_.settings.data_centre,
+        .processors = process_.settings.processors,
+        .store_away = store_.is_unavailable()};
     process_.client.send(
         {.method = "POST",
-         .url = "http://" + to + wire::rpc_path,
+         .url = "http://" + target + wire::rpc_path,
          .headers = {{"content-type", "application/json"}},
-         .body = make_body(rpc_request(entry_heartbeat_method, what)),
+         .body = make_body(rpc_request(entry_heartbeat_method, heartbeat)),
          .timeout = heartbeat_timeout},
         process_.on_control<http_result>([this, now](const http_result& result)
                                          { on_answer(result, now); }));
@@ -108,7 +109,7 @@
     const auto answer = rpc_answer_of<entry_heartbeat_answer>(result);
     if (answer)
     {
-        leader_election_.told(answer->epoch, answer->holder);
+        leader_election_.observe_leader(answer->epoch, answer->holder);
     }
     if (answer && answer->holds)
     {
@@ -117,14 +118,14 @@
         peers_ = answer->peers;
         operator_change_ = answer->operator_change;
         rank_ = answer->rank;
-        next_ = sent + heartbeat_interval;
+        next_heartbeat_at_ = sent + heartbeat_interval;
         return;
     }
-    if (++failures_ == lost_after)
+    if (++failures_ == failures_before_recheck)
     {
         leader_election_.recheck_leader();
     }
-    next_ = boot_clock::now() + retry_pause;
+    next_heartbeat_at_ = boot_clock::now() + retry_delay;
 }
 
 } // namespace springstair
--- a/packages/daemon/src/leader_heartbeat.hpp
+++ b/packages/daemon/src/leader_heartbeat.hpp
@@ -28,14 +28,14 @@
     }
     /// Whether the holder's word of the operator's changes is fresh: it
     /// answered the newest heartbeat, and the store had answered it.
-    [[nodiscard]] bool tells_changes(time_point now) const;
+    [[nodiscard]] bool is_operator_change_fresh(time_point now) const;
     /// The operator's newest change that the holder has told.
     [[nodiscard]] std::int64_t operator_change() const noexcept
     {
         return operator_change_;
     }
     /// When this entry claims an office that is free.
-    [[nodiscard]] claim_schedule turn() const
+    [[nodiscard]] claim_schedule own_claim_schedule() const
     {
         return claim_schedule::of(answered_at_ != time_point{}, rank_);
     }
@@ -47,17 +47,17 @@
 
 private:
     [[nodiscard]] std::string next_target();
-    void send(const std::string& to, time_point now);
+    void send(const std::string& target, time_point now);
     void on_answer(const http_result& result, time_point sent);
 
     process_context& process_;
     platform::store_client& store_;
     leader_election& leader_election_;
-    std::string asked_; ///< where the newest heartbeat went
+    std::string target_leader_; ///< where the newest heartbeat went
     bool busy_ = false;
-    std::size_t failures_ = 0; ///< in a row
-    std::size_t others_ = 0;   ///< counts, to ask other entries in turn
-    time_point next_{};
+    std::size_t failures_ = 0;  ///< in a row
+    std::size_t next_peer_ = 0; ///< counts, to ask other entries in turn
+    time_point next_heartbeat_at_{};
     time_point answered_at_{};
     std::vector<std::string> peers_;
     std::int64_t operator_change_ = 0;
--- a/packages/daemon/src/leader_watch.cpp
+++ b/packages/daemon/src/leader_watch.cpp
@@ -11,7 +11,7 @@
 using platform::store_result;
 using platform::store_status;
 
-constexpr duration pause = std::chrono::milliseconds(200);
+constexpr duration retry_delay = std::chrono::milliseconds(200);
 
 } // namespace
 
@@ -25,41 +25,42 @@
 
 void leader_watch::tick(time_point now)
 {
-    if (busy_ || now < next_)
+    if (busy_ || now < next_call_at_)
     {
         return;
     }
-    watched_revision_ == 0 ? look() : watch();
+    watched_revision_ == 0 ? read_key() : watch();
 }
 
 void leader_watch::refresh()
 {
-    ++turn_;
+    ++generation_;
     busy_ = false;
     watched_revision_ = 0;
 }
 
-void leader_watch::look()
+void leader_watch::read_key()
 {
     busy_ = true;
-    store_.range(leader_key, {}, timeout_.value(),
-                 process_.on_control<store_result>(
-                     [this, turn = turn_](const store_result& result)
-                     {
-                         if (turn == turn_)
-                         {
-                             on_look(result);
-                         }
-                     }));
+    store_.range(
+        leader_key, {}, timeout_.value(),
+        process_.on_control<store_result>(
+            [this, generation = generation_](const store_result& result)
+            {
+                if (generation == generation_)
+                {
+                    on_key_read(result);
+                }
+            }));
 }
 
-void leader_watch::on_look(const store_result& result)
+void leader_watch::on_key_read(const store_result& result)
 {
     busy_ = false;
     if (result.status != store_status::done)
     {
         timeout_.unanswered();
-        next_ = boot_clock::now() + pause;
+        next_call_at_ = boot_clock::now() + retry_delay;
         return;
     }
     timeout_.answered(result.took);
@@ -73,15 +74,16 @@
 {
     busy_ = true;
     const time_point sent = boot_clock::now();
-    store_.watch(leader_key, watched_revision_, wait_,
-                 process_.on_control<store_result>(
-                     [this, sent, turn = turn_](const store_result& result)
-                     {
-                         if (turn == turn_)
-                         {
-                             on_watch(result, sent);
-                         }
-                     }));
+    store_.watch(
+        leader_key, watched_revision_, wait_,
+        process_.on_control<store_result>(
+            [this, sent, generation = generation_](const store_result& result)
+            {
+                if (generation == generation_)
+                {
+                    on_watch(result, sent);
+                }
+            }));
 }
 
 void leader_watch::on_watch(const store_result& result, time_point sent)
@@ -91,8 +93,9 @@
     {
         // Cut, compacted or not reached: what was missed is read anew.
         watched_revision_ = 0;
-        const bool at_once = boot_clock::now() - sent > pause;
-        next_ = boot_clock::now() + (at_once ? duration{0} : pause);
+        const bool at_once = boot_clock::now() - sent > retry_delay;
+        next_call_at_ =
+            boot_clock::now() + (at_once ? duration{0} : retry_delay);
         return;
     }
     store_answered_ = boot_clock::now();
--- a/packages/daemon/src/leader_watch.hpp
+++ b/packages/daemon/src/leader_watch.hpp
@@ -44,8 +44,8 @@
     }
 
 private:
-    void look();
-    void on_look(const platform::store_result& result);
+    void read_key();
+    void on_key_read(const platform::store_result& result);
     void watch();
     void on_watch(const platform::store_result& result, time_point sent);
 
@@ -57,8 +57,8 @@
     /// Revision to watch from; 0: look first.
     std::int64_t watched_revision_ = 0;
     bool busy_ = false;
-    std::int64_t turn_ = 0; ///< counts; ends of earlier turns are void
-    time_point next_{};
+    std::int64_t generation_ = 0; ///< counts; ends of earlier turns are void
+    time_point next_call_at_{};
     time_point store_answered_{};
 };
 
--- a/packages/daemon/src/operator_watch.cpp
+++ b/packages/daemon/src/operator_watch.cpp
@@ -18,13 +18,14 @@
 constexpr duration watch_wait = std::chrono::milliseconds(700);
 // Where another entry tells of a change that is missed.
 constexpr duration long_wait = std::chrono::seconds(20);
-constexpr duration pause = std::chrono::milliseconds(150);
+constexpr duration retry_delay = std::chrono::milliseconds(150);
 
 } // namespace
 
 operator_watch::operator_watch(process_context& process,
-                               platform::store_client& store, callbacks then)
-    : process_(process), store_(store), then_(std::move(then))
+                               platform::store_client& store,
+                               callbacks handlers)
+    : process_(process), store_(store), callbacks_(std::move(handlers))
 {
 }
 
@@ -38,17 +39,17 @@
 }
 
 // From now on nobody else tells of what a long watch does not hear.
-void operator_watch::use_long_poll(bool relies)
+void operator_watch::use_long_poll(bool enabled)
 {
-    const bool ends = long_poll_ && !relies;
-    long_poll_ = relies;
+    const bool ends = long_poll_ && !enabled;
+    long_poll_ = enabled;
     if (ends)
     {
         restart_read();
     }
 }
 
-void operator_watch::expect(std::int64_t revision)
+void operator_watch::on_remote_change(std::int64_t revision)
 {
     const bool is_read = watched_revision_ != 0;
     if (is_read && revision > watched_revision_)
@@ -60,7 +61,7 @@
 // Reads anew. A watch that is under way has its answer later; it is void.
 void operator_watch::restart_read()
 {
-    ++turn_;
+    ++generation_;
     busy_ = false;
     watched_revision_ = 0;
     page_after_.clear();
@@ -75,15 +76,16 @@
 {
     busy_ = true;
     const time_point sent = boot_clock::now();
-    store_.range(platform::operator_prefix, page_after_, timeout_.value(),
-                 process_.on_control<store_result>(
-                     [this, sent, turn = turn_](const store_result& result)
-                     {
-                         if (turn == turn_)
-                         {
-                             on_read(result, sent);
-                         }
-                     }));
+    store_.range(
+        platform::operator_prefix, page_after_, timeout_.value(),
+        process_.on_control<store_result>(
+            [this, sent, generation = generation_](const store_result& result)
+            {
+                if (generation == generation_)
+                {
+                    on_read(result, sent);
+                }
+            }));
 }
 
 void operator_watch::on_read(const store_result& result, time_point sent)
@@ -93,48 +95,48 @@
     {
         timeout_.unanswered();
         page_after_.clear();
-        next_read_ = boot_clock::now() + pause;
+        next_read_ = boot_clock::now() + retry_delay;
         return;
     }
     timeout_.answered(result.took);
     if (page_after_.empty())
     {
-        reading_since_ = result.revision;
-        reading_sent_ = sent;
-        closed_read_.clear();
+        read_revision_ = result.revision;
+        read_sent_at_ = sent;
+        closed_in_read_.clear();
     }
     for (const store_item& item : result.items)
     {
         newest_change_ = std::max(newest_change_, item.revision);
-        take_table(item);
+        apply_table(item);
         if (const auto name = platform::closed_data_centre(item.key))
         {
-            closed_read_.insert(*name);
-            note_closure(*name, true, item.revision);
+            closed_in_read_.insert(*name);
+            apply_closure(*name, true, item.revision);
         }
     }
     page_after_ = result.next_page();
     if (page_after_.empty())
     {
-        end_reading();
+        end_read();
     }
 }
 
 // What is not in a reading is gone.
-void operator_watch::end_reading()
+void operator_watch::end_read()
 {
     const std::set<std::string> before = closed_.names;
     for (const std::string& name : before)
     {
-        if (!closed_read_.contains(name))
+        if (!closed_in_read_.contains(name))
         {
-            newest_change_ = reading_since_; // at the latest
-            note_closure(name, false, reading_since_);
+            newest_change_ = read_revision_; // at the latest
+            apply_closure(name, false, read_revision_);
         }
     }
-    watched_revision_ = reading_since_;
-    fresh_at_ = reading_sent_;
-    tell_closed(reading_sent_);
+    watched_revision_ = read_revision_;
+    fresh_at_ = read_sent_at_;
+    publish_closed(read_sent_at_);
 }
 
 // ---------------------------------------------------------------------------
@@ -146,19 +148,20 @@
 {
     busy_ = true;
     const time_point sent = boot_clock::now();
-    const duration wait = long_poll_ && waiting_ < 2 ? long_wait : watch_wait;
-    ++waiting_;
-    store_.watch(
-        platform::operator_prefix, watched_revision_, wait,
-        process_.on_control<store_result>(
-            [this, sent, wait, turn = turn_](const store_result& result)
-            {
-                --waiting_;
-                if (turn == turn_)
-                {
-                    on_watch(result, sent, wait);
-                }
-            }));
+    const duration wait =
+        long_poll_ && open_watches_ < 2 ? long_wait : watch_wait;
+    ++open_watches_;
+    store_.watch(platform::operator_prefix, watched_revision_, wait,
+                 process_.on_control<store_result>(
+                     [this, sent, wait,
+                      generation = generation_](const store_result& result)
+                     {
+                         --open_watches_;
+                         if (generation == generation_)
+                         {
+                             on_watch(result, sent, wait);
+                         }
+                     }));
 }
 
 void operator_watch::on_watch(const store_result& result, time_point sent,
@@ -169,8 +172,8 @@
     if (result.status != store_status::done)
     {
         watched_revision_ = 0;
-        const bool at_once = now - sent > pause;
-        next_read_ = now + (at_once ? duration{0} : pause);
+        const bool at_once = now - sent > retry_delay;
+        next_read_ = now + (at_once ? duration{0} : retry_delay);
         return;
     }
     fresh_at_ = now;
@@ -178,26 +181,26 @@
     {
         watched_revision_ = std::max(watched_revision_, item.revision);
         newest_change_ = std::max(newest_change_, item.revision);
-        take(item);
+        apply_change(item);
     }
     // Without a change the store has waited to the end; with one, all that is
     // known of its answer's age is that it came after the call.
-    tell_closed(result.items.empty() ? std::min(now, sent + waited) : sent);
+    publish_closed(result.items.empty() ? std::min(now, sent + waited) : sent);
 }
 
-void operator_watch::take(const store_item& item)
+void operator_watch::apply_change(const store_item& item)
 {
     if (const auto name = platform::closed_data_centre(item.key))
     {
-        note_closure(*name, !item.gone, item.revision);
+        apply_closure(*name, !item.gone, item.revision);
     }
     else if (!item.gone)
     {
-        take_table(item);
+        apply_table(item);
     }
 }
 
-void operator_watch::take_table(const store_item& item)
+void operator_watch::apply_table(const store_item& item)
 {
     if (item.key != platform::configuration_key)
     {
@@ -206,16 +209,16 @@
     try
     {
         const queue_table table = platform::decode_configuration(item.value);
-        if (table.version <= version_)
+        if (table.version <= table_version_)
         {
             return;
         }
-        version_ = table.version;
+        table_version_ = table.version;
         log_event(event_id::configuration_in_force,
                   {{"version", std::to_string(table.version)},
                    {"revision", std::to_string(item.revision)},
                    {"queues", std::to_string(table.queues.size())}});
-        then_.table(table);
+        callbacks_.table(table);
     }
     catch (const document_error& error)
     {
@@ -225,8 +228,8 @@
 
 // The key alone says what is meant: an entry whose value cannot be read
 // closes its data centre, too.
-void operator_watch::note_closure(const std::string& data_centre,
-                                  bool is_closed, std::int64_t revision)
+void operator_watch::apply_closure(const std::string& data_centre,
+                                   bool is_closed, std::int64_t revision)
 {
     const bool changed = is_closed ? closed_.names.insert(data_centre).second
                                    : closed_.names.erase(data_centre) > 0;
@@ -239,10 +242,10 @@
     }
 }
 
-void operator_watch::tell_closed(time_point known_at)
+void operator_watch::publish_closed(time_point known_at)
 {
     closed_.known_at = std::max(closed_.known_at, known_at);
-    then_.closed(closed_);
+    callbacks_.closed(closed_);
 }
 
 } // namespace springstair
--- a/packages/daemon/src/operator_watch.hpp
+++ b/packages/daemon/src/operator_watch.hpp
@@ -27,13 +27,13 @@
     };
 
     operator_watch(process_context& process, platform::store_client& store,
-                   callbacks then);
+                   callbacks handlers);
 
     void tick(time_point now);
     /// Whether another entry tells of each change that this one may miss.
-    void use_long_poll(bool relies);
+    void use_long_poll(bool enabled);
     /// Another entry has heard of a change: of the store's revision.
-    void expect(std::int64_t revision);
+    void on_remote_change(std::int64_t revision);
 
     /// When the store last answered.
     [[nodiscard]] time_point fresh_at() const noexcept
@@ -49,38 +49,38 @@
 private:
     void read();
     void on_read(const platform::store_result& result, time_point sent);
-    void end_reading();
+    void end_read();
     void watch();
     void on_watch(const platform::store_result& result, time_point sent,
                   duration waited);
     void restart_read();
-    void take(const platform::store_item& item);
-    void take_table(const platform::store_item& item);
-    void note_closure(const std::string& data_centre, bool is_closed,
-                      std::int64_t revision);
-    void tell_closed(time_point known_at);
+    void apply_change(const platform::store_item& item);
+    void apply_table(const platform::store_item& item);
+    void apply_closure(const std::string& data_centre, bool is_closed,
+                       std::int64_t revision);
+    void publish_closed(time_point known_at);
 
     process_context& process_;
     platform::store_client& store_;
-    callbacks then_;
+    callbacks callbacks_;
     adaptive_timeout timeout_;
-    std::int64_t version_ = 0;
+    std::int64_t table_version_ = 0;
     /// Changes above it are watched; 0: read first.
     std::int64_t watched_revision_ = 0;
     std::int64_t newest_change_ = 0;
     bool long_poll_ = false;
     bool busy_ = false;
-    std::int64_t turn_ = 0;   ///< counts; ends of earlier turns are void
-    std::size_t waiting_ = 0; ///< watches without an answer, of any turn
+    std::int64_t generation_ = 0;  ///< counts; ends of earlier turns are void
+    std::size_t open_watches_ = 0; ///< watches without an answer, of any turn
     time_point next_read_{};
     time_point fresh_at_{};
     closed_data_centres closed_;
 
     // A reading, page by page; changes since its first page are watched.
     std::string page_after_;
-    std::int64_t reading_since_ = 0; ///< revision of its first page
-    time_point reading_sent_{};
-    std::set<std::string> closed_read_;
+    std::int64_t read_revision_ = 0; ///< revision of its first page
+    time_point read_sent_at_{};
+    std::set<std::string> closed_in_read_;
 };
 
 } // namespace springstair
--- a/packages/daemon/src/process_context.cpp
+++ b/packages/daemon/src/process_context.cpp
@@ -9,24 +9,26 @@
 {
 
 // A process has up to three servers; the rest is for calls, files and work.
-constexpr std::int64_t share_of_a_server = 4;
-constexpr std::int64_t kb_a_connection = 32; // the HTTP library's memory
-constexpr std::int64_t kb_a_mb = 1024;
+constexpr std::int64_t server_share_divisor = 4;
+constexpr std::int64_t kb_per_connection = 32; // the HTTP library's memory
+constexpr std::int64_t kb_per_mb = 1024;
 constexpr std::int64_t max_connections = 4096;
 
-std::int64_t connections_of_a_server(const job_settings& of)
+std::int64_t max_connections_per_server(const job_settings& settings)
 {
-    std::int64_t most = max_connections;
-    if (of.memory_mb > 0)
+    std::int64_t max_per_server = max_connections;
+    if (settings.memory_mb > 0)
     {
-        most = std::min(most, of.memory_mb * kb_a_mb /
-                                  (share_of_a_server * kb_a_connection));
+        max_per_server = std::min(
+            max_per_server, settings.memory_mb * kb_per_mb /
+                                (server_share_divisor * kb_per_connection));
     }
-    if (of.descriptors > 0)
+    if (settings.descriptors > 0)
     {
-        most = std::min(most, of.descriptors / share_of_a_server);
+        max_per_server = std::min(max_per_server,
+                                  settings.descriptors / server_share_divisor);
     }
-    return std::max<std::int64_t>(most, 1);
+    return std::max<std::int64_t>(max_per_server, 1);
 }
 
 // The most that the process has held so far.
@@ -34,7 +36,7 @@
 {
     rusage used{};
     return getrusage(RUSAGE_SELF, &used) == 0
-               ? static_cast<double>(used.ru_maxrss) / kb_a_mb
+               ? static_cast<double>(used.ru_maxrss) / kb_per_mb
                : 0;
 }
 
@@ -53,7 +55,7 @@
     };
 }
 
-std::int64_t day_milliseconds()
+std::int64_t unix_milliseconds()
 {
     const auto since = std::chrono::system_clock::now().time_since_epoch();
     return std::chrono::duration_cast<std::chrono::milliseconds>(since).count();
@@ -62,13 +64,13 @@
 std::unique_ptr<http_server> serve_metrics(process_context& process,
                                            std::vector<named_server> servers)
 {
-    const std::string& endpoint = process.from.metrics;
+    const std::string& endpoint = process.settings.metrics;
     if (endpoint.empty())
     {
         return nullptr;
     }
     return std::make_unique<http_server>(
-        server_at(endpoint, process.from),
+        server_options(endpoint, process.settings),
         [&process, servers = std::move(servers)](const http_request& request,
                                                  http_responder responder)
         {
@@ -77,54 +79,55 @@
                 answer_not_found(responder);
                 return;
             }
-            metrics& numbers = process.numbers;
-            numbers.set("log_lines_dropped",
-                        static_cast<double>(dropped_log_lines()));
-            numbers.set(
+            metrics& registry = process.process_metrics;
+            registry.set("log_lines_dropped",
+                         static_cast<double>(dropped_log_lines()));
+            registry.set(
                 "silent_connections",
                 static_cast<double>(process.client.silent_connections()));
-            numbers.set("connections_to_peers",
-                        static_cast<double>(process.client.connections()));
+            registry.set("connections_to_peers",
+                         static_cast<double>(process.client.connections()));
             for (const named_server& one : servers)
             {
-                numbers.set("connections_of_" + std::string(one.name),
-                            static_cast<double>(one.server->connections()));
+                registry.set("connections_of_" + std::string(one.name),
+                             static_cast<double>(one.server->connections()));
             }
-            numbers.set("peak_memory_mb", peak_memory_mb());
-            answer_metrics(responder, numbers);
+            registry.set("peak_memory_mb", peak_memory_mb());
+            answer_metrics(responder, registry);
         });
 }
 
-http_server_options server_at(const std::string& endpoint,
-                              const job_settings& of)
+http_server_options server_options(const std::string& endpoint,
+                                   const job_settings& settings)
 {
     const std::size_t colon = endpoint.find(':');
     return {.address = endpoint.substr(0, colon),
             .port = static_cast<std::uint16_t>(
                 std::stoul(endpoint.substr(colon + 1))),
             .threads = 1,
-            .max_connections =
-                static_cast<unsigned int>(connections_of_a_server(of))};
+            .max_connections = static_cast<unsigned int>(
+                max_connections_per_server(settings))};
 }
 
-void log_bounds(const job_settings& of)
+void log_process_limits(const job_settings& settings)
 {
     log_event(event_id::process_bounds,
-              {{"memory_mb", std::to_string(of.memory_mb)},
-               {"descriptors", std::to_string(of.descriptors)},
-               {"processors", std::to_string(of.processors)},
+              {{"memory_mb", std::to_string(settings.memory_mb)},
+               {"descriptors", std::to_string(settings.descriptors)},
+               {"processors", std::to_string(settings.processors)},
                {"connections_a_server",
-                std::to_string(connections_of_a_server(of))}});
+                std::to_string(max_connections_per_server(settings))}});
 }
 
-std::string internal_address(const job_settings& of)
+std::string internal_address(const job_settings& settings)
 {
-    return of.address + ":" + std::to_string(of.internal_port);
+    return settings.address + ":" + std::to_string(settings.internal_port);
 }
 
-std::string announced_address(const job_settings& of)
+std::string announced_address(const job_settings& settings)
 {
-    return of.announced_address + ":" + std::to_string(of.internal_port);
+    return settings.announced_address + ":" +
+           std::to_string(settings.internal_port);
 }
 
 } // namespace springstair
--- a/packages/daemon/src/process_context.hpp
+++ b/packages/daemon/src/process_context.hpp
@@ -22,15 +22,16 @@
 /// traffic threads and calls only post work to it.
 struct process_context
 {
-    const job_settings& from;
+    const job_settings& settings;
     const std::atomic<bool>& drain;
-    supervisor parts;
+    supervisor threads;
     mailbox<control_work> work;
-    metrics numbers;
+    metrics process_metrics;
     http_client client;
 
-    process_context(const job_settings& settings, const std::atomic<bool>& flag)
-        : from(settings), drain(flag)
+    process_context(const job_settings& validated,
+                    const std::atomic<bool>& flag)
+        : settings(validated), drain(flag)
     {
     }
 
@@ -42,7 +43,7 @@
     template <class Tick>
     void run_control(duration step, Tick tick)
     {
-        while (!parts.stopping())
+        while (!threads.stopping())
         {
             for (const control_work& one : work.drain(step))
             {
@@ -65,7 +66,7 @@
 };
 
 /// The time of day, in milliseconds since 1970. It may jump.
-std::int64_t day_milliseconds();
+std::int64_t unix_milliseconds();
 
 /// A server and the name under which its connections are counted.
 struct named_server
@@ -79,17 +80,17 @@
                                            std::vector<named_server> servers);
 
 /// A server's options at an endpoint, within what the process may use.
-http_server_options server_at(const std::string& endpoint,
-                              const job_settings& of);
+http_server_options server_options(const std::string& endpoint,
+                                   const job_settings& settings);
 
 /// Tells what the process may use and what its servers take of it.
-void log_bounds(const job_settings& of);
+void log_process_limits(const job_settings& settings);
 
 /// Where this process listens for others.
-std::string internal_address(const job_settings& of);
+std::string internal_address(const job_settings& settings);
 
 /// Where others reach it.
-std::string announced_address(const job_settings& of);
+std::string announced_address(const job_settings& settings);
 
 /// How long to wait for the store: it answers within milliseconds, but there
 /// are times when it is a hundred times slower, and times when answers are
@@ -99,15 +100,15 @@
 public:
     /// Ample beside the store's usual few milliseconds, short beside a
     /// caller's patience of seconds.
-    static constexpr duration least = std::chrono::milliseconds(250);
+    static constexpr duration default_min = std::chrono::milliseconds(250);
     static constexpr duration default_max = std::chrono::milliseconds(1500);
     static constexpr int factor = 4; ///< of the newest answer's time
 
     /// @param most how long to wait in the end, if nothing is answered
     /// @param begin how long to wait at first, and at least
-    explicit adaptive_timeout(duration most = default_max,
-                              duration begin = least)
-        : most_(most), least_(begin), value_(begin)
+    explicit adaptive_timeout(duration max = default_max,
+                              duration min = default_min)
+        : max_(max), min_(min), value_(min)
     {
     }
 
@@ -117,16 +118,16 @@
     }
     void answered(duration took) noexcept
     {
-        value_ = std::clamp<duration>(took * factor, least_, most_);
+        value_ = std::clamp<duration>(took * factor, min_, max_);
     }
     void unanswered() noexcept
     {
-        value_ = std::min<duration>(value_ * 2, most_);
+        value_ = std::min<duration>(value_ * 2, max_);
     }
 
 private:
-    duration most_;
-    duration least_;
+    duration max_;
+    duration min_;
     duration value_;
 };
 
