--- a/packages/daemon/src/job_guard_role.cpp
+++ b/packages/daemon/src/job_guard_role.cpp
@@ -154,7 +154,7 @@
         log_event(event_id::worker_lost,
                   {{"life", before.text()},
                    {"next", reconciler_.worker().executor.text()},
-                   {"why", "its address is another life's"}});
+                   {"why", "its address belongs to another incarnation"}});
         std::erase_if(executors_,
                       [&](const auto& one) { return one.first == before; });
     }
--- a/packages/daemon/src/job_request_forwarding.cpp
+++ b/packages/daemon/src/job_request_forwarding.cpp
@@ -191,7 +191,8 @@
     if (store_unavailable_since_ && !is_shown)
     {
         answer(request, platform::not_taken_answer(
-                            caller_retry_after, "the store is away here, too"));
+                            caller_retry_after,
+                            "the store is unavailable here as well"));
         return;
     }
     if (incoming.method == "POST")
--- a/packages/daemon/src/job_request_handler.cpp
+++ b/packages/daemon/src/job_request_handler.cpp
@@ -320,7 +320,7 @@
             {
                 answer(request,
                        platform::not_taken_answer(caller_retry_after,
-                                                  "the holder is not known"));
+                                                  "the leader is not known"));
                 return;
             }
             answer(request, platform::count_answer(last_counts_[queue]));
--- a/packages/daemon/src/job_request_submission.cpp
+++ b/packages/daemon/src/job_request_submission.cpp
@@ -146,7 +146,7 @@
                                    "unknown");
     log_event(event_id::job_not_taken,
               {{"job", definition.id},
-               {"why", "the store gave no answer; it may have the job"},
+               {"why", "the store gave no answer; the job may be stored"},
                {"tries", std::to_string(request->tries)}});
     answer(request, platform::unknown_answer("the store gave no answer"));
 }
--- a/packages/daemon/src/job_scheduler.cpp
+++ b/packages/daemon/src/job_scheduler.cpp
@@ -119,7 +119,7 @@
             end_batch(*revision, sent);
             return;
         }
-        leader_election_.step_down("a write found another holder");
+        leader_election_.step_down("a fenced write conflicted");
         return;
     case store_status::refused:
     case store_status::absent:
--- a/packages/daemon/src/job_store.cpp
+++ b/packages/daemon/src/job_store.cpp
@@ -46,7 +46,8 @@
     }
     catch (const json::exception& error)
     {
-        throw document_error(std::string("a stored job: ") + error.what());
+        throw document_error(std::string("invalid stored job: ") +
+                             error.what());
     }
 }
 
--- a/packages/daemon/src/leader_election.cpp
+++ b/packages/daemon/src/leader_election.cpp
@@ -112,7 +112,7 @@
         if (newer)
         {
             lose_leadership(
-                "another entry holds it",
+                "another entry is the leader",
                 {.epoch = item->revision, .holder = address_in(*item)});
         }
         else if (!item)
@@ -178,7 +178,7 @@
     }
     if (stage_ == stage::leader)
     {
-        lose_leadership("another entry tells of a newer holder",
+        lose_leadership("another entry reported a newer leader",
                         {.epoch = epoch, .holder = leader});
     }
     leader_ = leader;
@@ -344,7 +344,7 @@
     }
     if (result.status == store_status::absent)
     {
-        lose_leadership("its lease is over");
+        lose_leadership("the lease expired");
         return;
     }
     if (result.status != store_status::done)
@@ -362,29 +362,29 @@
     }
     checking_ = true;
     const time_point sent = boot_clock::now();
-    store_.read(leader_key, timeout_.value(),
-                process_.on_control<store_result>(
-                    [this, sent](const store_result& result)
-                    {
-                        checking_ = false;
-                        note_answer(result);
-                        if (stage_ != stage::leader)
-                        {
-                            return;
-                        }
-                        const bool ours =
-                            !result.items.empty() &&
-                            result.items.front().revision == epoch_;
-                        if (result.status == store_status::done && ours)
-                        {
-                            confirm_leadership(sent);
-                        }
-                        else if (result.status == store_status::done ||
-                                 result.status == store_status::absent)
-                        {
-                            lose_leadership("its key is gone");
-                        }
-                    }));
+    store_.read(
+        leader_key, timeout_.value(),
+        process_.on_control<store_result>(
+            [this, sent](const store_result& result)
+            {
+                checking_ = false;
+                note_answer(result);
+                if (stage_ != stage::leader)
+                {
+                    return;
+                }
+                const bool ours = !result.items.empty() &&
+                                  result.items.front().revision == epoch_;
+                if (result.status == store_status::done && ours)
+                {
+                    confirm_leadership(sent);
+                }
+                else if (result.status == store_status::done ||
+                         result.status == store_status::absent)
+                {
+                    lose_leadership("the leader key was deleted or replaced");
+                }
+            }));
 }
 
 void leader_election::confirm_leadership(time_point sent)
@@ -429,7 +429,7 @@
         return;
     }
     log_event(event_id::office_lost,
-              {{"epoch", std::to_string(epoch_)}, {"why", "a planned stop"}});
+              {{"epoch", std::to_string(epoch_)}, {"why", "planned stop"}});
     // The key goes with its lease, and another entry takes over at once.
     store_.end_lease(lease_, timeout_.value(), [](const store_result&) {});
     leader_.clear();
