--- a/packages/daemon/src/job_entry_role.cpp
+++ b/packages/daemon/src/job_entry_role.cpp
@@ -1,4 +1,4 @@
-// The parts of an entry of the job system.
+// An entry of the job system.
 
 #include "job_request_handler.hpp"
 #include "job_scheduler.hpp"
@@ -18,24 +18,26 @@
 
 constexpr int ready_status = 200;
 constexpr int unready_status = 503;
-// Work arrives through the mailbox at once; this is for timers only.
+// Resolution of timers only: the mailbox delivers work without delay.
 constexpr duration timer_step = std::chrono::milliseconds(10);
-// An entry that the store has not answered for so long sends callers to
-// others: two missed checks of the balancer come on top.
+// An entry without an answer from the store or the leader for longer than this
+// plus 5 s (see is_ready) is not ready. The load balancer then needs two failed
+// checks to send callers to other entries.
 constexpr duration store_outage_tolerance = std::chrono::milliseconds(1500);
-// The holder watches the operator's entries for 0.7 s at a time; its word on
-// them is as fresh as that.
+// Maximum age of the leader's information on the operator's changes: its watch
+// returns after 0.7 s.
 constexpr duration leader_info_max_age = std::chrono::milliseconds(1500);
-// An entry hears of a change that its own watch misses from the holder: at the
-// latest after a second in which watches are deaf, a watch and a heartbeat.
+// Time within which the leader reports a change that an entry's own watch
+// misses: a second in which watches report nothing, plus a watch and a
+// heartbeat.
 constexpr duration notified_within = std::chrono::milliseconds(4000);
-// After a planned stop began, the balancer takes up to two checks, a second
+// After draining begins, the load balancer needs up to two checks, a second
 // apart, to send new connections elsewhere.
 constexpr duration balancer_notice = std::chrono::milliseconds(2600);
-// An entry that is asked to take the office has it after some tens of
-// milliseconds; two may be asked.
+// A requested successor is elected after some tens of milliseconds; there is
+// time to request two.
 constexpr duration handover_timeout = std::chrono::milliseconds(1000);
-// Before the grace ends, the process has to be gone.
+// The process exits this long before the grace period ends.
 constexpr duration grace_margin = std::chrono::milliseconds(700);
 
 class job_entry_control
@@ -191,7 +193,7 @@
         operator_.tick(now);
     }
 
-    // Who asked for it may be cut off from the store, or about to stop.
+    // The requester may be disconnected from the store, or draining.
     void send_takeover_result(const std::string& requester, std::int64_t epoch)
     {
         const take_over_result result{
@@ -202,7 +204,7 @@
              .headers = {{"content-type", "application/json"}},
              .body = make_body(rpc_request(took_over_method, result)),
              .timeout = leader_timeout},
-            [](const http_result&) {}); // the key tells it, too
+            [](const http_result&) {}); // the key shows it as well
     }
 
     void begin_drain(time_point now)
@@ -212,8 +214,8 @@
                   {{"open", std::to_string(job_request_handler_.open())}});
     }
 
-    // Until another entry has taken it, jobs are served here. If none does,
-    // the office is free for whoever comes.
+    // Remains the leader until a successor is elected. If none is elected in
+    // time, resigns, and any entry may claim leadership.
     void resign_leadership(time_point now)
     {
         if (!leader_election_.is_leader() ||
--- a/packages/daemon/src/job_guard_role.cpp
+++ b/packages/daemon/src/job_guard_role.cpp
@@ -1,4 +1,4 @@
-// The parts of a guard of the job system.
+// A guard of the job system.
 
 #include "leader_watch.hpp"
 
@@ -17,17 +17,17 @@
 {
 
 constexpr duration timer_step = std::chrono::milliseconds(20);
-// Without news, the holder hears from a guard so often; its answer renews
-// the permit.
+// Interval between reports without changes; the answer renews the lease grant.
 constexpr duration report_interval = std::chrono::milliseconds(500);
-// While ends wait to be acknowledged: ends are gathered for a write to the
-// store, and new ones are told at once and bring the answer too.
+// Interval between reports while ends are unacknowledged. The leader batches
+// ends for a write to the store; new ends are reported at once, and the answer
+// to that report acknowledges earlier ends as well.
 constexpr duration ends_report_interval = std::chrono::milliseconds(120);
 constexpr duration report_timeout = std::chrono::milliseconds(700);
 constexpr duration report_retry = std::chrono::milliseconds(120);
-// Ends within this time travel in one report.
+// Ends within this time are batched into one report.
 constexpr duration min_report_interval = std::chrono::milliseconds(8);
-// The key is watched only while no holder answers.
+// The leader's key is watched only while no leader answers.
 constexpr duration leader_watch_wait = std::chrono::seconds(2);
 constexpr int guard_incarnation_bytes = 6;
 
@@ -80,11 +80,11 @@
     }
 
 private:
-    // What the heartbeats of one life of the executor said.
+    // Content of the heartbeats of one incarnation of the executor.
     struct executor_contact
     {
         std::string address;
-        std::int64_t sequence = -1; ///< none yet
+        std::int64_t sequence = -1; ///< -1: none received
     };
 
     // The executor -----------------------------------------------------------
@@ -116,7 +116,8 @@
         arrival.responder->respond(platform::heartbeat_answer());
     }
 
-    // Numbers order the heartbeats of one life; the keeper orders lives.
+    // Sequence numbers order the heartbeats of one incarnation; the reconciler
+    // orders incarnations.
     void on_heartbeat(const platform::worker_heartbeat& heartbeat)
     {
         const executor_incarnation& executor = heartbeat.worker.executor;
@@ -233,7 +234,7 @@
                       { on_polled(poll, result, sent); });
     }
 
-    // The holder -------------------------------------------------------------
+    // The leader -------------------------------------------------------------
 
     void on_leader(const std::optional<platform::store_item>& item)
     {
@@ -387,7 +388,7 @@
     std::map<executor_incarnation, executor_contact> executors_;
     std::int64_t report_sequence_ = 0;
     bool reporting_ = false;
-    bool is_watching_ = false; ///< no holder answers
+    bool is_watching_ = false; ///< the leader's key, as no leader answers
     time_point next_report_{};
 };
 
--- a/packages/daemon/src/job_request_forwarding.cpp
+++ b/packages/daemon/src/job_request_forwarding.cpp
@@ -1,5 +1,5 @@
-// What an entry passes on to others while the store gives no service here, and
-// what others pass on to it.
+// Requests that an entry forwards to others while the store is unavailable to
+// it, and requests forwarded by others.
 
 #include "job_request_handler.hpp"
 
@@ -15,18 +15,19 @@
 using platform::store_result;
 using platform::store_status;
 
-// Another entry writes within milliseconds unless the store is away there too.
-// Less the answer's margin, 600 ms hold its first try (250 ms), the pause (40)
-// and a second one. A store that needs longer than that second one would have
-// answered the second try here, which had 500 ms. With the tries here (250 + 40
-// + 500) a caller learns of a silent store 1.4 s after it asked.
+// Another entry writes within milliseconds unless the store is unavailable to
+// it as well. Less answer_margin, 600 ms remain for its first try (250 ms), the
+// retry delay (40 ms) and a second try. A store too slow for that second try
+// would have answered this entry's second try, whose timeout is 500 ms.
+// Together with the tries of this entry (250 + 40 + 500 ms), a caller is
+// informed of an unresponsive store 1.4 s after its request.
 constexpr duration forward_timeout = std::chrono::milliseconds(850);
 constexpr duration probe_interval = std::chrono::milliseconds(250);
 constexpr duration probe_timeout = std::chrono::milliseconds(600);
-// Of the entries that could help, so many are asked for one request: each of
-// them says within milliseconds that it cannot, or is not reached.
+// Maximum number of entries that one request is forwarded to. An entry that
+// cannot serve it refuses within milliseconds, or is unreachable.
 constexpr std::size_t max_peers_per_request = 4;
-// An entry that could not help is passed over for so long.
+// No request is forwarded to an entry for this time after it failed.
 constexpr duration failed_peer_backoff = std::chrono::seconds(2);
 constexpr int ok_status = 200;
 constexpr int gone_status = 410;
@@ -55,8 +56,8 @@
 
 } // namespace
 
-// The holder reaches the store, or gives its office up; then those that it
-// told of, then those of the settings.
+// The leader first, since it reaches the store or resigns; then the peers that
+// it reported; then the entries in the settings.
 std::string
 job_request_handler::next_forward_target(const open_request& request) const
 {
@@ -140,8 +141,8 @@
     on_forward_failed();
 }
 
-// What another entry can do in place of this one. If none can, it is done here
-// once the store is back.
+// Forwards a request to another entry. If none can serve it, retries here after
+// a delay.
 void job_request_handler::forward_or_retry(const char* method,
                                            const std::string& id,
                                            const request_ptr& request,
@@ -158,7 +159,7 @@
 }
 
 // ---------------------------------------------------------------------------
-// For others
+// Requests from other entries
 // ---------------------------------------------------------------------------
 
 void job_request_handler::on_forwarded(const http_arrival& arrival)
@@ -207,7 +208,7 @@
 // The store
 // ---------------------------------------------------------------------------
 
-// Finds out whether the store is back without a caller's request at stake.
+// Detects the end of a store outage without risking a caller's request.
 void job_request_handler::probe(time_point now)
 {
     if (!store_unavailable_since_ || probing_ || now < next_probe_)
@@ -225,7 +226,7 @@
                     }));
 }
 
-// One thing is known of the store: whether it answers this process.
+// Tracks whether the store is available to this process.
 void job_request_handler::record_store_result(const store_result& result)
 {
     const bool unavailable = result.status == store_status::unknown ||
--- a/packages/daemon/src/job_request_handler.cpp
+++ b/packages/daemon/src/job_request_handler.cpp
@@ -1,4 +1,5 @@
-// What callers are answered; what they submit is in job_desk_submitting.cpp.
+// Requests to show, cancel and count jobs. job_request_submission.cpp has
+// submissions.
 
 #include "job_request_handler.hpp"
 
@@ -190,7 +191,7 @@
     show_progress(id, cancelled, request);
 }
 
-// A job that ended before its cancellation came keeps its state.
+// A job that ended before it was cancelled keeps its final state.
 void job_request_handler::show_progress(const std::string& id, bool cancelled,
                                         const request_ptr& request)
 {
--- a/packages/daemon/src/job_request_handler.hpp
+++ b/packages/daemon/src/job_request_handler.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Callers' requests at one entry.
+// Callers' requests to an entry.
 
 #include "job_scheduler.hpp"
 #include "leader_heartbeat.hpp"
@@ -12,19 +12,21 @@
 namespace springstair
 {
 
-/// Where an entry takes what another one cannot do: jobs to write, and below
-/// it, by their ids, jobs to show (GET) or to cancel (DELETE).
+/// Path for requests forwarded by other entries: submit a job (POST), and with
+/// the job's id appended, show it (GET) or cancel it (DELETE).
 inline constexpr std::string_view forward_path = "/internal/jobs";
 
-/// Before the caller's own time is over, so that the answer still arrives.
+/// Time between the handler's deadline and the caller's timeout, so that the
+/// answer arrives in time.
 inline constexpr duration answer_margin = std::chrono::milliseconds(250);
-/// When a caller whose request was not taken may come back.
+/// Retry delay that callers whose request was not accepted are given.
 inline constexpr duration caller_retry_after = std::chrono::seconds(1);
-/// Another entry that says nothing for so long is passed over.
+/// Timeout of calls to the leader and of connections to other entries.
 inline constexpr duration leader_timeout = std::chrono::milliseconds(250);
 
-/// Takes callers' requests. Any entry accepts a job by writing it to the
-/// store; what became of it is asked of the holder, or read from the store.
+/// Handles callers' requests. Any entry accepts a job by writing it to the
+/// store. The state of a job is queried from the leader, or read from the
+/// store.
 class job_request_handler
 {
 public:
@@ -34,11 +36,11 @@
 
     void set_table(const queue_table& table);
     void on_request(const http_arrival& arrival);
-    /// A request that another entry took but cannot serve.
+    /// A request forwarded by another entry that cannot serve it.
     void on_forwarded(const http_arrival& arrival);
     void tick(time_point now);
 
-    /// Requests without an answer yet.
+    /// Number of requests without an answer.
     [[nodiscard]] std::int64_t open() const noexcept
     {
         return open_;
@@ -47,9 +49,10 @@
     {
         return table_;
     }
-    /// What the holder knows of a job, for another entry.
+    /// The leader's answer to another entry's query for the state of a job.
     [[nodiscard]] json show_for_peer(const json& message) const;
-    /// How many jobs of a queue wait, for another entry.
+    /// The leader's answer to another entry's query for the number of waiting
+    /// jobs in a queue.
     [[nodiscard]] json count_for_peer(const json& message) const;
 
 private:
@@ -57,17 +60,16 @@
     {
         std::shared_ptr<http_responder> responder;
         time_point arrived;
-        time_point deadline;         ///< then the caller waits no longer
-        bool may_be_written = false; ///< some write got no answer
+        time_point deadline;         ///< for the answer
+        bool may_be_written = false; ///< a write's outcome is unknown
         std::int64_t tries = 0;
-        std::int64_t unanswered_tries = 0; ///< tries that the store left so
-        bool forwarded = false; ///< another entry has tried, or asks us
-        std::vector<std::string>
-            tried_peers{}; ///< entries that it was passed on to
+        std::int64_t unanswered_tries = 0; ///< by the store
+        bool forwarded = false;            ///< to another entry, or from one
+        std::vector<std::string> tried_peers{}; ///< forwarded to these
     };
     using request_ptr = std::shared_ptr<open_request>;
 
-    /// What another entry is to do.
+    /// A request to forward to another entry.
     struct forwarded_request
     {
         std::string method;
@@ -103,7 +105,7 @@
                         const platform::store_result& result);
     void write_cancellation(const std::string& id, const request_ptr& request);
 
-    // Passing requests on while the store gives no service here.
+    // Forwarding while the store is unavailable to this entry.
     void forward_request(const forwarded_request& forwarded,
                          const request_ptr& request,
                          std::function<void()> on_forward_failed);
@@ -120,7 +122,8 @@
                           std::function<void()> retry_here);
     void probe(time_point now);
 
-    /// Runs something later, or answers that the time is over.
+    /// Runs @p action after a delay, or answers that the request failed if its
+    /// deadline is before that.
     void retry_later(const request_ptr& request, std::function<void()> action);
     void answer(const request_ptr& request, http_response response);
     void query_leader(const char* method, const json& message,
@@ -140,11 +143,12 @@
     const leader_heartbeat& leader_heartbeat_;
     queue_table table_;
     adaptive_timeout timeout_;
-    /// Since when the store has given no answer here; nothing while it does.
+    /// Since when the store has been unavailable to this entry, if it is.
     std::optional<time_point> store_unavailable_since_;
-    bool probing_ = false; ///< a read finds out whether it is back
+    bool probing_ = false; ///< a probe of the store is in flight
     time_point next_probe_{};
-    /// Entries that could not help, and when they last could not.
+    /// Entries that could not serve a forwarded request, and when they last
+    /// failed.
     std::map<std::string, time_point> failed_peers_;
     std::int64_t open_ = 0;
     std::deque<std::pair<time_point, std::function<void()>>> delayed_;
--- a/packages/daemon/src/job_request_submission.cpp
+++ b/packages/daemon/src/job_request_submission.cpp
@@ -1,4 +1,4 @@
-// How a submitted job is accepted, also while the store is away.
+// Acceptance of submitted jobs, including while the store is unavailable.
 
 #include "job_request_handler.hpp"
 
@@ -13,8 +13,8 @@
 using platform::store_result;
 using platform::store_status;
 
-// A store that is slow answers the second try, which waits twice as long. One
-// that leaves both unanswered is away here: another entry may reach it.
+// A slow store answers the second try, whose timeout is twice as long. A store
+// that answers neither is unavailable to this entry; another may reach it.
 constexpr std::int64_t max_unanswered = 2;
 } // namespace
 
@@ -30,12 +30,13 @@
     }
     job accepted = message.what;
     accepted.accepted_ms = unix_milliseconds();
-    // The store may turn away this VM only: another entry can write the job.
+    // The store may be unavailable to this VM only; another entry can then
+    // write the job.
     store_unavailable_since_ ? forward_submission(accepted, request)
                              : submit(accepted, request);
 }
 
-// Another entry writes the same job, or finds it.
+// The other entry creates the same job or finds that it exists.
 void job_request_handler::forward_submission(const job& definition,
                                              const request_ptr& request)
 {
@@ -48,7 +49,7 @@
         { fail_submission(definition, request, "the store is away"); });
 }
 
-// What may have been written somewhere must not be refused.
+// A job that may have been written must not be refused: the outcome is unknown.
 void job_request_handler::fail_submission(const job& definition,
                                           const request_ptr& request,
                                           const char* why)
@@ -84,8 +85,8 @@
                         { on_submitted(definition, request, result); }));
 }
 
-// The job is created if it is not there. A conflict shows that it is: this
-// request, or an earlier one for the same job, was done.
+// The write creates the job unless it exists. A conflict means that it exists:
+// this request, or an earlier one for the same job, was committed.
 void job_request_handler::on_submitted(const job& definition,
                                        const request_ptr& request,
                                        const store_result& result)
@@ -129,8 +130,8 @@
                 [this, definition, request] { submit(definition, request); });
 }
 
-// The job may be written here or not; written by another entry it is the same
-// job. If none can, the caller is told at once, and asks again elsewhere.
+// The write's outcome may be unknown, but another entry writes the same job. If
+// no entry can, the caller is answered at once and may retry elsewhere.
 void job_request_handler::on_store_failed(const job& definition,
                                           const request_ptr& request)
 {
@@ -151,7 +152,7 @@
     answer(request, platform::unknown_answer("the store gave no answer"));
 }
 
-// Saves the time until the holder finds the job in the store.
+// Saves the time until the leader finds the job in the store.
 void job_request_handler::notify_leader(const job& definition)
 {
     if (job_scheduler_.ready())
--- a/packages/daemon/src/job_scheduler.cpp
+++ b/packages/daemon/src/job_scheduler.cpp
@@ -1,4 +1,5 @@
-// What a holder writes, orders and tells; job_holder_reading.cpp has the rest.
+// The leader's writes, orders and metrics. job_scheduler_loading.cpp has its
+// reads.
 
 #include "job_scheduler.hpp"
 
@@ -15,20 +16,23 @@
 using platform::store_result;
 using platform::store_status;
 
-// A page is up to 1 MB, in base64: 1.1 s on the thinnest link seen (10 Mbit/s)
-// if nothing else is on it, 5.4 s on a fifth of that.
+// A page of up to 1 MB in base64 takes 1.1 s on the slowest link seen (10
+// Mbit/s) without other traffic, 5.4 s on a fifth of that bandwidth.
 constexpr duration max_page = std::chrono::milliseconds(6000);
-// A successor's knowledge may be so old; each write is a priced call.
+// Maximum age of the interference that a successor loads; each write is a
+// charged call.
 constexpr duration interference_save_interval = std::chrono::seconds(3);
-// Below any scrape's interval.
+// Shorter than any scrape interval.
 constexpr duration metrics_interval = std::chrono::seconds(1);
-// A write is answered within milliseconds; above that, and above the wait for a
-// processor that is shared.
+// Above the usual latency of a write (milliseconds) and the wait for a shared
+// processor.
 constexpr duration min_hedge_delay = std::chrono::milliseconds(100);
-// A copy is given up after this many times the wait for the next one.
+// Timeout of a write attempt, as a multiple of the hedge delay: bounds the
+// number of attempts in flight.
 constexpr int max_write_attempts_in_flight = 4;
 constexpr duration min_write_timeout = std::chrono::milliseconds(400);
-// An order is repeated by the next reports; waiting longer helps nobody.
+// Orders are repeated with the answers to the next reports, so a longer timeout
+// has no use.
 constexpr duration order_timeout = std::chrono::milliseconds(600);
 
 } // namespace
@@ -44,12 +48,12 @@
 }
 
 // ---------------------------------------------------------------------------
-// Writing
+// Commits
 // ---------------------------------------------------------------------------
 
-// A store that loses answers is not waited for: another copy of the same batch
-// follows, while those before may still be answered. Each is conditioned on
-// what the batch replaces, so one of them is done at most.
+// Hedged write, because the store may lose answers: further attempts with the
+// same batch follow while earlier ones are in flight. Each is conditioned on
+// the revisions that the batch replaces, so at most one of them takes effect.
 void job_scheduler::write()
 {
     const time_point now = boot_clock::now();
@@ -127,12 +131,12 @@
         next_attempt_at_ = boot_clock::now() + retry_delay;
         return;
     case store_status::unknown:
-        return; // the next copy is due by itself
+        return; // the next attempt is already scheduled
     }
 }
 
-// A conflict with our own earlier copy of the same batch: it was done, and
-// only its answer was lost. Gives the revision that it wrote.
+// Detects a conflict with an earlier attempt of the same batch, whose answer
+// was lost. Returns the revision that it wrote; nothing for any other conflict.
 std::optional<std::int64_t>
 job_scheduler::earlier_write_revision(const store_result& result) const
 {
@@ -160,7 +164,8 @@
     return revision;
 }
 
-// Written without a condition: a late copy only says a little less.
+// Written without a condition: if a delayed write replaces a newer one, the
+// data is only slightly outdated.
 void job_scheduler::save_interference(time_point now)
 {
     if (now < next_interference_save_)
@@ -195,7 +200,8 @@
     return answer;
 }
 
-// Otherwise they would hear of it with the answers to their next reports.
+// Without this, the guards learn of the next leader only from the answers to
+// their next reports.
 void job_scheduler::notify_guards(const leader_change& next)
 {
     if (next.holder.empty())
@@ -212,7 +218,7 @@
              .headers = {{"content-type", "application/json"}},
              .body = body,
              .timeout = order_timeout},
-            [](const http_result&) {}); // a report finds out, too
+            [](const http_result&) {}); // a report's answer names it as well
     }
 }
 
--- a/packages/daemon/src/job_scheduler.hpp
+++ b/packages/daemon/src/job_scheduler.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// The holder of all jobs: binds the scheduler's decisions to the store and
-// to the guards.
+// Connects the scheduler's decisions to the store and the guards while this
+// entry is the leader.
 
 #include "job_store.hpp"
 #include "leader_election.hpp"
@@ -15,33 +15,35 @@
 namespace springstair
 {
 
+/// Loads, schedules and commits all jobs while this entry is the leader.
 class job_scheduler
 {
 public:
     job_scheduler(process_context& process, platform::store_client& store,
                   leader_election& election);
 
-    /// The office was taken: reads all that the store keeps.
+    /// Begins a term: loads all jobs and their progress from the store.
     void begin(std::int64_t epoch);
-    /// The office was lost. The guards hear of the next holder, if it is
-    /// known.
+    /// Ends the term. Notifies the guards of the next leader, if it is known.
     void end(const leader_change& next);
     void tick(time_point now);
 
     void set_table(const queue_table& table);
     void set_closed(const closed_data_centres& closed);
-    /// A guard's report, as the internal interface carries it.
+    /// Handles a guard's report.
     report_answer report(const worker_report& incoming);
-    /// A job that this entry has just accepted or cancelled itself.
+    /// An entry accepted or cancelled a job: saves the time until the watch
+    /// reports it. Ignored while not ready().
     void job_was_accepted(const job& definition);
     void job_was_cancelled(const std::string& id);
 
-    /// Whether it holds the jobs and has read them.
+    /// Whether this entry is the leader and has loaded all jobs.
     [[nodiscard]] bool ready() const noexcept
     {
         return stage_ == stage::ready;
     }
-    /// What callers may be shown of a job; nothing if the store has to tell.
+    /// The state of a job that callers may be shown; nothing if it must be read
+    /// from the store.
     [[nodiscard]] std::optional<job_state> shown(const std::string& id) const
     {
         return core_.shown(id, boot_clock::now(),
@@ -62,10 +64,10 @@
         ready
     };
 
-    /// Before the store is called again after a call in vain.
+    /// Delay after a failed call to the store.
     static constexpr duration retry_delay = std::chrono::milliseconds(100);
 
-    // Reading what is kept.
+    // Loading stored jobs, progress and interference.
     void read_page();
     void load_interference();
     void save_interference(time_point now);
@@ -73,14 +75,14 @@
     void load_item(const platform::store_item& item);
     void adopt_all();
 
-    // Learning of new jobs.
+    // New jobs and cancellations.
     void watch();
     void on_watch(const platform::store_result& result, time_point sent);
     void apply_job_item(const platform::store_item& item);
     void reread_jobs();
     void on_jobs_reread(const platform::store_result& result);
 
-    // Writing.
+    // Commits.
     void write();
     void begin_batch(time_point now);
     void send_write_attempt(time_point now);
@@ -102,8 +104,7 @@
     leader_election& leader_election_;
     scheduler_core core_;
     stage stage_ = stage::idle;
-    std::int64_t generation_ =
-        0; ///< counts offices; ends of older calls are void
+    std::int64_t generation_ = 0; ///< older answers are stale
     adaptive_timeout timeout_;
     adaptive_timeout page_timeout_;
     time_point next_read_{};
@@ -113,16 +114,15 @@
     std::set<std::string> loaded_cancellations_;
     std::map<std::string, std::pair<job_progress, std::int64_t>>
         loaded_progress_;
-    std::int64_t jobs_revision_ = 0; ///< revision to watch jobs from
+    std::int64_t jobs_revision_ = 0; ///< to watch jobs from; 0: read first
     bool watching_ = false;
     time_point next_watch_{};
-    std::optional<commit_batch> batch_; ///< being written
-    std::int64_t batch_number_ =
-        0; ///< counts; answers to earlier ones are void
-    std::size_t write_attempts_ = 0; ///< of the batch, sent so far
-    time_point first_attempt_at_{};  ///< when it was sent
+    std::optional<commit_batch> batch_; ///< in flight
+    std::int64_t batch_number_ = 0;     ///< answers for earlier ones are stale
+    std::size_t write_attempts_ = 0;    ///< of the batch
+    time_point first_attempt_at_{};
     time_point next_attempt_at_{};
-    adaptive_timeout hedge_delay_; ///< without an answer to those before
+    adaptive_timeout hedge_delay_; ///< until the next write attempt
     time_point next_interference_save_{};
     time_point next_metrics_at_{};
     std::vector<pair_interference> saved_interference_;
--- a/packages/daemon/src/job_scheduler_loading.cpp
+++ b/packages/daemon/src/job_scheduler_loading.cpp
@@ -1,5 +1,5 @@
-// What a holder reads of the store: all that is kept when it takes over, and
-// new jobs and cancellations afterwards.
+// The leader's reads from the store: everything when its term begins, new jobs
+// and cancellations afterwards.
 
 #include "job_scheduler.hpp"
 
@@ -15,15 +15,15 @@
 using platform::store_result;
 using platform::store_status;
 
-// Entries tell the holder of each job themselves; the watch finds what they
-// could not tell. Each answer is a priced call, so changes are gathered.
+// Entries notify the leader of each job; the watch finds the jobs whose
+// notification failed. Each answer is a charged call, so changes are batched.
 constexpr duration watch_wait = std::chrono::milliseconds(700);
 constexpr duration watch_interval = std::chrono::milliseconds(400);
 
 } // namespace
 
 // ---------------------------------------------------------------------------
-// Taking over
+// Beginning a term
 // ---------------------------------------------------------------------------
 
 void job_scheduler::begin(std::int64_t epoch)
@@ -79,7 +79,7 @@
     page_timeout_.answered(result.took);
     if (jobs_revision_ == 0)
     {
-        jobs_revision_ = result.revision; // later pages may be newer
+        jobs_revision_ = result.revision; // later pages may have a newer one
     }
     for (const store_item& item : result.items)
     {
@@ -94,7 +94,7 @@
                                            : stage::loading_interference;
 }
 
-// Harms are a help, not a need: whatever the store says, the office begins.
+// Interference data is optional: the term begins whether or not it can be read.
 void job_scheduler::load_interference()
 {
     reading_ = true;
@@ -200,7 +200,7 @@
     watching_ = false;
     if (result.status != store_status::done)
     {
-        // What was missed is read anew.
+        // Read what was missed.
         const bool at_once = boot_clock::now() - sent > retry_delay;
         next_watch_ = boot_clock::now() + (at_once ? duration{0} : retry_delay);
         reread_jobs();
@@ -265,7 +265,7 @@
         page_timeout_.unanswered();
         page_after_.clear();
         next_watch_ = boot_clock::now() + retry_delay;
-        jobs_revision_ = 0; // a watch from here has no history: read again
+        jobs_revision_ = 0; // no revision to watch from: read again
         return;
     }
     page_timeout_.answered(result.took);
@@ -273,7 +273,7 @@
     {
         jobs_revision_ = result.revision;
     }
-    // A cancellation sorts right after its job.
+    // A job's cancellation key sorts directly after the job's key.
     for (const store_item& item : result.items)
     {
         apply_job_item(item);
--- a/packages/daemon/src/job_settings.cpp
+++ b/packages/daemon/src/job_settings.cpp
@@ -16,14 +16,14 @@
 
 constexpr std::int64_t max_port = 65'535;
 constexpr std::int64_t max_milliseconds = 600'000;
-constexpr double default_grace_s = 6; // the platform's own figure
+constexpr double default_grace_s = 6; // as the platform
 constexpr double default_processors = 1;
 constexpr std::int64_t max_memory_mb = 1 << 20;
 constexpr std::int64_t max_descriptors = 1 << 20;
-constexpr std::int64_t default_stop_ms = 400;   // the larger of both sites
-constexpr std::int64_t default_close_ms = 5000; // the one site that tells it
-constexpr std::int64_t default_apply_ms = 2000; // the least of all sites
-constexpr std::int64_t default_lease_ms = 6000; // the smaller of both sites
+constexpr std::int64_t default_stop_ms = 400;   // larger value of both sites
+constexpr std::int64_t default_close_ms = 5000; // the only site's value
+constexpr std::int64_t default_apply_ms = 2000; // smallest of all sites
+constexpr std::int64_t default_lease_ms = 6000; // smaller value of both sites
 
 std::string host_of(const std::string& endpoint)
 {
@@ -75,7 +75,7 @@
     return role == "job_guard" ? job_role::job_guard : job_role::job_entry;
 }
 
-// The other entries take internal calls at the same port as this process.
+// All entries use the same internal port as this process.
 std::vector<std::string> read_entries(object_reader& reader, std::uint16_t port)
 {
     std::vector<std::string> out;
--- a/packages/daemon/src/job_store.hpp
+++ b/packages/daemon/src/job_store.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// How jobs lie in the store.
+// Keys and transactions of jobs in the store.
 
 #include "platform.hpp"
 
@@ -11,19 +11,20 @@
 namespace springstair
 {
 
-/// Every job and every cancellation; nothing below it ever changes.
+/// Prefix of all jobs and cancellations; their keys are never modified.
 inline constexpr const char* jobs_prefix = "springstair/jobs/";
-/// Every job's progress, written by the holder only.
+/// Prefix of each job's progress; only the leader writes it.
 inline constexpr const char* progress_prefix = "springstair/progress/";
 
-/// What the holder has learnt of harms between images; a successor's start.
+/// The leader's measurements of interference between images, which a successor
+/// loads.
 inline constexpr const char* interference_key = "springstair/harms";
 
 std::string job_key(const std::string& id);
 std::string cancellation_key(const std::string& id);
 std::string progress_key(const std::string& id);
 
-/// What a key below jobs_prefix says.
+/// The parts of a key below jobs_prefix.
 struct job_key_parts
 {
     std::string id;
@@ -31,14 +32,14 @@
 };
 job_key_parts parse_job_key(const std::string& key);
 
-/// Reads a stored job. @throw document_error 102 if it is not one
+/// Decodes a stored job. @throw document_error 102 if it is invalid
 job decode_job(const std::string& text);
 
-/// The transaction that accepts a job: it is created if it is not there.
+/// The transaction that accepts a job: creates it unless it exists.
 kv_transaction acceptance_of(const job& definition);
-/// The transaction that keeps a cancellation.
+/// The transaction that stores a cancellation.
 kv_transaction cancellation_of(const std::string& id);
-/// The transaction that writes a batch under an office.
+/// The fenced write of a batch in the term @p epoch.
 kv_transaction transaction_of(const commit_batch& batch, std::int64_t epoch);
 
 } // namespace springstair
--- a/packages/daemon/src/leader_election.cpp
+++ b/packages/daemon/src/leader_election.cpp
@@ -11,14 +11,16 @@
 using platform::store_result;
 using platform::store_status;
 
-// A dead holder is noticed after this long: short beside the seconds that
-// callers wait, long beside a slow store's answer.
+// A dead leader is detected after this time: short compared with the seconds
+// of a caller's timeout, long compared with a slow store's answer.
 constexpr duration lease_ttl = std::chrono::milliseconds(2000);
 constexpr duration renew_interval = std::chrono::milliseconds(500);
-// A quiet holder reads its key so often; a busy one's writes prove as much.
+// Interval between reads of the leader's own key while no fenced write
+// succeeds; such a write proves leadership as well.
 constexpr duration check_interval = std::chrono::milliseconds(1000);
 constexpr duration watch_wait = std::chrono::seconds(8);
-// An entry that others go before hears of a new holder from anyone.
+// For entries that are not among the first successors: other entries inform
+// them of a new leader.
 constexpr duration long_watch_wait = std::chrono::seconds(20);
 constexpr duration retry_delay = std::chrono::milliseconds(150);
 constexpr int nonce_bytes = 6;
@@ -96,7 +98,7 @@
 }
 
 // ---------------------------------------------------------------------------
-// Following another holder
+// Following the leader
 // ---------------------------------------------------------------------------
 
 void leader_election::on_leader_key(
@@ -104,7 +106,7 @@
 {
     if (item && item->revision < newest_epoch())
     {
-        return; // a newer one is known
+        return; // stale
     }
     if (stage_ == stage::leader)
     {
@@ -143,7 +145,7 @@
     record_leader(*item);
     if (!takeover_from_.empty())
     {
-        // Another one was faster.
+        // Another entry was elected first.
         callbacks_.takeover_answered(std::exchange(takeover_from_, {}), 0);
     }
     if (is_own_previous_incarnation())
@@ -186,9 +188,10 @@
     stage_ = stage::follower;
 }
 
-// The key of a process of this VM that is gone: this one has its port. It need
-// not wait for the end of the lease, 0.8 s of the 1.7 s between a loss of all
-// power and the next office (the holders' log of a played day, 62 workers).
+// Whether the key was written by a previous process on this VM. That process
+// has ended, since this one listens on its port. So this entry need not wait
+// until the lease expires: that wait was 0.8 s of the 1.7 s between a loss of
+// all power and the next term (simulated day, 62 workers).
 bool leader_election::is_own_previous_incarnation() const
 {
     return !was_leader_ && leader_ == announced_address(process_.settings);
@@ -201,10 +204,11 @@
 }
 
 // ---------------------------------------------------------------------------
-// Taking the office
+// Claiming leadership
 // ---------------------------------------------------------------------------
 
-// The claim names the holder's revision: of several entries, one takes it.
+// The claim is conditioned on the leader's revision, so at most one of several
+// entries succeeds.
 void leader_election::take_over(const take_over_request& request)
 {
     if (stage_ != stage::follower || request.epoch < newest_epoch())
@@ -218,7 +222,8 @@
     next_attempt_at_ = {};
 }
 
-// Who was asked to take an office and cannot says so: another one can.
+// Schedules the next attempt. If a handover was requested, reports the failure,
+// so that the leader can ask another entry.
 void leader_election::on_claim_failed()
 {
     next_attempt_at_ = boot_clock::now() + retry_delay;
@@ -253,8 +258,8 @@
     lease_fresh_until_ = boot_clock::now() + lease_ttl / 2;
 }
 
-// The same claim is repeated until its outcome is known: it is conditioned on
-// the key's absence, or on one revision of it, so it takes effect once at most.
+// The same claim is repeated until its outcome is known. It is conditioned on
+// the key's absence, or on one revision of it, so it takes effect at most once.
 void leader_election::claim()
 {
     busy_ = true;
@@ -292,7 +297,7 @@
                                               : std::optional(other));
         }
         return;
-    case store_status::absent: // the lease is over
+    case store_status::absent: // the lease has expired
         lease_ = 0;
         return;
     case store_status::compacted:
@@ -321,7 +326,7 @@
 }
 
 // ---------------------------------------------------------------------------
-// Keeping it
+// Keeping leadership
 // ---------------------------------------------------------------------------
 
 void leader_election::renew()
@@ -353,7 +358,7 @@
     }
 }
 
-// A lease that lives does not prove that the key is still there.
+// Reads the key: a valid lease does not prove that the key still exists.
 void leader_election::check_key()
 {
     if (checking_)
@@ -430,7 +435,7 @@
     }
     log_event(event_id::office_lost,
               {{"epoch", std::to_string(epoch_)}, {"why", "planned stop"}});
-    // The key goes with its lease, and another entry takes over at once.
+    // Ending the lease deletes the key, so another entry can claim at once.
     store_.end_lease(lease_, timeout_.value(), [](const store_result&) {});
     leader_.clear();
     callbacks_.lost({});
--- a/packages/daemon/src/leader_election.hpp
+++ b/packages/daemon/src/leader_election.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Which entry holds the jobs: a leased key of the store.
+// Leader election among the entries, by a leased key in the store.
 
 #include "leader_watch.hpp"
 
@@ -12,17 +12,21 @@
 namespace springstair
 {
 
-/// Takes, keeps and gives up the office of the holder of all jobs. The key's
-/// revision is the epoch; the key goes with its lease.
+/// Claims, keeps and resigns leadership. The leader's key has a lease: the
+/// store deletes the key when the lease expires or is ended. The key's revision
+/// is the epoch of the term.
 class leader_election
 {
 public:
     struct callbacks
     {
+        /// This entry was elected.
         std::function<void(std::int64_t epoch)> elected;
-        /// @param next the next holder, if it is known
+        /// This entry lost leadership.
+        /// @param next the next leader, if it is known
         std::function<void(const leader_change& next)> lost;
-        /// An office that this entry was asked to take was taken, or not.
+        /// The result of a leadership handover that @p from requested.
+        /// @param epoch of the term that begins here; 0: this entry declined
         std::function<void(const std::string& from, std::int64_t epoch)>
             takeover_answered;
     };
@@ -31,20 +35,25 @@
                     callbacks handlers);
 
     void tick(time_point now);
-    /// Gives the office up and takes it no more.
+    /// Resigns leadership and makes no further claim.
     void resign();
-    /// The holder asks this entry to take its office.
+    /// The leader requests this entry to become its successor.
     void take_over(const take_over_request& request);
-    /// When this entry claims an office that is free.
+    /// Sets the delay before this entry claims a free leadership, and whether
+    /// it is one of the successors, which watch the key with a shorter wait.
     void set_claim_schedule(const claim_schedule& schedule);
-    /// The holder does not answer: the store is asked who holds.
+    /// Reads the leader's key from the store again. Called when the leader does
+    /// not answer.
     void recheck_leader();
-    /// Another entry says who holds. A newer holder than is known here is
-    /// believed; the store has the last word.
+    /// Another entry reports the leader. A report of a newer epoch than the
+    /// newest known one is accepted; a newer revision of the key in the store
+    /// overrides it.
     void observe_leader(std::int64_t epoch, const std::string& leader);
-    /// A write conditioned on the office succeeded; it was sent at a time.
+    /// A fenced write that was sent at @p sent succeeded: this entry was the
+    /// leader at that time.
     void confirm_leadership(time_point sent);
-    /// A write conditioned on the office found another one.
+    /// A fenced write failed because this leader is superseded.
+    /// @param why for the log
     void step_down(const char* why);
 
     [[nodiscard]] bool is_leader() const noexcept
@@ -55,22 +64,22 @@
     {
         return epoch_;
     }
-    /// Since when it holds the office.
+    /// When the current term of this entry began.
     [[nodiscard]] time_point leader_since() const noexcept
     {
         return leader_since_;
     }
-    /// When the office was last known to be ours.
+    /// The latest time at which this entry is confirmed to be the leader.
     [[nodiscard]] time_point confirmed_at() const noexcept
     {
         return confirmed_at_;
     }
-    /// The newest office that is known here, its own or another's.
+    /// The newest epoch known here, its own or another entry's.
     [[nodiscard]] std::int64_t newest_epoch() const noexcept
     {
         return std::max(epoch_, leader_epoch_);
     }
-    /// The holder's internal address; empty if not known.
+    /// The leader's internal address; empty if unknown.
     [[nodiscard]] const std::string& leader() const noexcept
     {
         return leader_;
@@ -111,20 +120,19 @@
     leader_watch watch_;
     stage stage_ = stage::follower;
     adaptive_timeout timeout_;
-    std::string nonce_; ///< tells this attempt's key from any other
+    std::string nonce_; ///< identifies the key that this entry writes
     std::string leader_;
     std::int64_t leader_epoch_ = 0;
-    std::int64_t expected_revision_ =
-        0;                    ///< claimed over this revision; 0: none there
-    bool was_leader_ = false; ///< this process, at some time
+    std::int64_t expected_revision_ = 0; ///< the claim's condition; 0: no key
+    bool was_leader_ = false;            ///< at any time in this process
     claim_schedule claim_schedule_;
-    /// Whose office is being taken; empty: nobody's.
+    /// The leader that requested a handover; empty: none did.
     std::string takeover_from_;
-    bool busy_ = false; ///< a claim is under way
+    bool busy_ = false; ///< a lease request or claim is in flight
     bool renewing_ = false;
     bool checking_ = false;
     std::int64_t lease_ = 0;
-    time_point lease_fresh_until_{}; ///< too old to begin an office on
+    time_point lease_fresh_until_{}; ///< a later claim needs a new lease
     std::int64_t epoch_ = 0;
     time_point leader_since_{};
     time_point confirmed_at_{};
--- a/packages/daemon/src/leader_handover.cpp
+++ b/packages/daemon/src/leader_handover.cpp
@@ -6,8 +6,8 @@
 namespace
 {
 
-// To be granted a lease and to claim the office takes two answers of the store;
-// another entry is asked after that.
+// A successor needs two answers of the store, one for a lease and one for the
+// claim. After this timeout another entry is requested.
 constexpr duration takeover_timeout = std::chrono::milliseconds(500);
 
 } // namespace
--- a/packages/daemon/src/leader_handover.hpp
+++ b/packages/daemon/src/leader_handover.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// How a holder gives its office to another entry.
+// Planned transfer of leadership to another entry.
 
 #include "leader_election.hpp"
 
@@ -8,9 +8,9 @@
 namespace springstair
 {
 
-/// Asks the best of the entries that a holder hears to take its office, where
-/// the holder is to stop, is not served by the store, or is much smaller. It
-/// goes on as holder until that one has taken it.
+/// Requests the best successor to take over leadership when this leader drains,
+/// the store is unavailable to it, or its VM is much smaller than the
+/// successor's. This entry remains the leader until the successor is elected.
 class leader_handover
 {
 public:
@@ -19,11 +19,12 @@
                     leader_election& election);
 
     void tick(time_point now, bool stopping);
-    /// An entry that was asked says what came of it.
+    /// Handles a successor's answer: it was elected, or it declined.
     void on_result(const take_over_result& result);
-    /// The answer to an entry's heartbeat.
+    /// Records an entry's heartbeat, if this entry is the leader, and returns
+    /// the answer to it.
     entry_heartbeat_answer answer(const entry_heartbeat& heartbeat);
-    /// A new office begins: nobody has been heard.
+    /// Begins a term: forgets all entries.
     void begin();
 
 private:
@@ -34,7 +35,7 @@
     const platform::store_client& store_;
     leader_election& leader_election_;
     entry_list entries_;
-    std::string asked_; ///< who is to take the office; empty: nobody
+    std::string asked_; ///< the successor that was requested; empty: none
     time_point asked_at_{};
 };
 
--- a/packages/daemon/src/leader_heartbeat.cpp
+++ b/packages/daemon/src/leader_heartbeat.cpp
@@ -10,12 +10,14 @@
 {
 
 constexpr duration heartbeat_interval = std::chrono::milliseconds(2000);
-// A holder answers within milliseconds; a crowded thin link takes longer.
+// The leader answers within milliseconds; over a congested slow link it takes
+// longer.
 constexpr duration heartbeat_timeout = std::chrono::milliseconds(400);
 constexpr duration retry_delay = std::chrono::milliseconds(150);
-// One lost heartbeat is not rare; a second one is news.
+// A single lost heartbeat is not unusual; two in a row are.
 constexpr std::size_t failures_before_recheck = 2;
-// All entries meet a new holder, which is busy then.
+// Spreads the first heartbeats of all entries to a new leader, which is busy at
+// that time.
 constexpr int max_delay_ms = 300;
 
 duration random_delay()
@@ -65,7 +67,8 @@
     }
 }
 
-// Every other time the holder, also while it does not answer: it may be back.
+// Alternates between the leader and its peers while the leader does not answer,
+// since the leader may be available again.
 std::string leader_heartbeat::next_target()
 {
     const std::string own = announced_address(process_.settings);
--- a/packages/daemon/src/leader_heartbeat.hpp
+++ b/packages/daemon/src/leader_heartbeat.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// What an entry and the holder of all jobs tell one another.
+// Heartbeats from an entry to the leader.
 
 #include "leader_election.hpp"
 
@@ -11,8 +11,8 @@
 namespace springstair
 {
 
-/// Sends an entry's heartbeats to the holder. While that one does not answer,
-/// other entries are asked who holds.
+/// Sends an entry's heartbeats to the leader. While the leader does not answer,
+/// every second heartbeat goes to another entry, whose answer names the leader.
 class leader_heartbeat
 {
 public:
@@ -21,25 +21,26 @@
 
     void tick(time_point now);
 
-    /// Entries that the store served when the holder last told.
+    /// Entries that the store served as of the leader's last answer.
     [[nodiscard]] const std::vector<std::string>& peers() const noexcept
     {
         return peers_;
     }
-    /// Whether the holder's word of the operator's changes is fresh: it
-    /// answered the newest heartbeat, and the store had answered it.
+    /// Whether operator_change() is fresh: the leader answered the newest
+    /// heartbeat, and the store had answered the leader shortly before.
     [[nodiscard]] bool is_operator_change_fresh(time_point now) const;
-    /// The operator's newest change that the holder has told.
+    /// Revision of the operator's newest change that the leader reported; 0:
+    /// the leader knows none or its information is outdated.
     [[nodiscard]] std::int64_t operator_change() const noexcept
     {
         return operator_change_;
     }
-    /// When this entry claims an office that is free.
+    /// When this entry claims a free leadership.
     [[nodiscard]] claim_schedule own_claim_schedule() const
     {
         return claim_schedule::of(answered_at_ != time_point{}, rank_);
     }
-    /// When the holder last answered.
+    /// When the heartbeat that the leader answered last was sent.
     [[nodiscard]] time_point answered_at() const noexcept
     {
         return answered_at_;
@@ -53,10 +54,10 @@
     process_context& process_;
     platform::store_client& store_;
     leader_election& leader_election_;
-    std::string target_leader_; ///< where the newest heartbeat went
+    std::string target_leader_; ///< the last leader that tick() saw
     bool busy_ = false;
     std::size_t failures_ = 0;  ///< in a row
-    std::size_t next_peer_ = 0; ///< counts, to ask other entries in turn
+    std::size_t next_peer_ = 0; ///< for round robin over the peers
     time_point next_heartbeat_at_{};
     time_point answered_at_{};
     std::vector<std::string> peers_;
--- a/packages/daemon/src/leader_watch.hpp
+++ b/packages/daemon/src/leader_watch.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Who holds the jobs, as the store tells it.
+// The leader according to the store.
 
 #include "process_context.hpp"
 
@@ -12,26 +12,25 @@
 namespace springstair
 {
 
-/// The store's key of the holder; it goes with the holder's lease.
+/// The leader's key in the store; it is deleted with the leader's lease.
 inline constexpr const char* leader_key = "springstair/holder";
 
-/// Watches the holder's key.
+/// Watches the leader's key.
 class leader_watch
 {
 public:
-    /// Called with the key as it stands, or nothing once it is gone.
+    /// Called with the current key, or nothing if it is deleted.
     using on_change =
         std::function<void(const std::optional<platform::store_item>&)>;
 
-    /// @param wait how long a watch may wait; each one is a priced call
+    /// @param wait timeout of each watch; every watch is a charged call
     leader_watch(process_context& process, platform::store_client& store,
                  duration wait, on_change changed);
 
     void tick(time_point now);
-    /// Forgets what is known; the key is read anew. A watch that is under way
-    /// has its answer later; it is void.
+    /// Reads the key again. The answer to a call in flight is ignored as stale.
     void refresh();
-    /// From the next watch on. @param wait see the constructor
+    /// Takes effect with the next watch. @param wait see the constructor
     void set_wait(duration wait) noexcept
     {
         wait_ = wait;
@@ -54,10 +53,10 @@
     duration wait_;
     on_change changed_;
     adaptive_timeout timeout_;
-    /// Revision to watch from; 0: look first.
+    /// Revision to watch from; 0: read the key first.
     std::int64_t watched_revision_ = 0;
     bool busy_ = false;
-    std::int64_t generation_ = 0; ///< counts; ends of earlier turns are void
+    std::int64_t generation_ = 0; ///< older answers are stale
     time_point next_call_at_{};
     time_point store_answered_{};
 };
--- a/packages/daemon/src/operator_watch.cpp
+++ b/packages/daemon/src/operator_watch.cpp
@@ -12,11 +12,11 @@
 using platform::store_result;
 using platform::store_status;
 
-// A watch may hear nothing for a second while the history is dropped; the
-// next one is then told to read anew. So short, a change is in force within
-// two seconds all the same.
+// While the store compacts its history, a watch may report nothing for a
+// second; the next watch then fails and the keys are read again. With this
+// short timeout a change still takes effect within two seconds.
 constexpr duration watch_wait = std::chrono::milliseconds(700);
-// Where another entry tells of a change that is missed.
+// If another entry reports changes that this watch misses.
 constexpr duration long_wait = std::chrono::seconds(20);
 constexpr duration retry_delay = std::chrono::milliseconds(150);
 
@@ -38,7 +38,8 @@
     watched_revision_ == 0 ? read() : watch();
 }
 
-// From now on nobody else tells of what a long watch does not hear.
+// When long polls end, a change that the last one missed is not reported by
+// another entry any more: read again.
 void operator_watch::use_long_poll(bool enabled)
 {
     const bool ends = long_poll_ && !enabled;
@@ -58,7 +59,7 @@
     }
 }
 
-// Reads anew. A watch that is under way has its answer later; it is void.
+// The answer to a call in flight is ignored as stale.
 void operator_watch::restart_read()
 {
     ++generation_;
@@ -122,7 +123,7 @@
     }
 }
 
-// What is not in a reading is gone.
+// A data centre that a complete read does not contain is open again.
 void operator_watch::end_read()
 {
     const std::set<std::string> before = closed_.names;
@@ -143,7 +144,8 @@
 // Watching
 // ---------------------------------------------------------------------------
 
-// Watches of earlier turns are still open: no more of them at a time than one.
+// Watches of earlier generations may still be in flight. A long poll is started
+// only if at most one of them is.
 void operator_watch::watch()
 {
     busy_ = true;
@@ -183,8 +185,8 @@
         newest_change_ = std::max(newest_change_, item.revision);
         apply_change(item);
     }
-    // Without a change the store has waited to the end; with one, all that is
-    // known of its answer's age is that it came after the call.
+    // Without a change the store waited for the whole timeout. With a change,
+    // it is only known that the store answered after the call was sent.
     publish_closed(result.items.empty() ? std::min(now, sent + waited) : sent);
 }
 
@@ -226,8 +228,8 @@
     }
 }
 
-// The key alone says what is meant: an entry whose value cannot be read
-// closes its data centre, too.
+// The key alone counts: a key whose value is unreadable closes its data centre
+// as well.
 void operator_watch::apply_closure(const std::string& data_centre,
                                    bool is_closed, std::int64_t revision)
 {
--- a/packages/daemon/src/operator_watch.hpp
+++ b/packages/daemon/src/operator_watch.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// What the operator has written to the store: the configuration, and the data
-// centres that are closed.
+// The operator's keys in the store: the configuration and the closed data
+// centres.
 
 #include "process_context.hpp"
 
@@ -11,12 +11,13 @@
 namespace springstair
 {
 
-/// Reads and watches the operator's entries; hands on each newer version of
-/// the table, and what is closed each time the store confirms it.
+/// Reads and watches the operator's keys. Reports each newer version of the
+/// queue table, and the closed data centres each time the store confirms them.
 ///
-/// One watch serves both, since each call to the store has its price. Where the
-/// holder tells of what it hears, a watch may wait for long: the store's calls
-/// then grow with the operator's changes, not with the entries.
+/// One watch covers both, since each call to the store is charged. If the
+/// leader reports the changes that it sees, a watch may be a long poll: the
+/// number of calls to the store then grows with the operator's changes, not
+/// with the number of entries.
 class operator_watch
 {
 public:
@@ -30,9 +31,11 @@
                    callbacks handlers);
 
     void tick(time_point now);
-    /// Whether another entry tells of each change that this one may miss.
+    /// Switches to long polls, or back to short ones. Long polls require that
+    /// another entry reports each change that this one may miss.
     void use_long_poll(bool enabled);
-    /// Another entry has heard of a change: of the store's revision.
+    /// Another entry reports a change at @p revision of the store. Reads again
+    /// if it is newer than what is known here.
     void on_remote_change(std::int64_t revision);
 
     /// When the store last answered.
@@ -40,7 +43,7 @@
     {
         return fresh_at_;
     }
-    /// The newest change that is known here; 0: none was read.
+    /// Revision of the newest change known here; 0: none.
     [[nodiscard]] std::int64_t newest_change() const noexcept
     {
         return newest_change_;
@@ -65,18 +68,18 @@
     callbacks callbacks_;
     adaptive_timeout timeout_;
     std::int64_t table_version_ = 0;
-    /// Changes above it are watched; 0: read first.
+    /// Changes after this revision are watched; 0: read first.
     std::int64_t watched_revision_ = 0;
     std::int64_t newest_change_ = 0;
     bool long_poll_ = false;
     bool busy_ = false;
-    std::int64_t generation_ = 0;  ///< counts; ends of earlier turns are void
-    std::size_t open_watches_ = 0; ///< watches without an answer, of any turn
+    std::int64_t generation_ = 0;  ///< older answers are stale
+    std::size_t open_watches_ = 0; ///< in flight, of any generation
     time_point next_read_{};
     time_point fresh_at_{};
     closed_data_centres closed_;
 
-    // A reading, page by page; changes since its first page are watched.
+    // State of a read, page by page. Changes after its first page are watched.
     std::string page_after_;
     std::int64_t read_revision_ = 0; ///< revision of its first page
     time_point read_sent_at_{};
--- a/packages/daemon/src/process_context.cpp
+++ b/packages/daemon/src/process_context.cpp
@@ -8,9 +8,10 @@
 namespace
 {
 
-// A process has up to three servers; the rest is for calls, files and work.
+// A process has up to three servers; the rest of its memory and descriptors is
+// for outgoing calls, files and computation.
 constexpr std::int64_t server_share_divisor = 4;
-constexpr std::int64_t kb_per_connection = 32; // the HTTP library's memory
+constexpr std::int64_t kb_per_connection = 32; // memory of the HTTP library
 constexpr std::int64_t kb_per_mb = 1024;
 constexpr std::int64_t max_connections = 4096;
 
@@ -31,7 +32,7 @@
     return std::max<std::int64_t>(max_per_server, 1);
 }
 
-// The most that the process has held so far.
+// Peak resident memory of the process.
 double peak_memory_mb()
 {
     rusage used{};
--- a/packages/daemon/src/process_context.hpp
+++ b/packages/daemon/src/process_context.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// What the parts of a process of the job system share.
+// State shared by the components of a process of the job system.
 
 #include "role_support.hpp"
 
@@ -15,11 +15,11 @@
 namespace springstair
 {
 
-/// Work handed to the control thread: the end of a call, or an arrival.
+/// Work for the control thread: the completion of a call, or a request.
 using control_work = std::function<void()>;
 
-/// What the parts of a process share. The control thread owns all state;
-/// traffic threads and calls only post work to it.
+/// State shared by the components of a process. The control thread owns all of
+/// it; server threads and completions only post work to it.
 struct process_context
 {
     const job_settings& settings;
@@ -35,11 +35,11 @@
     {
     }
 
-    /// Hands each request to the control thread.
+    /// Returns a handler that runs @p then on the control thread.
     http_handler on_request(std::function<void(http_arrival)> then);
 
-    /// Does the control thread's work until the parts are to stop, and calls
-    /// @p tick after each batch, at least once in a @p step.
+    /// Runs the control thread's work until the threads are stopped. Calls
+    /// @p tick after each batch, which is awaited for at most @p step.
     template <class Tick>
     void run_control(duration step, Tick tick)
     {
@@ -65,47 +65,48 @@
     }
 };
 
-/// The time of day, in milliseconds since 1970. It may jump.
+/// Wall clock time in milliseconds since 1970. It may jump.
 std::int64_t unix_milliseconds();
 
-/// A server and the name under which its connections are counted.
+/// A server and its name in the connection metrics.
 struct named_server
 {
     std::string_view name;
     const http_server* server = nullptr; ///< outlives the metrics
 };
 
-/// Serves the metrics at the settings' endpoint; nothing for an empty one.
+/// Serves the metrics at the endpoint in the settings; returns null if it is
+/// empty.
 std::unique_ptr<http_server> serve_metrics(process_context& process,
                                            std::vector<named_server> servers);
 
-/// A server's options at an endpoint, within what the process may use.
+/// Options of a server at an endpoint, within the limits of the process.
 http_server_options server_options(const std::string& endpoint,
                                    const job_settings& settings);
 
-/// Tells what the process may use and what its servers take of it.
+/// Logs the limits of the process and of its servers.
 void log_process_limits(const job_settings& settings);
 
-/// Where this process listens for others.
+/// The address at which this process listens for other processes.
 std::string internal_address(const job_settings& settings);
 
-/// Where others reach it.
+/// The address at which other processes reach this one.
 std::string announced_address(const job_settings& settings);
 
-/// How long to wait for the store: it answers within milliseconds, but there
-/// are times when it is a hundred times slower, and times when answers are
-/// lost and waiting is vain.
+/// Timeout of calls to the store. The store usually answers within
+/// milliseconds, but at times it is a hundred times slower, and at times
+/// answers are lost.
 class adaptive_timeout
 {
 public:
-    /// Ample beside the store's usual few milliseconds, short beside a
-    /// caller's patience of seconds.
+    /// Long compared with the store's usual few milliseconds, short compared
+    /// with a caller's timeout of seconds.
     static constexpr duration default_min = std::chrono::milliseconds(250);
     static constexpr duration default_max = std::chrono::milliseconds(1500);
-    static constexpr int factor = 4; ///< of the newest answer's time
+    static constexpr int factor = 4; ///< times the latency of the newest answer
 
-    /// @param most how long to wait in the end, if nothing is answered
-    /// @param begin how long to wait at first, and at least
+    /// @param max upper bound, reached if calls remain unanswered
+    /// @param min lower bound and initial value
     explicit adaptive_timeout(duration max = default_max,
                               duration min = default_min)
         : max_(max), min_(min), value_(min)
