--- a/packages/daemon/include/springstair/detail/daemon/job_settings.hpp
+++ b/packages/daemon/include/springstair/detail/daemon/job_settings.hpp
@@ -13,7 +13,7 @@
 enum class job_role : std::uint8_t
 {
     job_entry, ///< takes callers' requests; one is the leader
-    job_guard  ///< beside an executor, the only sender of its orders
+    job_guard  ///< of one executor; the only process that sends it orders
 };
 
 /// @brief Validated settings of a process of the job system.
@@ -28,18 +28,18 @@
     std::uint16_t internal_port = 0;  ///< for calls between processes
     std::string store;                ///< endpoint of the platform's store
     std::vector<std::string> entries; ///< their initial internal endpoints
-    duration max_lease{0};            ///< that workers accept
-    duration stop_time{0};            ///< that a worker needs to stop a run
-    duration apply_within{0};   ///< a configuration is in force everywhere
-                                ///< this long after its acknowledgement
-    duration close_within{0};   ///< a closed data centre gets no starts
-                                ///< this long after its acknowledgement
+    duration max_lease{0};            ///< longest lease that workers accept
+    duration stop_time{0};      ///< max time that a worker needs to stop a run
+    duration apply_within{0};   ///< max time from a configuration's
+                                ///< acknowledgement until all entries apply it
+    duration close_within{0};   ///< max time from a closure's acknowledgement
+                                ///< until the last start in the data centre
     duration grace{0};          ///< between SIGTERM and SIGKILL
     std::string callers;        ///< an entry's endpoint for callers
     std::string readiness;      ///< an entry's endpoint for the load
                                 ///< balancer
     std::string executors;      ///< where executors send heartbeats
-    std::string executor;       ///< the executor beside a guard
+    std::string executor;       ///< endpoint of a guard's executor
     std::string advice;         ///< the advice service; empty: none
     std::string metrics;        ///< endpoint of the metrics; empty: not served
     double processors = 1;      ///< cores of the VM; the largest entries are
--- a/packages/daemon/include/springstair/detail/daemon/settings.hpp
+++ b/packages/daemon/include/springstair/detail/daemon/settings.hpp
@@ -49,13 +49,13 @@
 /// @brief Settings of a guard.
 struct guard_settings
 {
-    std::string executor;
-    std::int64_t slots = 8;
+    std::string executor;   ///< its address
+    std::int64_t slots = 8; ///< max requests that the executor runs at a time
     bool reserve_slots = true;
     std::string worker;
-    resources capacity; ///< for tasks; excludes the executor's own needs
-    duration heartbeat{0};
-    duration max_service_time{0};
+    resources capacity;    ///< for tasks; excludes the executor's own needs
+    duration heartbeat{0}; ///< interval between heartbeats
+    duration max_service_time{0}; ///< timeout of a request to the executor
     duration task_lease{0};
 };
 
--- a/packages/daemon/main.cpp
+++ b/packages/daemon/main.cpp
@@ -124,8 +124,8 @@
         });
 }
 
-// Prints the settings, only accepts them, or runs the role, as the command
-// line requests. The settings are valid already.
+// Prints the settings, only checks them, or runs the role, as the command line
+// requests. The settings have been validated.
 template <class Settings, class Run>
 int print_or_run(const command_line& line, const Settings& settings,
                  Run run_role)
--- a/packages/daemon/src/job_entry_role.cpp
+++ b/packages/daemon/src/job_entry_role.cpp
@@ -20,9 +20,9 @@
 constexpr int unready_status = 503;
 // Resolution of timers only: the mailbox delivers work without delay.
 constexpr duration timer_step = std::chrono::milliseconds(10);
-// An entry without an answer from the store or the leader for longer than this
-// plus 5 s (see is_ready) is not ready. The load balancer then needs two failed
-// checks to send callers to other entries.
+// An entry that neither the store nor the leader has answered for longer than
+// this plus 5 s (see is_ready) is not ready. The load balancer then needs two
+// failed checks to send callers to other entries.
 constexpr duration store_outage_tolerance = std::chrono::milliseconds(1500);
 // Maximum age of the leader's information on the operator's changes: its watch
 // returns after 0.7 s.
@@ -193,7 +193,8 @@
         operator_.tick(now);
     }
 
-    // The requester may be disconnected from the store, or draining.
+    // Sent because the requester may be unable to read the leader's key: it may
+    // be disconnected from the store, or draining.
     void send_takeover_result(const std::string& requester, std::int64_t epoch)
     {
         const take_over_result result{
--- a/packages/daemon/src/job_guard_role.cpp
+++ b/packages/daemon/src/job_guard_role.cpp
@@ -117,7 +117,7 @@
     }
 
     // Sequence numbers order the heartbeats of one incarnation; the reconciler
-    // orders incarnations.
+    // decides which incarnation is current.
     void on_heartbeat(const platform::worker_heartbeat& heartbeat)
     {
         const executor_incarnation& executor = heartbeat.worker.executor;
--- a/packages/daemon/src/job_request_handler.hpp
+++ b/packages/daemon/src/job_request_handler.hpp
@@ -19,7 +19,7 @@
 /// Time between the handler's deadline and the caller's timeout, so that the
 /// answer arrives in time.
 inline constexpr duration answer_margin = std::chrono::milliseconds(250);
-/// Retry delay that callers whose request was not accepted are given.
+/// Retry delay sent to callers whose request was not accepted.
 inline constexpr duration caller_retry_after = std::chrono::seconds(1);
 /// Timeout of calls to the leader and of connections to other entries.
 inline constexpr duration leader_timeout = std::chrono::milliseconds(250);
--- a/packages/daemon/src/job_scheduler.cpp
+++ b/packages/daemon/src/job_scheduler.cpp
@@ -24,8 +24,8 @@
 constexpr duration interference_save_interval = std::chrono::seconds(3);
 // Shorter than any scrape interval.
 constexpr duration metrics_interval = std::chrono::seconds(1);
-// Above the usual latency of a write (milliseconds) and the wait for a shared
-// processor.
+// Above the usual latency of a write (milliseconds) and the scheduling delay on
+// a shared processor.
 constexpr duration min_hedge_delay = std::chrono::milliseconds(100);
 // Timeout of a write attempt, as a multiple of the hedge delay: bounds the
 // number of attempts in flight.
@@ -200,8 +200,8 @@
     return answer;
 }
 
-// Without this, the guards learn of the next leader only from the answers to
-// their next reports.
+// Otherwise only the answers to the guards' next reports would inform them of
+// the next leader.
 void job_scheduler::notify_guards(const leader_change& next)
 {
     if (next.holder.empty())
--- a/packages/daemon/src/job_scheduler_loading.cpp
+++ b/packages/daemon/src/job_scheduler_loading.cpp
@@ -200,7 +200,8 @@
     watching_ = false;
     if (result.status != store_status::done)
     {
-        // Read what was missed.
+        // Reads the changes that the watch missed. After a watch that failed at
+        // once, the next one is delayed.
         const bool at_once = boot_clock::now() - sent > retry_delay;
         next_watch_ = boot_clock::now() + (at_once ? duration{0} : retry_delay);
         reread_jobs();
--- a/packages/daemon/src/job_settings.cpp
+++ b/packages/daemon/src/job_settings.cpp
@@ -20,10 +20,10 @@
 constexpr double default_processors = 1;
 constexpr std::int64_t max_memory_mb = 1 << 20;
 constexpr std::int64_t max_descriptors = 1 << 20;
-constexpr std::int64_t default_stop_ms = 400;   // larger value of both sites
-constexpr std::int64_t default_close_ms = 5000; // the only site's value
-constexpr std::int64_t default_apply_ms = 2000; // smallest of all sites
-constexpr std::int64_t default_lease_ms = 6000; // smaller value of both sites
+constexpr std::int64_t default_stop_ms = 400;   // larger of both sites' values
+constexpr std::int64_t default_close_ms = 5000; // only one site has it
+constexpr std::int64_t default_apply_ms = 2000; // smallest of all sites' values
+constexpr std::int64_t default_lease_ms = 6000; // smaller of both sites' values
 
 std::string host_of(const std::string& endpoint)
 {
--- a/packages/daemon/src/leader_election.cpp
+++ b/packages/daemon/src/leader_election.cpp
@@ -15,8 +15,8 @@
 // of a caller's timeout, long compared with a slow store's answer.
 constexpr duration lease_ttl = std::chrono::milliseconds(2000);
 constexpr duration renew_interval = std::chrono::milliseconds(500);
-// Interval between reads of the leader's own key while no fenced write
-// succeeds; such a write proves leadership as well.
+// After this time without a successful fenced write, which proves leadership as
+// well, the leader reads its own key; then again at this interval.
 constexpr duration check_interval = std::chrono::milliseconds(1000);
 constexpr duration watch_wait = std::chrono::seconds(8);
 // For entries that are not among the first successors: other entries inform
@@ -137,6 +137,7 @@
         stage_ = stage::candidate;
         return;
     }
+    // This entry's claim took effect, but its answer is late or lost.
     if (document_of(*item).value("nonce", "") == nonce_)
     {
         become_leader(item->revision, boot_clock::now());
--- a/packages/daemon/src/leader_election.hpp
+++ b/packages/daemon/src/leader_election.hpp
@@ -37,7 +37,7 @@
     void tick(time_point now);
     /// Resigns leadership and makes no further claim.
     void resign();
-    /// The leader requests this entry to become its successor.
+    /// Handles the leader's request to take over leadership.
     void take_over(const take_over_request& request);
     /// Sets the delay before this entry claims a free leadership, and whether
     /// it is one of the successors, which watch the key with a shorter wait.
--- a/packages/daemon/src/leader_heartbeat.hpp
+++ b/packages/daemon/src/leader_heartbeat.hpp
@@ -21,7 +21,7 @@
 
     void tick(time_point now);
 
-    /// Entries that the store served as of the leader's last answer.
+    /// Entries that could reach the store as of the leader's last answer.
     [[nodiscard]] const std::vector<std::string>& peers() const noexcept
     {
         return peers_;
--- a/packages/daemon/src/leader_watch.cpp
+++ b/packages/daemon/src/leader_watch.cpp
@@ -91,7 +91,7 @@
     busy_ = false;
     if (result.status != store_status::done)
     {
-        // Disconnected, compacted or unavailable: read what was missed.
+        // Disconnected, compacted or unavailable: reads the key again.
         watched_revision_ = 0;
         const bool at_once = boot_clock::now() - sent > retry_delay;
         next_call_at_ =
--- a/packages/daemon/src/operator_watch.cpp
+++ b/packages/daemon/src/operator_watch.cpp
@@ -16,7 +16,8 @@
 // second; the next watch then fails and the keys are read again. With this
 // short timeout a change still takes effect within two seconds.
 constexpr duration watch_wait = std::chrono::milliseconds(700);
-// If another entry reports changes that this watch misses.
+// Timeout of a long poll, used while another entry reports the changes that a
+// watch misses.
 constexpr duration long_wait = std::chrono::seconds(20);
 constexpr duration retry_delay = std::chrono::milliseconds(150);
 
@@ -131,7 +132,8 @@
     {
         if (!closed_in_read_.contains(name))
         {
-            newest_change_ = read_revision_; // at the latest
+            // Upper bound: the exact revision is unknown.
+            newest_change_ = read_revision_;
             apply_closure(name, false, read_revision_);
         }
     }
@@ -145,7 +147,7 @@
 // ---------------------------------------------------------------------------
 
 // Watches of earlier generations may still be in flight. A long poll is started
-// only if at most one of them is.
+// only while at most one such watch is in flight.
 void operator_watch::watch()
 {
     busy_ = true;
--- a/packages/daemon/src/role_support.hpp
+++ b/packages/daemon/src/role_support.hpp
@@ -22,7 +22,10 @@
     std::shared_ptr<http_responder> responder;
 };
 
+/// Maximum time that a control part waits for events before its next tick. The
+/// traffic parts check for a stop at this interval.
 inline constexpr duration tick_length = std::chrono::milliseconds(20);
+/// Timeout of JSON-RPC calls between processes.
 inline constexpr duration control_timeout = std::chrono::seconds(1);
 inline constexpr int incarnation_bytes = 6;
 /// Limit on requests in flight to one guard or executor. The guard's
--- a/packages/guard/include/springstair/detail/guard/attempt_tracker.hpp
+++ b/packages/guard/include/springstair/detail/guard/attempt_tracker.hpp
@@ -20,7 +20,9 @@
     duration renew_interval = std::chrono::seconds(2);
     /// Time within which the worker may act on a start, on the worker's clock.
     duration start_window = std::chrono::seconds(3);
-    /// How long closed attempts are remembered.
+    /// How long closed attempts are remembered: those that must not start any
+    /// more, because they were refused, stopped before their start arrived, or
+    /// their end was acknowledged.
     duration tombstone_ttl = std::chrono::minutes(10);
 };
 
@@ -47,7 +49,8 @@
     void on_worker_list(time_point now, duration worker_clock,
                         const std::vector<listed_task>& list,
                         worker_actions& actions);
-    /// @brief Forgets attempts whose end an entry has acknowledged.
+    /// @brief Closes attempts whose end an entry has acknowledged, and lets the
+    /// worker forget them.
     void on_acked(time_point now, const std::vector<attempt_ack>& acked,
                   worker_actions& actions);
     /// @brief Begins to drain: further starts are refused.
@@ -103,8 +106,8 @@
 
     attempt_tracker_options options_;
     std::map<task_attempt, tracked_attempt> attempts_;
-    std::map<task_attempt, time_point> closed_;
-    std::map<std::int64_t, std::int64_t> epochs_;
+    std::map<task_attempt, time_point> closed_;   ///< and when each was closed
+    std::map<std::int64_t, std::int64_t> epochs_; ///< newest, by shard
     std::optional<duration> first_clock_; ///< worker's clock at its first list
     time_point next_renewal_{};
     time_point clock_read_{};
--- a/packages/guard/include/springstair/detail/guard/guard_core.hpp
+++ b/packages/guard/include/springstair/detail/guard/guard_core.hpp
@@ -116,16 +116,18 @@
     {
         return listed_ && table_.revision() > 0;
     }
-    /// @brief Whether the executor may work on attempts that are not in the
-    /// slots: orphans, or attempts whose outcome is unknown.
+    /// @brief Whether the executor may work on attempts that this guard does
+    /// not track as running: orphans, or attempts whose outcome is unknown.
+    /// Each occupies a slot.
     [[nodiscard]] bool has_orphans() const noexcept
     {
         return !orphans_.empty() || !in_doubt_.empty();
     }
     /// @brief Whether no attempt runs or waits.
     [[nodiscard]] bool idle() const;
-    /// @brief Running and queued attempts.
-    /// @param entry the entry that receives the report
+    /// @brief Numbers of running and queued attempts.
+    /// @param entry the entry that receives the report; its own attempts are
+    /// also counted separately
     [[nodiscard]] load_report load(const std::string& entry) const;
     /// @brief The table in force.
     [[nodiscard]] const table& rows() const noexcept
@@ -169,7 +171,7 @@
     std::map<attempt_name, running_attempt> running_;
     std::map<attempt_name, admitted_attempt> admitted_;
     std::map<std::string, load_report> by_entry_;
-    /// Attempts received; with the refusal if refused.
+    /// Attempts received; with the refusal if refused on arrival.
     std::map<attempt_name, std::optional<problem_report>> seen_;
     std::map<time_point, std::vector<attempt_name>> forget_at_;
     std::set<std::string> orphans_;
--- a/packages/guard/include/springstair/detail/guard/interference.hpp
+++ b/packages/guard/include/springstair/detail/guard/interference.hpp
@@ -10,19 +10,19 @@
 namespace springstair
 {
 
-/// @brief Thresholds for throttling best-effort tasks beside latency-critical
-/// ones.
+/// @brief Thresholds for throttling best-effort tasks that run on the same
+/// worker as latency-critical ones.
 ///
 /// The headroom of a latency-critical task is its target latency divided by its
-/// tail latency. The bounds lie above 1 because the figures are rough and
-/// describe the previous half second.
+/// tail latency. All headroom bounds but slow_all_below lie above 1, because
+/// the figures are rough and describe the previous half second.
 struct interference_options
 {
     /// Below this headroom, best-effort tasks with known interference are
-    /// slowed. Values further above 1 stop best-effort tasks beside tails that
-    /// are well below their targets: 1.2 and 1.4 cost heavy work 0.054 of its
-    /// worth and saved latency-critical tasks 0.020 of theirs (means of 40
-    /// simulated days).
+    /// slowed. Values further above 1 stop best-effort tasks although the tail
+    /// latencies are well below their targets: with slow_below = 1.2 and
+    /// slow_to = 1.4, heavy jobs lost 0.054 of their value and latency-critical
+    /// tasks gained 0.020 of theirs (means of 40 simulated days).
     double slow_below = 1.1;
     /// Headroom to reach by that slowing.
     double slow_to = 1.25;
@@ -33,14 +33,16 @@
     /// with keep this headroom.
     double raise_above = 1.25;
     /// Minimum factor of one slowing step for images with known interference.
-    /// While the cause is unknown, slow_all_factor applies to all images.
     double min_factor = 0.1;
+    /// Factor of one slowing step for all images while the cause is unknown.
     double slow_all_factor = 0.6;
     /// Known interference below this share of the missing headroom does not
     /// explain it.
     double explained = 0.3;
-    /// A pair's interference below this is noise (trials at both sites:
-    /// harmless pairs are below 1, harmful ones at 4 and more).
+    /// A pair's interference below this is noise. Unit: headroom that the
+    /// latency-critical image loses per whole worker used by the best-effort
+    /// image. (Trials at both sites: harmless pairs are below 1, harmful ones
+    /// at 4 and more.)
     double interfering = 1.2;
     /// Below this pace, in percent, best-effort tasks stop: a very slow task
     /// still interferes and hardly progresses.
@@ -83,14 +85,16 @@
     /// images on this worker.
     void learn(const std::vector<pair_interference>& pairs);
 
-    /// @brief Adjusts the paces to the rows of an executor snapshot.
+    /// @brief Adjusts the paces to the rows of an executor snapshot, at most
+    /// once per interference_options::step.
     /// @param traits of the known runs, by task
     /// @param capacity of the worker, in thousandths of a processor
     void observe(const std::vector<running_task>& running,
                  const std::map<std::string, run_traits>& traits,
                  std::int64_t capacity, time_point now);
 
-    /// @brief Returns and clears the changes since the last call.
+    /// @brief Returns and clears the changes since the last call, without stops
+    /// due to max_over_target.
     std::vector<pace_change> take_changes();
 
     /// @brief Paces of all slowed images, in percent.
--- a/packages/guard/include/springstair/detail/guard/leader_finder.hpp
+++ b/packages/guard/include/springstair/detail/guard/leader_finder.hpp
@@ -64,9 +64,9 @@
     {
         return failures_ >= lost_after;
     }
-    /// @brief Whether only the platform's store can name the leader: neither
-    /// the leader nor the entries could. Each store read is a billed call by
-    /// every guard.
+    /// @brief Whether to look up the leader in the platform's store: it does
+    /// not answer, or no address is known to report to. Each read by each guard
+    /// is a charged call.
     [[nodiscard]] bool needs_store() const noexcept
     {
         return is_lost() || (leader_.empty() && entries_.empty());
--- a/packages/guard/include/springstair/detail/guard/run_reconciler.hpp
+++ b/packages/guard/include/springstair/detail/guard/run_reconciler.hpp
@@ -23,7 +23,7 @@
     /// restarting guard must be back within it.
     duration lease = std::chrono::milliseconds(3000);
     /// A worker that has not answered for this time gets no lease extension and
-    /// no starts: two polls plus some delay.
+    /// no starts. Two poll waits plus some delay.
     duration unresponsive_after = std::chrono::milliseconds(1200);
     /// Share by which the worker's clock may run slow (platform).
     double clock_drift = 0.02;
@@ -32,7 +32,8 @@
     /// A start that reaches the worker later than this has no effect. Bounds
     /// late execution of orders; above the time of any regular answer.
     duration start_limit = std::chrono::milliseconds(2000);
-    /// Delay before an unanswered order is sent again.
+    /// Delay before an order that was late, failed or got no answer is sent
+    /// again.
     duration retry_after = std::chrono::milliseconds(100);
     /// Number of unanswered starts after which a run is refused.
     std::int64_t max_unanswered = 4;
@@ -134,13 +135,15 @@
 /// @brief Extend the lease, acknowledge ends and request both lists of runs.
 struct poll_executor
 {
+    /// End of the lease on the worker's clock; empty: no extension.
     std::optional<std::int64_t> deadline_ms;
-    std::int64_t acknowledged = 0;
+    std::int64_t acknowledged = 0; ///< newest acknowledged end; 0: none
     /// Set with an acknowledgement: the call may only use a connection opened
     /// before this time, which is when the newest poll answered by this
     /// incarnation was sent. This keeps the acknowledgement from the next
     /// incarnation.
     std::optional<time_point> connected_before;
+    /// Maximum time to wait for an end; 0: answer at once.
     std::int64_t wait_ms = 0;
     std::int64_t fence = 0;
     executor_incarnation executor;
@@ -241,7 +244,7 @@
         starting, ///< until the worker confirms the start
         running,
         stopping, ///< until the worker confirms the stop
-        stopped   ///< until a later poll shows that it is gone
+        stopped   ///< until a later poll does not list it
     };
 
     struct tracked_run
@@ -260,12 +263,13 @@
         /// the worker had answered shortly before: one that has been
         /// unresponsive for longer than a poll takes cannot have accepted it.
         std::optional<time_point> start_sent;
-        std::optional<time_point> begun; ///< it has, or may have, run since
-        bool start_confirmed = false;    ///< by the worker
-        time_point listed{};             ///< newest poll that shows it
-        time_point confirmed{};  ///< when the current stage was confirmed
-        std::string refusal;     ///< reason to report once it is gone
-        std::int64_t pace = 100; ///< percent accepted by the worker
+        /// Since when it has run or may have run.
+        std::optional<time_point> begun;
+        bool start_confirmed = false; ///< by the worker
+        time_point listed{};          ///< newest poll that shows it
+        time_point confirmed{};       ///< when the current stage was confirmed
+        std::string refusal;          ///< reason to report once it has stopped
+        std::int64_t pace = 100;      ///< percent accepted by the worker
         bool pace_in_flight = false;
     };
 
@@ -284,7 +288,7 @@
         time_point seen_at{};
     };
 
-    /// A past incarnation, and when a leader first received it.
+    /// A past incarnation, and when a leader first acknowledged a report of it.
     struct reported_incarnation
     {
         past_incarnation incarnation;
@@ -295,7 +299,7 @@
     /// its address confirms which one is there.
     struct unconfirmed_incarnation
     {
-        worker_description description; ///< no incarnation: nothing to confirm
+        worker_description description; ///< executor empty: none to confirm
         std::int64_t clock_ms = 0;
         time_point received_at{};
         bool polling = false;
@@ -350,7 +354,7 @@
                                 std::int64_t run) const;
 
     run_reconciler_options options_;
-    std::string incarnation_;
+    std::string incarnation_; ///< of this guard process
     worker_description worker_;
     unconfirmed_incarnation unconfirmed_;
     std::set<executor_incarnation> ended_incarnations_; ///< certainly ended
@@ -365,11 +369,11 @@
     std::int64_t epoch_ = 0;
     bool closed_ = false; ///< data centre closed, per the newest orders
     time_point lease_granted_until_{};
-    time_point last_answer_at_{}; ///< last answer or heartbeat of the worker
-    time_point max_lease_end_{};  ///< upper bound of all requested leases
-    std::int64_t acknowledged_ = 0;
+    time_point last_answer_at_{};   ///< last answer or heartbeat of the worker
+    time_point max_lease_end_{};    ///< no requested lease ends later
+    std::int64_t acknowledged_ = 0; ///< number of the newest acknowledged end
     std::map<std::string, tracked_run> runs_;
-    bool polled_ = false;
+    bool polled_ = false;      ///< the current incarnation has answered a poll
     time_point polled_at_{};   ///< when its lists were last received
     bool poll_failed_ = false; ///< the newest poll; the next does not wait
     /// Start of the current series of failed polls.
@@ -379,7 +383,8 @@
     time_point next_poll_{};
     std::vector<running_task> running_;
     std::vector<ended_task> ended_;
-    /// Stops for older runs that the worker lists beside a newer tracked run.
+    /// Stops for older runs that the worker lists together with a newer tracked
+    /// run.
     std::vector<stop_order> superseded_stops_;
     std::vector<refused_run> refused_; ///< not yet received by a leader
     std::map<std::string, past_refusal> past_refusals_; ///< newest, by task
--- a/packages/guard/src/attempt_tracker.cpp
+++ b/packages/guard/src/attempt_tracker.cpp
@@ -199,7 +199,7 @@
 {
     if (closed_.contains(item.name))
     {
-        return; // acknowledged; the worker has yet to forget it
+        return; // closed but running: on_worker_list() requests its stop
     }
     const auto [position, adopted] = attempts_.try_emplace(item.name);
     tracked_attempt& attempt = position->second;
--- a/packages/guard/src/guard_core.cpp
+++ b/packages/guard/src/guard_core.cpp
@@ -53,8 +53,8 @@
     return {reply_problem{.attempt = attempt, .what = std::move(problem)}};
 }
 
-// A duplicate gets the outcome of the first copy: a refusal is repeated, and an
-// attempt that may run is never reported as not_run.
+// A duplicate of an attempt that was refused on arrival gets the same refusal.
+// Any other duplicate gets `unknown`, never not_run: the first copy may run.
 guard_actions guard_core::answer_duplicate(const attempt_name& attempt)
 {
     const auto& refused = seen_.at(attempt);
--- a/packages/guard/src/run_reconciler.cpp
+++ b/packages/guard/src/run_reconciler.cpp
@@ -94,8 +94,8 @@
     return worker_clock(now) + to_milliseconds(left);
 }
 
-// Earlier calls, of a previous guard process or meant for the previous
-// incarnation, may have requested any lease. Only the maximum lease bounds it.
+// Earlier calls, by a previous guard process or meant for the previous
+// incarnation, may have requested leases of any length up to the maximum.
 void run_reconciler::assume_max_lease(time_point since)
 {
     const duration longest = from_seconds(to_seconds(options_.max_lease) *
@@ -199,10 +199,10 @@
     return true;
 }
 
-// A stop for a newer run than the tracked one stops the tracked one: the leader
-// has given it up. The tracked run must keep its number. When it took over the
-// number of the stop, the answer to its start was dropped, its call stayed in
-// flight forever, and it ran on.
+// A stop for a newer run also stops the tracked one, which the leader no longer
+// expects. The tracked run keeps its number: with the number of the stop, the
+// answer to its start would be dropped, its call would count as in flight
+// forever, and it would never be sent a stop.
 void run_reconciler::apply_stop(const stop_order& order, time_point now)
 {
     const auto [found, is_new] = runs_.try_emplace(order.task);
@@ -313,10 +313,10 @@
     return until_ms > 0 && vm_clock_ms(now) > until_ms;
 }
 
-// Whether the run was refused. An order for it can be in flight at that time or
-// arrive twice; if the run began again, the task would run where its leader no
-// longer expects it. If the leader still orders the run, the refusal is
-// reported again.
+// Whether this or a newer run of the task was refused. An order for it may
+// still be in flight or arrive twice; if the run began, the task would run
+// where its leader no longer expects it. If the leader still orders the refused
+// run, the refusal is reported again.
 bool run_reconciler::was_refused(const start_order& order)
 {
     const auto found = past_refusals_.find(order.task);
@@ -335,9 +335,10 @@
     return true;
 }
 
-// Whether the run has ended here. The executor knows that too, unless it has
-// restarted: there, a duplicate order began a run that had already succeeded.
-// Such a run is stopped instead, and refused if it is still wanted.
+// Whether this or a newer run of the task has ended here. The executor rejects
+// a start of an ended run, but not after a restart: a duplicate order would
+// then begin a run that has already succeeded. The guard sends a stop instead
+// and reports the run as refused.
 bool run_reconciler::has_ended(const start_order& order) const
 {
     const auto found = ended_runs_.find(order.task);
@@ -345,7 +346,7 @@
 }
 
 // Refuses starts on a draining worker, in a closed data centre, or after the
-// time limit of their orders, when the leader may have given them up.
+// time limit of their orders: the leader may not expect those any more.
 void run_reconciler::refuse_unstarted(time_point now)
 {
     std::vector<std::string> draining;
@@ -494,8 +495,9 @@
     }
     for (const reported_incarnation& one : past_incarnations_)
     {
-        // Sent along with the next incarnation, so that nothing is placed in
-        // between.
+        // One that no leader has received is in every report, so that the
+        // leader places nothing on the next incarnation before it has received
+        // the past one.
         if (out.whole || !one.reported_at)
         {
             out.former.push_back(one.incarnation);
--- a/packages/guard/src/run_reconciler_incarnations.cpp
+++ b/packages/guard/src/run_reconciler_incarnations.cpp
@@ -93,8 +93,8 @@
 }
 
 // A start without an answer may reach the next incarnation of the executor, now
-// or later, so its stop is repeated there. When such a run was remembered only
-// for the past incarnation, it began beside the run that had replaced it.
+// or later, so the run's stop is repeated there. Otherwise the run could begin
+// while the run that replaced it is running.
 void run_reconciler::carry_uncertain_starts(time_point now)
 {
     std::erase_if(runs_,
@@ -153,9 +153,9 @@
     }
 }
 
-// Another incarnation has answered. Until its own heartbeat reports what it can
-// run, it gets no work; until its clock is known, it gets no lease. A deadline
-// on the previous clock would be far ahead on its own.
+// Another incarnation has answered. It gets no starts until its own heartbeat
+// has described it, and no lease until its clock is known: a deadline on the
+// previous incarnation's clock could be far in the future on the new one.
 void run_reconciler::switch_incarnation(const executor_incarnation& who,
                                         time_point now)
 {
@@ -257,9 +257,9 @@
                   });
 }
 
-// Notes which past incarnations a leader has received. It may fail before it
-// has committed the consequences, so they are reported to its successor for a
-// while.
+// Records which past incarnations a leader has received. That leader may fail
+// before it has committed the consequences, so they are reported for
+// repeat_past_for longer, to reach its successor.
 void run_reconciler::forget_reported_incarnations(const worker_report& report,
                                                   time_point now)
 {
--- a/packages/guard/src/run_reconciler_results.cpp
+++ b/packages/guard/src/run_reconciler_results.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-// Number of the newest end; the list is in order.
+// Number of the newest end; 0: none. The list is ascending by number.
 std::int64_t last_number(const std::vector<ended_task>& ends)
 {
     return ends.empty() ? 0 : ends.back().number;
@@ -20,9 +20,9 @@
 
 // Refuses a run. While the run is in doubt, the worker is first sent a stop, so
 // that the run can never begin. Starts sent by a previous process of this guard
-// also put it in doubt. When only the process's own calls counted, a worker
-// that was busy briefly after a guard restart had its runs refused while they
-// ran, and they ran twice.
+// put it in doubt as well. Otherwise a worker that is busy briefly after a
+// guard restart would have its runs refused while they run, and their tasks
+// would run twice.
 void run_reconciler::refuse(const std::string& task, tracked_run& run,
                             const std::string& reason, time_point now)
 {
@@ -48,10 +48,10 @@
     report_due_ = true;
 }
 
-// Reports to the leader at once that a worker accepts nothing. When the leader
-// noticed only that the worker was unresponsive, after 1.2 s, a failed executor
-// was given all waiting work and each start was refused: 192 of 313 in two
-// seconds of a day with many crashes.
+// Reports to the leader at once that a worker accepts nothing. Otherwise the
+// leader would place all waiting tasks there until the worker counts as
+// unresponsive, after 1.2 s, and each start would be refused (192 of 313 starts
+// in two seconds of a day with many crashes).
 void run_reconciler::update_health(order_result result)
 {
     const bool refuses = result == order_result::unhealthy;
@@ -170,7 +170,7 @@
         on_unconfirmed_polled(result, snapshot, now);
         if (!is_of_another_executor)
         {
-            return; // may lack starts that it accepted meanwhile
+            return; // the lists may omit starts accepted since the poll
         }
     }
     if (asked != worker_.executor)
