--- a/packages/daemon/include/springstair/detail/daemon/supervisor.hpp
+++ b/packages/daemon/include/springstair/detail/daemon/supervisor.hpp
@@ -14,11 +14,11 @@
 {
 
 /// @brief Restart limit: a part that fails more than `max_restarts` times
-/// within `within` is not restarted.
+/// within `restart_window` is not restarted.
 struct supervisor_options
 {
     std::size_t max_restarts = 5;
-    duration within = std::chrono::seconds(10);
+    duration restart_window = std::chrono::seconds(10);
 };
 
 /// @brief Runs each part in its own thread and restarts a part that threw.
@@ -65,13 +65,13 @@
         std::thread thread;
     };
 
-    void run_part(part& one);
-    bool may_restart(part& one, const std::string& why);
+    void run_part(part& item);
+    bool may_restart(part& failing, const std::string& why);
 
     supervisor_options options_;
     std::vector<std::unique_ptr<part>> parts_;
     std::atomic<bool> stopping_ = false;
-    std::atomic<bool> given_up_ = false;
+    std::atomic<bool> restart_limit_exceeded_ = false;
 };
 
 } // namespace springstair
--- a/packages/daemon/src/job_guard_role.cpp
+++ b/packages/daemon/src/job_guard_role.cpp
@@ -394,9 +394,10 @@
 
 } // namespace
 
-void run_job_guard(const job_settings& from, const std::atomic<bool>& drain)
+void run_job_guard(const job_settings& own_settings,
+                   const std::atomic<bool>& drain)
 {
-    process_context process(from, drain);
+    process_context process(own_settings, drain);
     process.threads.add("control",
                         [&]
                         {
--- a/packages/daemon/src/leader_election.cpp
+++ b/packages/daemon/src/leader_election.cpp
@@ -83,7 +83,7 @@
     }
 }
 
-void leader_election::note_answer(const store_result& result)
+void leader_election::record_store_result(const store_result& result)
 {
     if (result.status == store_status::unknown)
     {
@@ -249,7 +249,7 @@
 void leader_election::on_lease(const store_result& result)
 {
     busy_ = false;
-    note_answer(result);
+    record_store_result(result);
     if (result.status != store_status::done)
     {
         on_claim_failed();
@@ -280,7 +280,7 @@
 void leader_election::on_claim(const store_result& result, time_point sent)
 {
     busy_ = false;
-    note_answer(result);
+    record_store_result(result);
     if (stage_ == stage::resigned)
     {
         return;
@@ -343,7 +343,7 @@
 void leader_election::on_renewed(const store_result& result)
 {
     renewing_ = false;
-    note_answer(result);
+    record_store_result(result);
     if (stage_ != stage::leader)
     {
         return;
@@ -374,7 +374,7 @@
             [this, sent](const store_result& result)
             {
                 checking_ = false;
-                note_answer(result);
+                record_store_result(result);
                 if (stage_ != stage::leader)
                 {
                     return;
--- a/packages/daemon/src/leader_election.hpp
+++ b/packages/daemon/src/leader_election.hpp
@@ -111,7 +111,7 @@
     void check_key();
     void become_leader(std::int64_t revision, time_point sent);
     void lose_leadership(const char* why, const leader_change& next = {});
-    void note_answer(const platform::store_result& result);
+    void record_store_result(const platform::store_result& result);
     void on_claim_failed();
 
     process_context& process_;
--- a/packages/daemon/src/leader_handover.cpp
+++ b/packages/daemon/src/leader_handover.cpp
@@ -22,7 +22,7 @@
 void leader_handover::begin()
 {
     entries_.clear();
-    asked_.clear();
+    requested_successor_.clear();
 }
 
 leader_state leader_handover::state(time_point now, bool stopping) const
@@ -40,25 +40,26 @@
     {
         return;
     }
-    if (!asked_.empty())
+    if (!requested_successor_.empty())
     {
-        if (now - asked_at_ < takeover_timeout)
+        if (now - requested_at_ < takeover_timeout)
         {
             return;
         }
-        entries_.note_declined(asked_, now);
-        asked_.clear();
+        entries_.note_declined(requested_successor_, now);
+        requested_successor_.clear();
     }
     if (const auto next = entries_.next_handover(state(now, stopping), now))
     {
-        ask(*next, now);
+        request_takeover(*next, now);
     }
 }
 
-void leader_handover::ask(const handover_target& target, time_point now)
+void leader_handover::request_takeover(const handover_target& target,
+                                       time_point now)
 {
-    asked_ = target.to;
-    asked_at_ = now;
+    requested_successor_ = target.to;
+    requested_at_ = now;
     log_event(event_id::office_offered,
               {{"to", target.to},
                {"epoch", std::to_string(leader_election_.epoch())},
@@ -88,10 +89,10 @@
     {
         leader_election_.observe_leader(result.epoch, result.by);
     }
-    else if (result.by == asked_)
+    else if (result.by == requested_successor_)
     {
-        entries_.note_declined(asked_, boot_clock::now());
-        asked_.clear();
+        entries_.note_declined(requested_successor_, boot_clock::now());
+        requested_successor_.clear();
     }
 }
 
--- a/packages/daemon/src/leader_handover.hpp
+++ b/packages/daemon/src/leader_handover.hpp
@@ -29,14 +29,14 @@
 
 private:
     [[nodiscard]] leader_state state(time_point now, bool stopping) const;
-    void ask(const handover_target& target, time_point now);
+    void request_takeover(const handover_target& target, time_point now);
 
     process_context& process_;
     const platform::store_client& store_;
     leader_election& leader_election_;
     entry_list entries_;
-    std::string asked_; ///< the successor that was requested; empty: none
-    time_point asked_at_{};
+    std::string requested_successor_; ///< its address; empty: none
+    time_point requested_at_{};
 };
 
 } // namespace springstair
--- a/packages/daemon/src/operator_watch.cpp
+++ b/packages/daemon/src/operator_watch.cpp
@@ -18,7 +18,7 @@
 constexpr duration watch_wait = std::chrono::milliseconds(700);
 // Timeout of a long poll, used while another entry reports the changes that a
 // watch misses.
-constexpr duration long_wait = std::chrono::seconds(20);
+constexpr duration long_poll_wait = std::chrono::seconds(20);
 constexpr duration retry_delay = std::chrono::milliseconds(150);
 
 } // namespace
@@ -153,7 +153,7 @@
     busy_ = true;
     const time_point sent = boot_clock::now();
     const duration wait =
-        long_poll_ && open_watches_ < 2 ? long_wait : watch_wait;
+        long_poll_ && open_watches_ < 2 ? long_poll_wait : watch_wait;
     ++open_watches_;
     store_.watch(platform::operator_prefix, watched_revision_, wait,
                  process_.on_control<store_result>(
--- a/packages/daemon/src/supervisor.cpp
+++ b/packages/daemon/src/supervisor.cpp
@@ -18,34 +18,34 @@
     parts_.push_back(std::move(added));
 }
 
-bool supervisor::may_restart(part& one, const std::string& why)
+bool supervisor::may_restart(part& failing, const std::string& why)
 {
     const time_point now = boot_clock::now();
-    one.failures.push_back(now);
-    while (now - one.failures.front() > options_.within)
+    failing.failures.push_back(now);
+    while (now - failing.failures.front() > options_.restart_window)
     {
-        one.failures.pop_front();
+        failing.failures.pop_front();
     }
-    const bool restart = one.failures.size() <= options_.max_restarts;
+    const bool restart = failing.failures.size() <= options_.max_restarts;
     log_event(restart ? event_id::part_restarted : event_id::part_given_up,
-              {{"part", one.name}, {"why", why}});
+              {{"part", failing.name}, {"why", why}});
     return restart;
 }
 
-void supervisor::run_part(part& one)
+void supervisor::run_part(part& item)
 {
     while (!stopping_)
     {
         try
         {
-            one.body();
+            item.body();
             return;
         }
         catch (const std::exception& error)
         {
-            if (!may_restart(one, error.what()))
+            if (!may_restart(item, error.what()))
             {
-                given_up_ = true;
+                restart_limit_exceeded_ = true;
                 stop();
             }
         }
@@ -62,7 +62,7 @@
     {
         one->thread.join();
     }
-    if (given_up_)
+    if (restart_limit_exceeded_)
     {
         throw std::runtime_error("a part exceeded its restart limit");
     }
--- a/packages/guard/include/springstair/detail/guard/leader_finder.hpp
+++ b/packages/guard/include/springstair/detail/guard/leader_finder.hpp
@@ -25,13 +25,13 @@
     /// may return at the same address.
     std::string target()
     {
-        const bool ask_others =
+        const bool use_entries =
             leader_.empty() || (is_lost() && failures_ % 2 == 0);
-        if (!ask_others || entries_.empty())
+        if (!use_entries || entries_.empty())
         {
             return leader_;
         }
-        return entries_[asked_++ % entries_.size()];
+        return entries_[next_entry_++ % entries_.size()];
     }
 
     /// @brief Records the leader's address as named by an entry.
@@ -57,12 +57,12 @@
     /// @return whether this failure makes the leader count as lost
     bool failed() noexcept
     {
-        return ++failures_ == lost_after;
+        return ++failures_ == failures_until_lost;
     }
 
     [[nodiscard]] bool is_lost() const noexcept
     {
-        return failures_ >= lost_after;
+        return failures_ >= failures_until_lost;
     }
     /// @brief Whether to look up the leader in the platform's store: it does
     /// not answer, or no address is known to report to. Each read by each guard
@@ -82,12 +82,12 @@
 
 private:
     /// A single lost report is common; two in a row are not.
-    static constexpr std::int64_t lost_after = 2;
+    static constexpr std::int64_t failures_until_lost = 2;
 
     std::vector<std::string> entries_;
     std::string leader_;
     std::int64_t failures_ = 0;
-    std::size_t asked_ = 0;
+    std::size_t next_entry_ = 0;
 };
 
 } // namespace springstair
--- a/packages/guard/include/springstair/detail/guard/run_reconciler.hpp
+++ b/packages/guard/include/springstair/detail/guard/run_reconciler.hpp
@@ -185,9 +185,9 @@
     /// @brief Handles the result of a throttle call.
     void on_paced(const throttle_run& throttle, order_result result);
     /// @brief Handles the result of a poll.
-    /// @param asked the polled incarnation
+    /// @param polled the incarnation that was polled
     /// @param snapshot empty if the poll got no answer
-    void on_polled(const executor_incarnation& asked, order_result result,
+    void on_polled(const executor_incarnation& polled, order_result result,
                    const std::optional<executor_snapshot>& snapshot,
                    time_point sent, time_point now);
 
--- a/packages/guard/src/run_reconciler_incarnations.cpp
+++ b/packages/guard/src/run_reconciler_incarnations.cpp
@@ -123,25 +123,26 @@
     time_point now)
 {
     unconfirmed_.polling = false;
-    const executor_incarnation& asked = unconfirmed_.description.executor;
-    const bool names_it = asked.id != worker_.executor.id;
+    const executor_incarnation& polled = unconfirmed_.description.executor;
+    const bool is_other_executor = polled.id != worker_.executor.id;
     if (snapshot)
     {
-        const executor_incarnation there(asked.id, snapshot->born_ms);
-        if (!names_it && there.may_be(worker_.executor))
+        const executor_incarnation answering(polled.id, snapshot->born_ms);
+        if (!is_other_executor && answering.may_be(worker_.executor))
         {
-            ended_incarnations_.insert(asked);
+            ended_incarnations_.insert(polled);
             unconfirmed_ = {};
         }
         else
         {
-            switch_incarnation(there.may_be(asked) ? asked : there, now);
+            switch_incarnation(answering.may_be(polled) ? polled : answering,
+                               now);
         }
     }
-    else if (names_it && (result == order_result::accepted ||
-                          result == order_result::fenced))
+    else if (is_other_executor && (result == order_result::accepted ||
+                                   result == order_result::fenced))
     {
-        switch_incarnation(asked, now);
+        switch_incarnation(polled, now);
     }
     else if (result == order_result::other_life)
     {
--- a/packages/guard/src/run_reconciler_results.cpp
+++ b/packages/guard/src/run_reconciler_results.cpp
@@ -158,30 +158,30 @@
     tracked.next_call = now + options_.retry_after;
 }
 
-void run_reconciler::on_polled(const executor_incarnation& asked,
+void run_reconciler::on_polled(const executor_incarnation& polled,
                                order_result result,
                                const std::optional<executor_snapshot>& snapshot,
                                time_point sent, time_point now)
 {
     if (!unconfirmed_.description.executor.empty() &&
-        asked == unconfirmed_.description.executor)
+        polled == unconfirmed_.description.executor)
     {
-        const bool is_of_another_executor = asked.id != worker_.executor.id;
+        const bool is_other_executor = polled.id != worker_.executor.id;
         on_unconfirmed_polled(result, snapshot, now);
-        if (!is_of_another_executor)
+        if (!is_other_executor)
         {
             return; // the lists may omit starts accepted since the poll
         }
     }
-    if (asked != worker_.executor)
+    if (polled != worker_.executor)
     {
         return;
     }
-    const executor_incarnation there(asked.id,
-                                     snapshot ? snapshot->born_ms : 0);
-    if (!there.may_be(asked))
+    const executor_incarnation answering(polled.id,
+                                         snapshot ? snapshot->born_ms : 0);
+    if (!answering.may_be(polled))
     {
-        switch_incarnation(there, now);
+        switch_incarnation(answering, now);
         return;
     }
     update_health(result);
@@ -274,19 +274,19 @@
             gone.push_back(task);
             continue;
         }
-        const bool there = is_running(task, run);
-        if (there)
+        const bool is_listed = is_running(task, run);
+        if (is_listed)
         {
             tracked.begun = tracked.begun.value_or(sent);
             tracked.start_confirmed = true;
             tracked.listed = sent;
         }
-        if (there && tracked.stage == run_stage::starting)
+        if (is_listed && tracked.stage == run_stage::starting)
         {
             tracked.stage = run_stage::running;
             tracked.confirmed = sent;
         }
-        if (there || !lists_all_ends)
+        if (is_listed || !lists_all_ends)
         {
             continue;
         }
