--- a/packages/guard/src/run_reconciler_results.cpp
+++ b/packages/guard/src/run_reconciler_results.cpp
@@ -82,7 +82,7 @@
     tracked.start_sent.reset();
     if (tracked.stage != run_stage::starting)
     {
-        return; // a stop was ordered meanwhile
+        return; // a stop was ordered while the start was in flight
     }
     switch (result)
     {
