--- a/bench/bench.py
+++ b/bench/bench.py
@@ -73,7 +73,7 @@
           f"({min(values):.2f} to {max(values):.2f})", flush=True)
 
 
-# -- fast class beside overload ----------------------------------------------
+# -- fast class during overload ----------------------------------------------
 
 
 def completed_heavy(result):
--- a/bench/load.cpp
+++ b/bench/load.cpp
@@ -39,9 +39,9 @@
     std::string credential;
     std::string work_class;
     std::string workspace;
-    double rate = 0;
-    double service_ms = 1;
-    bool fixed = false;
+    double rate = 0;       ///< requests per second
+    double service_ms = 1; ///< mean
+    bool fixed = false;    ///< constant instead of log-normal service time
     std::int64_t deadline_ms = 10'000;
     std::string repeatable;
 };
--- a/bench/office.cpp
+++ b/bench/office.cpp
@@ -153,6 +153,7 @@
         for (const auto& [part, spent] : parts_)
         {
             line(part, 1000 * spent, "ms");
+            // "report, decisions" is contained in "reports, whole".
             sum += part == "report, decisions" ? 0 : spent;
         }
         line("all", 1000 * sum, "ms");
--- a/packages/cli/commands.hpp
+++ b/packages/cli/commands.hpp
@@ -25,9 +25,9 @@
     std::vector<std::string> entries;
     std::string credential;
     bool as_json = false;
-    std::optional<std::string> expects;
-    std::string workspace;
-    bool wait = true;
+    std::optional<std::string> expects; ///< cell value the operator saw
+    std::string workspace; ///< whose tasks `task list` shows; empty: own
+    bool wait = true;      ///< until an edit is in force everywhere
     std::vector<std::string> arguments;
 };
 
--- a/packages/cli/explain.hpp
+++ b/packages/cli/explain.hpp
@@ -26,7 +26,8 @@
 /// @brief The lines that concern a job, ordered by time.
 ///
 /// These are the events of the job and its tasks, and between the first and the
-/// last of them the events of leadership, the store, and the guards that ran
+/// last of them the events that affect many jobs (leadership, store,
+/// configuration, closures, withheld starts) and those of the guards that ran
 /// its tasks.
 std::vector<log_line> timeline_of(const std::string& job,
                                   std::vector<log_line> lines);
--- a/packages/core/include/springstair/detail/core/events.hpp
+++ b/packages/core/include/springstair/detail/core/events.hpp
@@ -106,8 +106,6 @@
 };
 
 /// @brief Writes one event as a line of JSON to the log.
-/// @param id which event @param fields its values
-///
 /// Thread-safe.
 void log_event(event_id id, std::initializer_list<event_field> fields = {});
 
--- a/packages/core/include/springstair/detail/core/names.hpp
+++ b/packages/core/include/springstair/detail/core/names.hpp
@@ -62,7 +62,7 @@
     batch
 };
 
-/// @brief Known result of a request that no executor answered.
+/// @brief What is known of a request that got no answer from an executor.
 enum class outcome : std::uint8_t
 {
     not_run, ///< the request certainly did not run
@@ -81,11 +81,11 @@
     deadline,
     draining,
     no_executor,
-    retry_budget,
+    retry_budget, ///< unused; the attempt's own refusal is reported
     connection_lost,
-    wrong_incarnation,
-    duplicate,
-    starting,
+    wrong_incarnation, ///< addressed to a past incarnation
+    duplicate,         ///< the attempt was received before
+    starting,          ///< the process does not accept this request yet
     store_unavailable,
     never_fits,
     busy ///< no slot is free now, and the attempt may not be queued
--- a/packages/entry/include/springstair/detail/entry/request_core.hpp
+++ b/packages/entry/include/springstair/detail/entry/request_core.hpp
@@ -140,8 +140,8 @@
     /// @brief Applies a newer table; ignores any other.
     /// @return whether the table was applied
     bool on_table(const table& rows);
-    /// @brief Refuses requests whose deadline has passed and expires
-    /// unresponsive guards and entries.
+    /// @brief Ends requests whose deadline has passed, expires unresponsive
+    /// guards and entries, and retries repeatable requests from lost guards.
     request_actions on_tick(time_point now);
 
     /// @brief Adds this entry's limit usage to a summary for a peer.
--- a/packages/entry/include/springstair/detail/entry/table_synchronizer.hpp
+++ b/packages/entry/include/springstair/detail/entry/table_synchronizer.hpp
@@ -25,9 +25,9 @@
 {
     std::string writer; ///< prefix of this process's nonces
     duration poll = std::chrono::seconds(1);
-    duration edit_deadline = std::chrono::seconds(8);
-    duration retry = std::chrono::milliseconds(200);
-    std::int64_t kept_history = 1000; ///< revisions
+    duration edit_deadline = std::chrono::seconds(8); ///< from its arrival
+    duration retry = std::chrono::milliseconds(200);  ///< of store calls
+    std::int64_t kept_history = 1000; ///< revisions in the stored history
 };
 
 /// @brief Identifies an operator's edit within its entry.
@@ -83,10 +83,11 @@
 ///
 /// Processes one edit at a time: reads the document, applies and checks the
 /// edit, and writes the result if the document is unchanged since the read.
-/// Each write carries a nonce. If the answer to a write is lost, the document
-/// is read again:
+/// Each write carries a nonce. After each write, whether it was answered or
+/// not, the document is read again:
 /// - it contains the nonce: the write is committed;
-/// - it has changed without the nonce: the write can never take effect;
+/// - it has changed without the nonce: that write can never take effect; the
+///   edit is applied to the new document;
 /// - it is unchanged: the same write is sent again; at most one of the two
 ///   takes effect.
 class table_synchronizer
--- a/packages/entry/include/springstair/detail/entry/task_core.hpp
+++ b/packages/entry/include/springstair/detail/entry/task_core.hpp
@@ -26,9 +26,13 @@
     duration shard_poll_interval = std::chrono::seconds(2);
     duration takeover_delay = std::chrono::seconds(3);
     duration commit_interval = std::chrono::milliseconds(200);
-    duration retry = std::chrono::milliseconds(300);
+    duration retry = std::chrono::milliseconds(300); ///< of store calls
+    /// A start that the guard does not list is sent again after this time.
     duration resend_start = std::chrono::seconds(1);
+    /// A guard whose VM disappeared is gone after this time without a
+    /// heartbeat.
     duration gone_after = std::chrono::seconds(10);
+    /// How long attempts of unknown tasks are remembered.
     duration forget_unknown = std::chrono::minutes(1);
     std::int64_t snapshot_interval = 64; ///< segments
     std::size_t max_snapshot_bytes = 700'000;
@@ -203,7 +207,7 @@
         time_point unowned_since{};
         /// Send time of the last poll that confirmed this entry as the owner.
         time_point confirmed_at{};
-        /// Tasks with uncommitted steps.
+        /// Tasks with uncommitted transitions.
         std::set<std::string> uncommitted_tasks;
         std::vector<waiting_call> calls;
     };
--- a/packages/entry/src/request_core.cpp
+++ b/packages/entry/src/request_core.cpp
@@ -265,9 +265,9 @@
     }
 }
 
-// An attempt that is in flight at its request's deadline counts as a failure:
-// a guard refuses attempts that only wait in its queue, so this one was waiting
-// for the executor.
+// An attempt that is in flight at its request's deadline counts as a failure.
+// A guard refuses queued attempts before their deadline, so this one had been
+// sent to the executor.
 void request_core::record_timeout(time_point now, const open_request& pending,
                                   request_actions& actions)
 {
--- a/packages/entry/src/task_core.cpp
+++ b/packages/entry/src/task_core.cpp
@@ -12,9 +12,9 @@
 {
 
 constexpr int id_digits = 16;
-constexpr std::size_t max_pending = 2000;
-constexpr std::size_t max_detail = 4096;
-constexpr std::size_t max_payload = 4096;
+constexpr std::size_t max_pending = 2000; // transitions per shard
+constexpr std::size_t max_detail = 4096;  // bytes
+constexpr std::size_t max_payload = 4096; // bytes
 constexpr duration short_retry_after = std::chrono::seconds(1);
 
 std::string bounded(std::string text)
--- a/packages/entry/src/task_journal.cpp
+++ b/packages/entry/src/task_journal.cpp
@@ -1,5 +1,6 @@
-// The journal of a shard. Steps are committed in batches, each as a segment;
-// every snapshot_interval segments, a snapshot of all tasks replaces them.
+// The journal of a shard. Transitions are committed in batches, each as a
+// segment; every snapshot_interval segments, a snapshot of all tasks replaces
+// them.
 
 #include "task_keys.hpp"
 
--- a/packages/entry/src/task_placement.cpp
+++ b/packages/entry/src/task_placement.cpp
@@ -12,6 +12,7 @@
 {
 
 constexpr std::size_t sample_size = 3;
+// Failed searches of a workspace after which a pass skips its other tasks.
 constexpr std::size_t max_tries = 20;
 
 double fraction(std::int64_t part, std::int64_t whole)
--- a/packages/entry/src/task_shards.cpp
+++ b/packages/entry/src/task_shards.cpp
@@ -149,7 +149,7 @@
         if (owner != nullptr && owner->value == self)
         {
             shard.epoch =
-                owner->create_revision; // the answer to the claim was lost
+                owner->create_revision; // the acquiring write's answer was lost
             load_shard(number, actions);
         }
         else if (owner == nullptr)
--- a/packages/membership/include/springstair/detail/membership/directory.hpp
+++ b/packages/membership/include/springstair/detail/membership/directory.hpp
@@ -25,7 +25,7 @@
     guard_report report;
     time_point heard;
     bool listed_leaving = false; ///< in the platform's (delayed) list
-    bool unreachable = false;    ///< connection refused since last heartbeat
+    bool unreachable = false;    ///< no connection since the last heartbeat
 
     /// @brief Whether new work may be sent to the guard at @p now.
     [[nodiscard]] bool usable(time_point now,
@@ -53,12 +53,12 @@
     guard_change hear(time_point now, const guard_report& report);
     /// @brief Processes a load report received with an attempt's answer.
     void hear_load(const guard_name& guard, const load_report& load);
-    /// @brief Called when a connection to the guard was refused.
+    /// @brief Called when no connection to the guard could be opened.
     void refused(const guard_name& guard);
     /// @brief Sets the platform's list of leaving VMs, by address.
     void list_leaving(const std::set<std::string>& addresses);
     /// @brief Returns the guards that became suspect since the last call;
-    /// removes those silent for longer than @a forget_after.
+    /// removes those unresponsive for longer than @a forget_after.
     std::vector<guard_name> expire(time_point now);
 
     /// @brief All known guards, by name.
@@ -94,7 +94,7 @@
     /// @brief Processes the names of entries from which a guard receives
     /// messages.
     void relay(time_point now, const std::vector<std::string>& names);
-    /// @brief Removes entries silent for longer than @a forget_after.
+    /// @brief Removes entries unresponsive for longer than @a forget_after.
     void expire(time_point now);
 
     /// @brief Other entries that are not suspect, known directly or through a
--- a/packages/membership/include/springstair/detail/membership/messages.hpp
+++ b/packages/membership/include/springstair/detail/membership/messages.hpp
@@ -17,9 +17,9 @@
 /// @brief An amount of a worker's resources.
 struct resources
 {
-    std::int64_t cpu_millis = 0;
+    std::int64_t cpu_millis = 0; ///< thousandths of a processor
     std::int64_t memory_mb = 0;
-    std::int64_t accelerators = 0;
+    std::int64_t accelerators = 0; ///< whole devices
 
     bool operator==(const resources&) const = default;
 
@@ -54,7 +54,8 @@
 {
     std::string task;
     std::int64_t attempt = 0;
-    std::string state; ///< running, finished, failed, evicted or stopped
+    std::string state; ///< starting, running, finished, failed, evicted or
+                       ///< lost
     std::string detail;
 
     bool operator==(const attempt_report&) const = default;
--- a/packages/platform/include/springstair/detail/platform/platform_client.hpp
+++ b/packages/platform/include/springstair/detail/platform/platform_client.hpp
@@ -33,7 +33,7 @@
     /// @param lease how long the worker runs a task without a renewal
     worker_client(http_client& client, std::string address, duration lease);
 
-    /// @brief Requests the list of what runs.
+    /// @brief Requests the worker's list of attempts, running and ended.
     void list(list_completion done);
     /// @brief Sends a command. Its effect is visible in the next list.
     void carry_out(const worker_action& action);
--- a/packages/policy/include/springstair/detail/policy/admission.hpp
+++ b/packages/policy/include/springstair/detail/policy/admission.hpp
@@ -80,7 +80,8 @@
         orphans_ = slots;
     }
 
-    /// @brief Numbers of running and queued requests.
+    /// @brief Numbers of running and queued requests; slots set by occupy()
+    /// count as running requests of other classes.
     [[nodiscard]] load_report load() const;
     /// @brief Slots taken, including those set by occupy().
     [[nodiscard]] std::int64_t taken() const noexcept;
--- a/packages/policy/include/springstair/detail/policy/fleet_limits.hpp
+++ b/packages/policy/include/springstair/detail/policy/fleet_limits.hpp
@@ -22,7 +22,8 @@
     duration departure_delay = std::chrono::seconds(5);
     /// Window of the peak use that is considered when units are offered.
     duration peak_window = std::chrono::seconds(1);
-    /// Maximum burst, as seconds of requests at the rate limit.
+    /// Maximum burst, as seconds of requests at this entry's part of the rate
+    /// limit; at least one request.
     double burst_seconds = 0.25;
 };
 
@@ -31,8 +32,8 @@
 /// Each limit is split evenly among the live entries. An entry with spare
 /// units lends them to an entry that wants more. It counts them as its own
 /// again only after the borrower has reported that it no longer uses them, or
-/// after @a lender_timeout without an answer. So the sum of all parts does not
-/// exceed the limit while the entries agree on the set of members.
+/// after @a lender_timeout without an answer. So the sum of all quotas does
+/// not exceed the limit while the entries agree on the set of members.
 class fleet_limits
 {
 public:
@@ -65,7 +66,8 @@
     /// every lender: reporting too many units is safe.
     [[nodiscard]] unit_map holds() const;
 
-    /// @brief Maximum in-flight requests of a workspace at this entry.
+    /// @brief Maximum in-flight requests of a workspace at this entry. Not
+    /// meaningful for a workspace without a limit.
     [[nodiscard]] std::int64_t part(time_point now,
                                     const std::string& workspace) const;
     /// @brief Current in-flight requests of a workspace at this entry.
@@ -74,7 +76,7 @@
 private:
     struct loan
     {
-        std::int64_t counted = 0; ///< deducted from the lender's own part
+        std::int64_t counted = 0; ///< deducted from the lender's own quota
         std::int64_t offered = 0; ///< in the last message
         time_point sent;
     };
--- a/packages/policy/include/springstair/detail/policy/outlier_detector.hpp
+++ b/packages/policy/include/springstair/detail/policy/outlier_detector.hpp
@@ -29,8 +29,9 @@
 
 /// @brief Detects and ejects executors that fail their requests.
 ///
-/// An ejected guard receives nothing for a time that doubles with each
-/// ejection, then one request at a time as a probe, until a probe succeeds.
+/// An ejected guard receives nothing for a time that doubles with each of its
+/// ejections, up to max_ejection, then one request at a time as a probe, until
+/// a probe succeeds.
 /// Failures of a class with a high failure rate over all guards are not
 /// counted against a guard.
 class outlier_detector
@@ -51,11 +52,12 @@
     /// @brief Called when a request was sent; if the guard is ejected, it is
     /// the probe.
     void sent(time_point now, const guard_name& guard);
-    /// @brief Called when a sent request did not reach the executor.
+    /// @brief Called when a sent request gives no evidence about the executor:
+    /// if it was the probe, another probe may be sent.
     void returned(const guard_name& guard);
     /// @brief Clears the state of a guard, after its process restarted.
     void forget(const guard_name& guard);
-    /// @brief Guards that are ejected, including those being probe_sent_at.
+    /// @brief Guards that are ejected, including those being probed.
     [[nodiscard]] std::set<guard_name> ejected() const;
 
 private:
--- a/packages/policy/include/springstair/detail/policy/router.hpp
+++ b/packages/policy/include/springstair/detail/policy/router.hpp
@@ -87,7 +87,8 @@
 /// @param name `sampled`, `random` or `least_loaded`
 std::optional<any_router> router_named(const std::string& name);
 
-/// @brief Computes load and room of a candidate from a guard's report.
+/// @brief Computes a candidate's load, and whether it has a free slot, from a
+/// guard's report.
 ///
 /// Attempts of other entries are taken from the report. Those of this entry
 /// are taken from its own count, which includes attempts still in transit.
--- a/packages/policy/src/fleet_limits.cpp
+++ b/packages/policy/src/fleet_limits.cpp
@@ -52,7 +52,7 @@
 }
 
 // ---------------------------------------------------------------------------
-// Parts
+// Quotas
 // ---------------------------------------------------------------------------
 
 std::int64_t fleet_limits::even_quota(std::int64_t limit) const
--- a/packages/tasks/include/springstair/detail/tasks/shard_tasks.hpp
+++ b/packages/tasks/include/springstair/detail/tasks/shard_tasks.hpp
@@ -19,7 +19,7 @@
     class_name of;
     resources needs;
     std::int64_t run_ms = 0; ///< as declared; often far from the actual time
-    bool urgent = false;     ///< must start within 1.9 s, by eviction if needed
+    bool urgent = false;     ///< placed before the workspace's other tasks
     std::string payload;     ///< passed to the worker unparsed
 
     bool operator==(const task_spec&) const = default;
@@ -69,7 +69,7 @@
         accept,
         place,
         evict, ///< stopped with a checkpoint; resumed later
-        lose,  ///< the attempt is known to have ended without a result
+        lose,  ///< the attempt ended without a result or will never start
         retry, ///< the attempt failed; another one follows
         finish,
         fail,
@@ -98,11 +98,11 @@
 class shard_tasks
 {
 public:
-    /// @brief Max number of ended tasks that are kept.
+    /// @brief Maximum number of ended tasks that stay recorded.
     static constexpr std::size_t kept_ended = 500;
 
-    /// @brief Applies a step.
-    /// @return whether the step was valid in the task's current state
+    /// @brief Applies a transition.
+    /// @return whether it was valid in the task's current state
     bool apply(const task_transition& step);
     /// @brief A task's record, or null.
     [[nodiscard]] const task_record* find(const std::string& task) const;
--- a/packages/tasks/src/shard_tasks.cpp
+++ b/packages/tasks/src/shard_tasks.cpp
@@ -113,7 +113,7 @@
         }
         return follows;
     }
-    // The remaining steps are valid only for the currently placed attempt.
+    // The remaining transitions are valid only for the placed attempt.
     if (record.state != task_state::placed || step.attempt != record.attempt)
     {
         return false;
--- a/packages/transport/include/springstair/detail/transport/connection_pool.hpp
+++ b/packages/transport/include/springstair/detail/transport/connection_pool.hpp
@@ -22,10 +22,10 @@
 /// @brief Tracks the calls and connections of one client by peer.
 ///
 /// Limits the calls in flight to each peer, and thereby the connections: each
-/// costs the peer 32 KB and a descriptor. In simulated days with 160 peers, the
-/// process to which all of them report held 4,342 descriptors and 147 MB
-/// without a limit, and 391 and 22.5 MB with a limit of six and dead
-/// connections closed together.
+/// costs the peer 32 KB and a descriptor. In simulated days, a process to
+/// which 160 peers report held 4,342 descriptors and 147 MB without a limit;
+/// 391 and 22.5 MB with a limit of six calls per peer and dead connections
+/// closed together.
 ///
 /// A failure that makes one connection dead (for example, a middlebox that
 /// lost its connection table) affects all connections that were open to the
--- a/packages/transport/include/springstair/detail/transport/http_client.hpp
+++ b/packages/transport/include/springstair/detail/transport/http_client.hpp
@@ -24,10 +24,10 @@
 ///
 /// A GET may be resent automatically. Any other call is sent at most once: if
 /// its reused connection ends without an answer, the call ends as `unknown` and
-/// the caller decides whether to repeat it. With automatic resending, a start
-/// that had been executed was answered as refused, so its task was started on a
-/// second worker too; and with three reused connections that the receiver
-/// closed, one call was executed three times.
+/// the caller decides whether to repeat it. With automatic resending, one call
+/// was executed three times when the receiver closed three reused connections;
+/// and an executed start was sent again and answered as refused, so its task
+/// was also started on a second worker.
 struct http_call
 {
     std::string method = "POST";
@@ -88,8 +88,8 @@
     /// completion.
     http_result send_and_wait(http_call call);
 
-    /// @brief Number of unanswered calls on reused connections since
-    /// construction.
+    /// @brief Number of calls since construction that got no answer on a
+    /// reused connection, or that libcurl did not end at their timeout.
     [[nodiscard]] std::int64_t silent_connections() const noexcept;
 
     /// @brief Number of currently open connections to all peers.
--- a/packages/transport/include/springstair/detail/transport/http_server.hpp
+++ b/packages/transport/include/springstair/detail/transport/http_server.hpp
@@ -44,8 +44,8 @@
     unsigned int threads = 2;
     unsigned int max_connections = 4096;
     std::size_t most_body_bytes = 16U << 20U;
-    duration idle_timeout = std::chrono::seconds(30);
-    duration max_upload = std::chrono::seconds(20);
+    duration idle_timeout = std::chrono::seconds(30); ///< of a connection
+    duration max_upload = std::chrono::seconds(20);   ///< to receive one body
 };
 
 /// @brief An HTTP/1.1 server on one address.
@@ -55,8 +55,8 @@
     /// @brief Listens and serves until destroyed.
     /// @throw transport_error 201 if the server cannot listen on the address
     http_server(const http_server_options& options, http_handler handler);
-    /// @brief Answers `unknown` to all open requests, waits until the
-    /// responses are sent (at most 2 s), then stops.
+    /// @brief Answers `unknown` to all requests that were passed to the
+    /// handler, waits until the responses are sent (at most 2 s), then stops.
     ~http_server();
     http_server(const http_server&) = delete;
     http_server& operator=(const http_server&) = delete;
--- a/packages/transport/src/connection_pool.cpp
+++ b/packages/transport/src/connection_pool.cpp
@@ -7,9 +7,11 @@
 {
 
 // Consecutive unanswered calls on reused connections after which the peer's
-// idle connections are considered dead. With 1, each order that a worker left
-// unanswered caused new connections; in a simulated day this raised the prices
-// from 0.044 to 0.074 of the day's value.
+// idle connections are considered dead. More than 1, because a single
+// unanswered call may mean only that the peer did not answer it. With 1, when
+// worker orders were not yet exempt (http_call::answers_each_call), the new
+// connections after each unanswered order raised the costs of a simulated day
+// from 0.044 to 0.074 of its value.
 constexpr int unanswered_threshold = 2;
 
 } // namespace
--- a/packages/transport/src/http_client.cpp
+++ b/packages/transport/src/http_client.cpp
@@ -317,9 +317,9 @@
              {"waited_ms", std::to_string(to_milliseconds(waited))}});
     }
 
-    // libcurl may move a call whose reused connection failed to another one if
-    // none of it was sent or it is a GET. Before that, this shuts down the idle
-    // connections that failed together with this one.
+    // If a reused connection failed, libcurl may repeat its call on another
+    // connection: a GET, or a call of which no byte was sent. Before that, this
+    // shuts down the idle connections that failed together with it.
     void on_socket_error(int socket)
     {
         const auto found = std::find_if(
--- a/packages/transport/src/open_call.cpp
+++ b/packages/transport/src/open_call.cpp
@@ -68,7 +68,7 @@
     current.no_eligible_connection = current.call.connected_before.has_value();
     if (current.no_eligible_connection || !current.may_be_sent())
     {
-        return CURL_SOCKET_BAD; // avoids connecting for nothing
+        return CURL_SOCKET_BAD; // the call may not be sent on it
     }
     current.opened_connection = true;
     const int fd = socket(address->family, address->socktype | SOCK_CLOEXEC,
--- a/stand_ins/store_stand_in.cpp
+++ b/stand_ins/store_stand_in.cpp
@@ -4,7 +4,8 @@
 // POST /control {"mode": "up" | "down" | "slow" | "lie" | "hang",
 //                "delay_ms": n}
 //   down: answers 503 without effect; slow: answers after the delay;
-//   lie: takes effect, then answers 503; hang: never answers.
+//   lie: takes effect, then answers 503; hang: has no effect and answers
+//   `unknown` only at the next POST /control.
 // GET /control: number of calls so far. POST /control/vms: sets the list of
 // VMs.
 
