--- a/packages/daemon/src/job_settings.cpp
+++ b/packages/daemon/src/job_settings.cpp
@@ -53,7 +53,7 @@
                            : reader.text(key, std::optional<std::string>(""));
     if (!text.empty() && !is_endpoint(text))
     {
-        reader.report(key, text + " is not an IP address and a port");
+        reader.report(key, text + " is not an IPv4 address and port");
     }
     return text;
 }
@@ -83,7 +83,7 @@
     {
         if (!is_endpoint(one))
         {
-            reader.report("entries", one + " is not an IP address and a port");
+            reader.report("entries", one + " is not an IPv4 address and port");
             continue;
         }
         out.push_back(host_of(one) + ":" + std::to_string(port));
