--- a/bench/office.cpp
+++ b/bench/office.cpp
@@ -29,8 +29,8 @@
 constexpr auto step_length = milliseconds(2);
 // Latency of the store.
 constexpr auto store_delay = milliseconds(4);
-constexpr auto default_report = milliseconds(500);
-constexpr auto ends_report = milliseconds(120);
+constexpr auto default_report_interval = milliseconds(500);
+constexpr auto ends_report_interval = milliseconds(120);
 constexpr auto full_report_interval = milliseconds(400);
 constexpr std::int64_t default_tail_ms = 4;
 
@@ -289,15 +289,15 @@
 
     void end_finished_runs(simulated_worker& worker)
     {
-        std::vector<std::string> over;
+        std::vector<std::string> finished;
         for (const auto& [task, run] : worker.runs)
         {
             if (now_ >= run.ends)
             {
-                over.push_back(task);
+                finished.push_back(task);
             }
         }
-        for (const std::string& task : over)
+        for (const std::string& task : finished)
         {
             end_run(worker, task, run_end::done);
             worker.next_report = now_;
@@ -370,7 +370,8 @@
         std::erase_if(report.ended, [&](const ended_task& one)
                       { return one.number <= answer.orders.acknowledged; });
         worker.next_report =
-            now_ + (report.ended.empty() ? default_report : ends_report);
+            now_ + (report.ended.empty() ? default_report_interval
+                                         : ends_report_interval);
     }
 
     void write()
--- a/bench/slopes.cpp
+++ b/bench/slopes.cpp
@@ -213,21 +213,21 @@
     for (const int tasks : {100, 460, 2000})
     {
         const double before = heap_bytes();
-        shard_tasks book;
+        shard_tasks shard;
         for (int index = 0; index < tasks; ++index)
         {
             const std::string id = "t1-" + std::to_string(1000000 + index);
             task_transition step;
             step.task = id;
             step.spec = task_spec{.id = id, .of = {"team-1", "batch"}};
-            book.apply(step);
+            shard.apply(step);
         }
         print("shard: memory per task, by tasks", tasks,
               (heap_bytes() - before) / tasks, "bytes");
         print("shard: snapshot, by tasks", tasks,
-              static_cast<double>(book.to_document().dump().size()), "bytes");
+              static_cast<double>(shard.to_document().dump().size()), "bytes");
         print("shard: snapshot written, by tasks", tasks,
-              micros_each(5, [&](int) { book.to_document().dump(); }), "us");
+              micros_each(5, [&](int) { shard.to_document().dump(); }), "us");
     }
     task_transition step;
     step.what = task_transition::step::place;
@@ -243,34 +243,36 @@
           static_cast<double>(json(step).dump().size()), "bytes");
 }
 
-constexpr int filling_images = 18;
-constexpr resources worker_room{.cpu_millis = 32000, .memory_mb = 128000};
+constexpr int best_effort_images = 18;
+constexpr resources worker_capacity{.cpu_millis = 32000, .memory_mb = 128000};
 
 // The report of an idle worker.
 worker_report idle_report_of(int index, int sequence)
 {
     const std::string name = "guard-" + std::to_string(index);
-    worker_report report{
-        .guard = name,
-        .address = "10.0.0.1:7720",
-        .incarnation = "i",
-        .sequence = sequence,
-        .worker = {.executor = name, .service = "s", .capacity = worker_room},
-        .looked = true,
-        .answering = true};
+    worker_report report{.guard = name,
+                         .address = "10.0.0.1:7720",
+                         .incarnation = "i",
+                         .sequence = sequence,
+                         .worker = {.executor = name,
+                                    .service = "s",
+                                    .capacity = worker_capacity},
+                         .looked = true,
+                         .answering = true};
     return report;
 }
 
 job best_effort_job(int index, std::int64_t tasks)
 {
-    return {.id = "fill-" + std::to_string(index),
-            .queue = "heavy",
-            .payload = "p",
-            .steps = {{.count = tasks,
-                       .demand = {.cpu_millis = 3500, .memory_mb = 6400},
-                       .estimate_ms = 1700,
-                       .image = "f" + std::to_string(index % filling_images),
-                       .fills = true}}};
+    return {
+        .id = "fill-" + std::to_string(index),
+        .queue = "heavy",
+        .payload = "p",
+        .steps = {{.count = tasks,
+                   .demand = {.cpu_millis = 3500, .memory_mb = 6400},
+                   .estimate_ms = 1700,
+                   .image = "f" + std::to_string(index % best_effort_images),
+                   .fills = true}}};
 }
 
 void report_all(scheduler_core& core, int workers, int sequence, time_point now)
@@ -306,9 +308,8 @@
                             core.tick(now, 0);
                         });
         const auto placed = static_cast<double>(core.figures().starts);
-        print("holder: a task placed, by workers", workers, first / placed,
-              "us");
-        print("holder: a pass that places nothing", workers,
+        print("leader: task placed, by workers", workers, first / placed, "us");
+        print("leader: pass that places nothing", workers,
               micros_each(50,
                           [&](int)
                           {
--- a/stand_ins/worker_stand_in.cpp
+++ b/stand_ins/worker_stand_in.cpp
@@ -119,10 +119,10 @@
     std::string state = "running";
     std::string detail;
     json needs;
-    std::int64_t begun = 0;
-    std::int64_t done_before = 0; // run time completed by earlier attempts
-    std::int64_t lease_until = 0;
-    std::int64_t ended = 0;
+    std::int64_t begun_ms = 0;
+    std::int64_t done_before_ms = 0; // run time completed by earlier attempts
+    std::int64_t lease_until_ms = 0;
+    std::int64_t ended_ms = 0;
 };
 
 class worker
@@ -157,9 +157,9 @@
         const std::string checkpoint = body.value("checkpoint", std::string());
         task_run run;
         run.needs = body.at("needs");
-        run.begun = now;
-        run.done_before = checkpoint.empty() ? 0 : std::stoll(checkpoint);
-        run.lease_until = now + body.at("lease_ms").get<std::int64_t>();
+        run.begun_ms = now;
+        run.done_before_ms = checkpoint.empty() ? 0 : std::stoll(checkpoint);
+        run.lease_until_ms = now + body.at("lease_ms").get<std::int64_t>();
         runs_[key] = run;
         count_overshoot();
         const bool fails =
@@ -167,7 +167,7 @@
         const std::int64_t run_ms =
             payload.is_object() ? payload.value("run_ms", 100) : 100;
         const std::int64_t left =
-            fails ? 5 : std::max<std::int64_t>(0, run_ms - run.done_before);
+            fails ? 5 : std::max<std::int64_t>(0, run_ms - run.done_before_ms);
         timers_.after(std::chrono::milliseconds(left),
                       [this, key, fails]
                       {
@@ -189,7 +189,7 @@
             const auto found = runs_.find(name_of(item));
             if (found != runs_.end() && found->second.state == "running")
             {
-                found->second.lease_until =
+                found->second.lease_until_ms =
                     clock_ms() + body.at("lease_ms").get<std::int64_t>();
             }
         }
@@ -206,7 +206,8 @@
             return;
         }
         const task_run& run = found->second;
-        const std::int64_t progress = run.done_before + clock_ms() - run.begun;
+        const std::int64_t progress =
+            run.done_before_ms + clock_ms() - run.begun_ms;
         if (body.value("checkpoint", false))
         {
             end(key, "checkpointed", std::to_string(progress));
@@ -264,7 +265,7 @@
             {
                 all.push_back({{"task", key.first},
                                {"attempt", key.second},
-                               {"begin", run.begun},
+                               {"begin", run.begun_ms},
                                {"end", clock_ms()},
                                {"state", "running"}});
             }
@@ -297,10 +298,10 @@
     {
         run.state = state;
         run.detail = detail;
-        run.ended = when;
+        run.ended_ms = when;
         intervals_.push_back({{"task", key.first},
                               {"attempt", key.second},
-                              {"begin", run.begun},
+                              {"begin", run.begun_ms},
                               {"end", when},
                               {"state", state}});
     }
@@ -310,9 +311,9 @@
     {
         for (auto& [key, run] : runs_)
         {
-            if (run.state == "running" && clock_ms() > run.lease_until)
+            if (run.state == "running" && clock_ms() > run.lease_until_ms)
             {
-                end_at(key, run, "lapsed", "", run.lease_until);
+                end_at(key, run, "lapsed", "", run.lease_until_ms);
             }
         }
     }
