--- a/packages/cli/commands.cpp
+++ b/packages/cli/commands.cpp
@@ -67,14 +67,14 @@
     }
 }
 
-int show(session& entries, const answer& response,
+int show(session& api, const answer& response,
          const std::function<void(const json&)>& print)
 {
     if (exit_code_of(response) != exit_ok)
     {
         return report_error(response);
     }
-    if (entries.call().as_json)
+    if (api.call().as_json)
     {
         std::cout << response.body.dump(4) << "\n";
         return exit_ok;
@@ -127,13 +127,13 @@
     return {have, all};
 }
 
-int await_in_force(session& entries, std::int64_t revision)
+int await_in_force(session& api, std::int64_t revision)
 {
     const time_point until = boot_clock::now() + in_force_timeout;
     std::pair<int, int> count{0, 0};
     while (boot_clock::now() < until)
     {
-        const answer status = entries.ask("GET", "/v1/status");
+        const answer status = api.ask("GET", "/v1/status");
         if (exit_code_of(status) == exit_ok)
         {
             count = count_in_force(status.body, revision);
@@ -144,7 +144,7 @@
         }
         std::this_thread::sleep_for(status_poll_interval);
     }
-    if (!entries.call().as_json)
+    if (!api.call().as_json)
     {
         std::cout << "in force at " << count.first << " of " << count.second
                   << " processes\n";
@@ -152,15 +152,15 @@
     return exit_ok;
 }
 
-int send_edits(session& entries, const json& edits)
+int send_edits(session& api, const json& edits)
 {
-    const answer response = entries.ask("PATCH", "/v1/table", edits);
+    const answer response = api.ask("PATCH", "/v1/table", edits);
     if (exit_code_of(response) != exit_ok)
     {
         return report_error(response);
     }
     const std::int64_t revision = response.body.at("revision");
-    if (entries.call().as_json)
+    if (api.call().as_json)
     {
         std::cout << response.body.dump() << "\n";
     }
@@ -168,25 +168,25 @@
     {
         std::cout << "saved as revision " << revision << std::endl;
     }
-    return entries.call().wait ? await_in_force(entries, revision) : exit_ok;
+    return api.call().wait ? await_in_force(api, revision) : exit_ok;
 }
 
-json edit_of(session& entries, const std::string& row,
-             const std::string& column, const json& value)
+json edit_of(session& api, const std::string& row, const std::string& column,
+             const json& value)
 {
     json edit{{"row", row}, {"value", value}};
     if (!column.empty())
     {
         edit["column"] = column;
     }
-    if (entries.call().expects)
+    if (api.call().expects)
     {
-        edit["expects"] = read_value(*entries.call().expects);
+        edit["expects"] = read_value(*api.call().expects);
     }
     return json::array({edit});
 }
 
-int import_table(session& entries, const std::string& path)
+int import_table(session& api, const std::string& path)
 {
     std::ifstream file(path);
     std::stringstream text;
@@ -196,7 +196,7 @@
     {
         throw usage_error{path + " is not an exported table"};
     }
-    const answer present = entries.ask("GET", "/v1/table");
+    const answer present = api.ask("GET", "/v1/table");
     if (exit_code_of(present) != exit_ok)
     {
         return report_error(present);
@@ -225,12 +225,12 @@
         std::cout << "nothing to change\n";
         return exit_ok;
     }
-    return send_edits(entries, edits);
+    return send_edits(api, edits);
 }
 
-int export_table(session& entries, const std::string& path)
+int export_table(session& api, const std::string& path)
 {
-    const answer response = entries.ask("GET", "/v1/table");
+    const answer response = api.ask("GET", "/v1/table");
     if (exit_code_of(response) != exit_ok)
     {
         return report_error(response);
@@ -253,18 +253,18 @@
     }
 }
 
-int table_command(session& entries)
+int table_command(session& api)
 {
-    const std::vector<std::string>& arguments = entries.call().arguments;
+    const std::vector<std::string>& arguments = api.call().arguments;
     const std::string verb = arguments.size() > 1 ? arguments[1] : "";
     if (verb == "show")
     {
-        return show(entries, entries.ask("GET", "/v1/table"), print_table);
+        return show(api, api.ask("GET", "/v1/table"), print_table);
     }
     if (verb == "get")
     {
         require_arguments(arguments, 4);
-        return show(entries, entries.ask("GET", "/v1/table"),
+        return show(api, api.ask("GET", "/v1/table"),
                     [&](const json& document)
                     {
                         const json row = document.at("rows").value(
@@ -276,35 +276,34 @@
     if (verb == "set")
     {
         require_arguments(arguments, 5);
-        return send_edits(entries, edit_of(entries, arguments[2], arguments[3],
-                                           read_value(arguments[4])));
+        return send_edits(api, edit_of(api, arguments[2], arguments[3],
+                                       read_value(arguments[4])));
     }
     if (verb == "add-row")
     {
         require_arguments(arguments, 4);
-        json edits =
-            edit_of(entries, arguments[2], "", read_value(arguments[3]));
+        json edits = edit_of(api, arguments[2], "", read_value(arguments[3]));
         edits[0]["expects"] = nullptr; // an existing row is a conflict
-        return send_edits(entries, edits);
+        return send_edits(api, edits);
     }
     if (verb == "remove-row")
     {
         require_arguments(arguments, 3);
-        return send_edits(entries, edit_of(entries, arguments[2], "", nullptr));
+        return send_edits(api, edit_of(api, arguments[2], "", nullptr));
     }
     if (verb == "import")
     {
         require_arguments(arguments, 3);
-        return import_table(entries, arguments[2]);
+        return import_table(api, arguments[2]);
     }
     if (verb == "export")
     {
         require_arguments(arguments, 3);
-        return export_table(entries, arguments[2]);
+        return export_table(api, arguments[2]);
     }
     if (verb == "history")
     {
-        return show(entries, entries.ask("GET", "/v1/table/history"),
+        return show(api, api.ask("GET", "/v1/table/history"),
                     [](const json& body)
                     {
                         for (const json& one : body.at("history"))
@@ -336,9 +335,9 @@
                 "running", "queued", "tasks"});
 }
 
-int task_command(session& entries)
+int task_command(session& api)
 {
-    const std::vector<std::string>& arguments = entries.call().arguments;
+    const std::vector<std::string>& arguments = api.call().arguments;
     const std::string verb = arguments.size() > 1 ? arguments[1] : "";
     const auto print = [](const json& task)
     {
@@ -348,29 +347,26 @@
     if (verb == "submit")
     {
         require_arguments(arguments, 3);
-        return show(entries,
-                    entries.ask("POST", "/v1/tasks", read_value(arguments[2])),
+        return show(api, api.ask("POST", "/v1/tasks", read_value(arguments[2])),
                     print);
     }
     if (verb == "show")
     {
         require_arguments(arguments, 3);
-        return show(entries, entries.ask("GET", "/v1/tasks/" + arguments[2]),
-                    print);
+        return show(api, api.ask("GET", "/v1/tasks/" + arguments[2]), print);
     }
     if (verb == "cancel")
     {
         require_arguments(arguments, 3);
-        return show(entries, entries.ask("DELETE", "/v1/tasks/" + arguments[2]),
-                    print);
+        return show(api, api.ask("DELETE", "/v1/tasks/" + arguments[2]), print);
     }
     if (verb == "list")
     {
-        const std::string& whose = entries.call().workspace;
+        const std::string& whose = api.call().workspace;
         const std::string path = whose.empty()
                                      ? "/v1/tasks"
                                      : "/v1/operator/tasks?workspace=" + whose;
-        return show(entries, entries.ask("GET", path),
+        return show(api, api.ask("GET", path),
                     [](const json& body)
                     {
                         print_rows(body.at("tasks"),
@@ -460,36 +456,35 @@
                       "--help"};
 }
 
-int dispatch(session& entries)
+int dispatch(session& api)
 {
-    const std::vector<std::string>& arguments = entries.call().arguments;
+    const std::vector<std::string>& arguments = api.call().arguments;
     const std::string noun = arguments.empty() ? "" : arguments[0];
     if (noun == "job")
     {
-        return job_command(arguments, entries.call().as_json);
+        return job_command(arguments, api.call().as_json);
     }
-    if (entries.call().entries.empty())
+    if (api.call().entries.empty())
     {
         throw usage_error{"--entries or SPRINGSTAIR_ENTRIES is required"};
     }
     if (noun == "table")
     {
-        return table_command(entries);
+        return table_command(api);
     }
     if (noun == "task")
     {
-        return task_command(entries);
+        return task_command(api);
     }
     if (noun == "status")
     {
-        return show(entries, entries.ask("GET", "/v1/status"), print_status);
+        return show(api, api.ask("GET", "/v1/status"), print_status);
     }
     if (noun == "drain")
     {
         require_arguments(arguments, 2);
         return show(
-            entries,
-            entries.ask("POST", "/v1/drain", json{{"guard", arguments[1]}}),
+            api, api.ask("POST", "/v1/drain", json{{"guard", arguments[1]}}),
             [&](const json&) { std::cout << arguments[1] << " drains\n"; });
     }
     throw usage_error{"unknown command: " + noun};
@@ -505,12 +500,12 @@
            "job explain ID LOG..., job closures LOG...";
 }
 
-std::vector<std::string> split(const std::string& text, char at)
+std::vector<std::string> split(const std::string& text, char separator)
 {
     std::vector<std::string> parts;
     std::stringstream in(text);
     std::string part;
-    while (std::getline(in, part, at))
+    while (std::getline(in, part, separator))
     {
         if (!part.empty())
         {
@@ -524,8 +519,8 @@
 {
     try
     {
-        session entries(call);
-        return dispatch(entries);
+        session api(call);
+        return dispatch(api);
     }
     catch (const usage_error& error)
     {
--- a/packages/cli/commands.hpp
+++ b/packages/cli/commands.hpp
@@ -35,7 +35,7 @@
 const char* usage();
 
 /// @brief Splits a text at a character; empty parts are omitted.
-std::vector<std::string> split(const std::string& text, char at);
+std::vector<std::string> split(const std::string& text, char separator);
 
 /// @brief Executes a command.
 /// @return the exit code
--- a/packages/cli/explain.cpp
+++ b/packages/cli/explain.cpp
@@ -75,11 +75,11 @@
 
 } // namespace
 
-std::vector<log_line> read_log(std::istream& from)
+std::vector<log_line> read_log(std::istream& log)
 {
     std::vector<log_line> lines;
     std::string text;
-    while (std::getline(from, text))
+    while (std::getline(log, text))
     {
         if (auto line = parse_line(text))
         {
--- a/packages/cli/explain.hpp
+++ b/packages/cli/explain.hpp
@@ -21,7 +21,7 @@
 };
 
 /// @brief Reads the events of a log; other lines are skipped.
-std::vector<log_line> read_log(std::istream& from);
+std::vector<log_line> read_log(std::istream& log);
 
 /// @brief The lines that concern a job, ordered by time.
 ///
