--- a/packages/core/include/springstair/detail/core/mailbox.hpp
+++ b/packages/core/include/springstair/detail/core/mailbox.hpp
@@ -24,14 +24,14 @@
     }
 
     /// @brief Removes all queued events; if there are none, waits for one for
-    /// at most @p patience.
+    /// at most @p timeout.
     /// @return the events in the order of posting; may be empty
-    std::vector<Event> drain(duration patience)
+    std::vector<Event> drain(duration timeout)
     {
         std::vector<Event> taken;
         const absl::MutexLock lock(&mutex_);
         mutex_.AwaitWithTimeout(absl::Condition(this, &mailbox::has_events),
-                                absl::Microseconds(patience.count()));
+                                absl::Microseconds(timeout.count()));
         taken.swap(events_);
         return taken;
     }
--- a/packages/core/include/springstair/detail/core/time.hpp
+++ b/packages/core/include/springstair/detail/core/time.hpp
@@ -39,7 +39,7 @@
 };
 
 /// @brief The clock of a running daemon.
-class system_clock_source
+class boot_clock_source
 {
 public:
     /// @brief The current time on the boot clock.
--- a/packages/daemon/src/entry_table.cpp
+++ b/packages/daemon/src/entry_table.cpp
@@ -118,7 +118,7 @@
 void entry_control::act(const table_rejected& rejected)
 {
     log_event(event_id::table_refused,
-              {{"findings", to_document(rejected.wrong).dump()}});
+              {{"findings", to_document(rejected.errors).dump()}});
 }
 
 void entry_control::act(const store_availability& change)
@@ -180,7 +180,7 @@
     case edit_outcome::ending::refused:
         responder->respond(json_response(
             unprocessable,
-            {{"outcome", "not_run"}, {"findings", to_document(ended.wrong)}}));
+            {{"outcome", "not_run"}, {"findings", to_document(ended.errors)}}));
         break;
     case edit_outcome::ending::unavailable:
         responder->respond(json_response(
--- a/packages/daemon/src/entry_tasks.cpp
+++ b/packages/daemon/src/entry_tasks.cpp
@@ -301,7 +301,7 @@
     else
     {
         found->second->respond(
-            to_response(answer.wrong.value_or(problem_report{})));
+            to_response(answer.problem.value_or(problem_report{})));
     }
     task_calls_.erase(found);
 }
--- a/packages/daemon/src/role_support.hpp
+++ b/packages/daemon/src/role_support.hpp
@@ -12,7 +12,7 @@
 
 /// The clock of both roles. The state machines receive its readings as
 /// arguments.
-using daemon_clock = system_clock_source;
+using daemon_clock = boot_clock_source;
 static_assert(clock_source<daemon_clock>);
 
 /// A received request and the responder that answers it.
--- a/packages/entry/include/springstair/detail/entry/request_core.hpp
+++ b/packages/entry/include/springstair/detail/entry/request_core.hpp
@@ -20,7 +20,7 @@
     std::string incarnation;
     std::string data_centre;
     any_router router = sampled_router{};
-    int most_attempts = 3;
+    int max_attempts = 3;
     /// Number of guards without a free slot that a latency-critical request
     /// tries before it may wait in a guard's queue.
     int max_busy_replies = 2;
--- a/packages/entry/include/springstair/detail/entry/table_synchronizer.hpp
+++ b/packages/entry/include/springstair/detail/entry/table_synchronizer.hpp
@@ -24,10 +24,10 @@
 struct table_synchronizer_options
 {
     std::string writer; ///< prefix of this process's nonces
-    duration poll = std::chrono::seconds(1);
-    duration edit_deadline = std::chrono::seconds(8); ///< from its arrival
-    duration retry = std::chrono::milliseconds(200);  ///< of store calls
-    std::int64_t kept_history = 1000; ///< revisions in the stored history
+    duration poll_interval = std::chrono::seconds(1);
+    duration edit_timeout = std::chrono::seconds(8); ///< after an edit arrives
+    duration retry_delay = std::chrono::milliseconds(200); ///< of store calls
+    std::int64_t max_history = 1000; ///< revisions in the stored history
 };
 
 /// @brief Identifies an operator's edit within its entry.
@@ -50,7 +50,7 @@
     ending how = ending::unknown;
     std::int64_t revision = 0; ///< of the commit
     std::vector<edit_conflict> conflicts;
-    findings wrong;
+    findings errors;
 };
 
 /// @brief Action: puts a newer table from the store in force.
@@ -63,7 +63,7 @@
 /// table stays in force.
 struct table_rejected
 {
-    findings wrong;
+    findings errors;
 };
 
 /// @brief Action: reports that the store became available or unavailable.
--- a/packages/entry/include/springstair/detail/entry/task_core.hpp
+++ b/packages/entry/include/springstair/detail/entry/task_core.hpp
@@ -26,14 +26,14 @@
     duration shard_poll_interval = std::chrono::seconds(2);
     duration takeover_delay = std::chrono::seconds(3);
     duration commit_interval = std::chrono::milliseconds(200);
-    duration retry = std::chrono::milliseconds(300); ///< of store calls
+    duration retry_delay = std::chrono::milliseconds(300); ///< of store calls
     /// A start that the guard does not list is sent again after this time.
-    duration resend_start = std::chrono::seconds(1);
+    duration start_resend_delay = std::chrono::seconds(1);
     /// A guard whose VM disappeared is gone after this time without a
     /// heartbeat.
-    duration gone_after = std::chrono::seconds(10);
+    duration gone_timeout = std::chrono::seconds(10);
     /// How long attempts of unknown tasks are remembered.
-    duration forget_unknown = std::chrono::minutes(1);
+    duration unknown_attempt_retention = std::chrono::minutes(1);
     std::int64_t snapshot_interval = 64; ///< segments
     std::size_t max_snapshot_bytes = 700'000;
     std::int64_t max_failures = 3;
@@ -48,8 +48,8 @@
 struct task_answer
 {
     task_call call = 0;
-    std::optional<task_record> record;   ///< if it succeeded
-    std::optional<problem_report> wrong; ///< if it failed
+    std::optional<task_record> record;     ///< if it succeeded
+    std::optional<problem_report> problem; ///< if it failed
 };
 
 /// @brief Action: sends a start to a guard.
@@ -238,7 +238,7 @@
 
     // The journal.
     static void rebuild_uncommitted_tasks(shard_state& shard);
-    static void append_step(shard_state& shard, task_transition step);
+    static void append_transition(shard_state& shard, task_transition step);
     void commit(time_point now, std::int64_t number, task_actions& actions);
     void snapshot(std::int64_t number, task_actions& actions);
     void send_for(shard_state& shard, kv_operation operation,
@@ -253,8 +253,8 @@
     void answer_calls(std::int64_t number, task_actions& actions);
     static void refuse_calls(shard_state& shard, bool may_be_written,
                              task_actions& actions);
-    static void queue_step(shard_state& shard, task_call call,
-                           time_point deadline, task_transition step);
+    static void queue_transition(shard_state& shard, task_call call,
+                                 time_point deadline, task_transition step);
     void expire_calls(time_point now, shard_state& shard,
                       task_actions& actions);
 
--- a/packages/entry/src/request_core.cpp
+++ b/packages/entry/src/request_core.cpp
@@ -218,7 +218,7 @@
                                    request_actions& actions)
 {
     const request_number number = pending.request.number;
-    const bool may_retry = pending.attempts < options_.most_attempts &&
+    const bool may_retry = pending.attempts < options_.max_attempts &&
                            now < pending.request.deadline;
     if (!may_retry || (from_budget && !retries_.take()))
     {
@@ -247,7 +247,7 @@
         result.refused_with.reason != refusal::connection_lost;
     if (refused_by_guard)
     {
-        outliers_.returned(sent.guard);
+        outliers_.discard_probe(sent.guard);
         return;
     }
     if (success)
@@ -338,7 +338,7 @@
         break;
     case ending::failed:
         pending.may_have_run = true;
-        if (pending.repeatable && pending.attempts < options_.most_attempts &&
+        if (pending.repeatable && pending.attempts < options_.max_attempts &&
             now < pending.request.deadline && retries_.take() &&
             route(now, pending, actions))
         {
@@ -352,7 +352,7 @@
         handle_refusal(now, pending, result.refused_with, actions);
         break;
     case ending::not_sent:
-        guards_.refused(sent.guard);
+        guards_.on_unreachable(sent.guard);
         retry_or_refuse(now, pending,
                         not_run(refusal::connection_lost, short_retry_after),
                         true, actions);
@@ -448,7 +448,7 @@
     for (const request_number number : to_retry)
     {
         open_request& pending = requests_.at(number);
-        if (pending.attempts >= options_.most_attempts || !retries_.take())
+        if (pending.attempts >= options_.max_attempts || !retries_.take())
         {
             continue;
         }
--- a/packages/entry/src/table_synchronizer.cpp
+++ b/packages/entry/src/table_synchronizer.cpp
@@ -84,12 +84,12 @@
     }
     catch (const document_error& error)
     {
-        actions.emplace_back(table_rejected{.wrong = error.all()});
+        actions.emplace_back(table_rejected{.errors = error.all()});
     }
     catch (const json::exception&)
     {
-        actions.emplace_back(
-            table_rejected{.wrong = {{.place = "", .message = "is not JSON"}}});
+        actions.emplace_back(table_rejected{
+            .errors = {{.place = "", .message = "is not JSON"}}});
     }
 }
 
@@ -103,7 +103,7 @@
                                .prefix = false,
                                .min_mod_revision = seen_mod_revision_ + 1});
         poll_ = call.token;
-        next_poll_ = now + options_.poll;
+        next_poll_ = now + options_.poll_interval;
         actions.emplace_back(std::move(call));
     }
     while (!edits_.empty() && now >= edits_.front().deadline)
@@ -116,7 +116,7 @@
                      .how = how,
                      .revision = 0,
                      .conflicts = {},
-                     .wrong = {}},
+                     .errors = {}},
                     now, actions);
     }
     if (!edits_.empty() && edits_.front().state == stage::waiting &&
@@ -138,7 +138,7 @@
     pending_edit edit;
     edit.number = number;
     edit.edits = std::move(edits);
-    edit.deadline = now + options_.edit_deadline;
+    edit.deadline = now + options_.edit_timeout;
     edit.retry_at = now;
     edit.nonce = options_.writer + "." + std::to_string(next_nonce_++);
     edits_.push_back(std::move(edit));
@@ -188,10 +188,10 @@
                  {.key = history_key(revision),
                   .value = history_entry(revision, edit.edits).dump()}},
         .deletes = {}};
-    if (revision > options_.kept_history)
+    if (revision > options_.max_history)
     {
         transaction.deletes.push_back(
-            {.key = history_key(revision - options_.kept_history)});
+            {.key = history_key(revision - options_.max_history)});
     }
     store_call call = make_call(std::move(transaction));
     edit.token = call.token;
@@ -207,7 +207,7 @@
     if (answer.how != kv_answer::state::done)
     {
         edit.state = stage::waiting;
-        edit.retry_at = now + options_.retry;
+        edit.retry_at = now + options_.retry_delay;
         return;
     }
     json document = empty_document;
@@ -222,13 +222,13 @@
     {
         document = empty_document;
     }
-    if (contains(writers_of(document), edit.nonce))
+    if (contains(write_nonces_of(document), edit.nonce))
     {
         finish_edit({.number = edit.number,
                      .how = edit_outcome::ending::committed,
                      .revision = edit.written_revision,
                      .conflicts = {},
-                     .wrong = {}},
+                     .errors = {}},
                     now, actions);
         return;
     }
@@ -239,11 +239,11 @@
                      .how = edit_outcome::ending::conflict,
                      .revision = 0,
                      .conflicts = std::move(edited.conflicts),
-                     .wrong = {}},
+                     .errors = {}},
                     now, actions);
         return;
     }
-    sign_document(edited.document, edit.nonce);
+    add_write_nonce(edited.document, edit.nonce);
     try
     {
         table::parse(edited.document);
@@ -254,7 +254,7 @@
                      .how = edit_outcome::ending::refused,
                      .revision = 0,
                      .conflicts = {},
-                     .wrong = error.all()},
+                     .errors = error.all()},
                     now, actions);
         return;
     }
@@ -272,7 +272,7 @@
     if (answer.how != kv_answer::state::done)
     {
         edit.state = stage::waiting;
-        edit.retry_at = now + options_.retry;
+        edit.retry_at = now + options_.retry_delay;
         return;
     }
     // The next read shows whether the write is committed or was superseded, and
--- a/packages/entry/src/task_core.cpp
+++ b/packages/entry/src/task_core.cpp
@@ -105,12 +105,12 @@
 // Callers
 // ---------------------------------------------------------------------------
 
-void task_core::queue_step(shard_state& shard, task_call call,
-                           time_point deadline, task_transition step)
+void task_core::queue_transition(shard_state& shard, task_call call,
+                                 time_point deadline, task_transition step)
 {
     shard.calls.push_back(
         {.call = call, .task = step.task, .deadline = deadline, .sent = false});
-    append_step(shard, std::move(step));
+    append_transition(shard, std::move(step));
 }
 
 std::string task_core::new_id(std::int64_t number)
@@ -135,7 +135,7 @@
         actions.emplace_back(
             task_answer{.call = call,
                         .record = {},
-                        .wrong = not_run(reason, wait, detail)});
+                        .problem = not_run(reason, wait, detail)});
     };
     if (table_.find(spec.of) == nullptr)
     {
@@ -190,7 +190,7 @@
     task_transition step;
     step.task = spec.id;
     step.spec = std::move(spec);
-    queue_step(*least_loaded, call, deadline, std::move(step));
+    queue_transition(*least_loaded, call, deadline, std::move(step));
 }
 
 void task_core::on_cancel(task_call call, time_point deadline,
@@ -202,16 +202,16 @@
         shard == nullptr ? nullptr : shard->tasks.find(task);
     if (record == nullptr || record->spec.of.workspace != workspace)
     {
-        actions.emplace_back(
-            task_answer{.call = call,
-                        .record = {},
-                        .wrong = not_run(refusal::unknown_class, duration{0})});
+        actions.emplace_back(task_answer{
+            .call = call,
+            .record = {},
+            .problem = not_run(refusal::unknown_class, duration{0})});
         return;
     }
     if (is_final(record->state))
     {
         actions.emplace_back(
-            task_answer{.call = call, .record = *record, .wrong = {}});
+            task_answer{.call = call, .record = *record, .problem = {}});
         return;
     }
     if (!store_available_)
@@ -219,13 +219,13 @@
         actions.emplace_back(task_answer{
             .call = call,
             .record = {},
-            .wrong = not_run(refusal::store_unavailable, short_retry_after)});
+            .problem = not_run(refusal::store_unavailable, short_retry_after)});
         return;
     }
     task_transition step;
     step.what = task_transition::step::cancel;
     step.task = task;
-    queue_step(*shard, call, deadline, std::move(step));
+    queue_transition(*shard, call, deadline, std::move(step));
 }
 
 // ---------------------------------------------------------------------------
@@ -264,7 +264,7 @@
     step.task = report.task;
     step.attempt = report.attempt;
     step.detail = bounded(report.detail);
-    append_step(*owned_shard(report.task), std::move(step));
+    append_transition(*owned_shard(report.task), std::move(step));
 }
 
 void task_core::record_ended_attempt(const std::string& guard,
@@ -287,7 +287,7 @@
     step.task = report.task;
     step.attempt = report.attempt;
     step.detail = bounded(report.detail);
-    append_step(*owned_shard(report.task), std::move(step));
+    append_transition(*owned_shard(report.task), std::move(step));
 }
 
 void task_core::record_lost(const std::string& task, std::int64_t attempt,
@@ -301,14 +301,14 @@
     {
         return;
     }
-    workers_.returned(
+    workers_.discard_probe(
         {record->guard}); // a lost attempt is no evidence for or against it
     task_transition step;
     step.what = task_transition::step::lose;
     step.task = task;
     step.attempt = attempt;
     step.detail = why;
-    append_step(*shard, std::move(step));
+    append_transition(*shard, std::move(step));
 }
 
 // Handles placed attempts that the guard does not list: the start is in flight
@@ -348,9 +348,9 @@
             continue;
         }
         const auto sent = starts_.find(task);
-        const bool due = sent == starts_.end() ||
-                         sent->second.attempt != record->attempt ||
-                         now - sent->second.sent_at > options_.resend_start;
+        const bool due =
+            sent == starts_.end() || sent->second.attempt != record->attempt ||
+            now - sent->second.sent_at > options_.start_resend_delay;
         if (due)
         {
             start_placed(now, *record, actions);
@@ -404,7 +404,7 @@
                 }
                 else
                 {
-                    workers_.returned(report.guard);
+                    workers_.discard_probe(report.guard);
                 }
                 record_ended_attempt(guard, *record, attempt);
             }
@@ -462,7 +462,7 @@
         const auto view = guards.find({name});
         const bool unresponsive =
             view == guards.end() ||
-            now - view->second.heard > options_.gone_after;
+            now - view->second.last_heartbeat_at > options_.gone_timeout;
         const auto placed = placed_on_.find(name);
         if (!unresponsive || placed == placed_on_.end())
         {
@@ -495,8 +495,9 @@
         const kv_answer seen = *std::exchange(last_shard_poll_, std::nullopt);
         update_ownership(now, seen, entries, actions);
     }
-    std::erase_if(unknown_attempts_since_, [&](const auto& item)
-                  { return now - item.second > options_.forget_unknown; });
+    std::erase_if(
+        unknown_attempts_since_, [&](const auto& item)
+        { return now - item.second > options_.unknown_attempt_retention; });
     update_usage();
     run_placement_pass(now, guards);
     for (auto& [number, shard] : shards_)
--- a/packages/entry/src/task_journal.cpp
+++ b/packages/entry/src/task_journal.cpp
@@ -38,7 +38,7 @@
 
 } // namespace
 
-void task_core::append_step(shard_state& shard, task_transition step)
+void task_core::append_transition(shard_state& shard, task_transition step)
 {
     shard.uncommitted_tasks.insert(step.task);
     shard.pending.push_back(std::move(step));
@@ -133,7 +133,7 @@
     {
         // Sends the same write again: it can take effect only once.
         shard.retry_operation = shard.in_flight;
-        shard.retry_at = now + options_.retry;
+        shard.retry_at = now + options_.retry_delay;
         return;
     }
     const bool checked = std::exchange(shard.verifying, false);
@@ -240,7 +240,7 @@
             continue;
         }
         actions.emplace_back(
-            task_answer{.call = call.call, .record = *record, .wrong = {}});
+            task_answer{.call = call.call, .record = *record, .problem = {}});
     }
     shard.calls = std::move(later);
 }
@@ -254,7 +254,7 @@
         actions.emplace_back(task_answer{
             .call = call.call,
             .record = {},
-            .wrong = problem_report{
+            .problem = problem_report{
                 .result = in_doubt ? outcome::unknown : outcome::not_run,
                 .reason = refusal::store_unavailable,
                 .retry_after = in_doubt ? duration{0} : short_retry_after,
--- a/packages/entry/src/task_placement.cpp
+++ b/packages/entry/src/task_placement.cpp
@@ -13,7 +13,7 @@
 
 constexpr std::size_t sample_size = 3;
 // Failed searches of a workspace after which a pass skips its other tasks.
-constexpr std::size_t max_tries = 20;
+constexpr std::size_t max_failed_searches = 20;
 
 double fraction(std::int64_t part, std::int64_t whole)
 {
@@ -269,7 +269,7 @@
     reservations_[*chosen][record.spec.id] = record.spec.needs;
     usage_[record.spec.of.workspace] += record.spec.needs;
     workers_.sent(now, *chosen);
-    append_step(*owned_shard(record.spec.id), std::move(step));
+    append_transition(*owned_shard(record.spec.id), std::move(step));
     return true;
 }
 
@@ -285,7 +285,7 @@
         fleet += view.report.capacity;
     }
     waiting_tasks queues = waiting();
-    std::map<std::string, std::size_t> tries;
+    std::map<std::string, std::size_t> failed_searches;
     std::size_t places = 0;
     while (!queues.empty() && places < options_.max_placements_per_tick)
     {
@@ -299,7 +299,8 @@
         next->second.pop_back();
         const bool placed = place_task(now, *record, guards);
         places += placed ? 1 : 0;
-        const bool exhausted = !placed && ++tries[next->first] >= max_tries;
+        const bool exhausted =
+            !placed && ++failed_searches[next->first] >= max_failed_searches;
         if (next->second.empty() || exhausted)
         {
             queues.erase(next);
--- a/packages/entry/src/task_shards.cpp
+++ b/packages/entry/src/task_shards.cpp
@@ -212,7 +212,7 @@
     {
         shard.retry_operation =
             kv_range{.key = task_keys::all_of(number), .prefix = true};
-        shard.retry_at = now + options_.retry;
+        shard.retry_at = now + options_.retry_delay;
         return;
     }
     shard.tasks = shard_tasks{};
--- a/packages/membership/include/springstair/detail/membership/directory.hpp
+++ b/packages/membership/include/springstair/detail/membership/directory.hpp
@@ -23,7 +23,7 @@
 struct guard_view
 {
     guard_report report;
-    time_point heard;
+    time_point last_heartbeat_at;
     bool listed_leaving = false; ///< in the platform's (delayed) list
     bool unreachable = false;    ///< no connection since the last heartbeat
 
@@ -54,7 +54,7 @@
     /// @brief Processes a load report received with an attempt's answer.
     void hear_load(const guard_name& guard, const load_report& load);
     /// @brief Called when no connection to the guard could be opened.
-    void refused(const guard_name& guard);
+    void on_unreachable(const guard_name& guard);
     /// @brief Sets the platform's list of leaving VMs, by address.
     void list_leaving(const std::set<std::string>& addresses);
     /// @brief Returns the guards that became suspect since the last call;
@@ -79,7 +79,7 @@
 private:
     directory_options options_;
     std::map<guard_name, guard_view> guards_;
-    std::set<guard_name> silent_;
+    std::set<guard_name> suspects_;
 };
 
 /// @brief The other entries known to an entry.
@@ -110,7 +110,7 @@
 private:
     directory_options options_;
     std::map<std::string, entry_summary> summaries_;
-    std::map<std::string, time_point> heard_;
+    std::map<std::string, time_point> last_seen_at_;
 };
 
 } // namespace springstair
--- a/packages/membership/src/directory.cpp
+++ b/packages/membership/src/directory.cpp
@@ -8,7 +8,7 @@
 bool guard_view::usable(time_point now, const directory_options& options) const
 {
     return report.ready && !report.leaving && !listed_leaving && !unreachable &&
-           now - heard <= options.suspect_after;
+           now - last_heartbeat_at <= options.suspect_after;
 }
 
 // ---------------------------------------------------------------------------
@@ -23,13 +23,13 @@
 {
     const auto [position, fresh] = guards_.try_emplace(report.guard);
     guard_view& view = position->second;
-    const bool was_silent = silent_.erase(report.guard) > 0;
+    const bool was_suspect = suspects_.erase(report.guard) > 0;
     const bool restarted = view.report.incarnation != report.incarnation;
     const bool now_leaving = report.leaving && !view.report.leaving;
     view.report = report;
-    view.heard = now;
+    view.last_heartbeat_at = now;
     view.unreachable = false;
-    if (fresh || was_silent)
+    if (fresh || was_suspect)
     {
         return guard_change::joined;
     }
@@ -50,7 +50,7 @@
     }
 }
 
-void guard_directory::refused(const guard_name& guard)
+void guard_directory::on_unreachable(const guard_name& guard)
 {
     const auto found = guards_.find(guard);
     if (found != guards_.end())
@@ -72,15 +72,18 @@
     std::vector<guard_name> lost;
     for (const auto& [name, view] : guards_)
     {
-        if (now - view.heard > options_.suspect_after &&
-            silent_.insert(name).second)
+        if (now - view.last_heartbeat_at > options_.suspect_after &&
+            suspects_.insert(name).second)
         {
             lost.push_back(name);
         }
     }
-    std::erase_if(guards_, [&](const auto& item)
-                  { return now - item.second.heard > options_.forget_after; });
-    std::erase_if(silent_,
+    std::erase_if(guards_,
+                  [&](const auto& item) {
+                      return now - item.second.last_heartbeat_at >
+                             options_.forget_after;
+                  });
+    std::erase_if(suspects_,
                   [&](const auto& name) { return !guards_.contains(name); });
     return lost;
 }
@@ -102,7 +105,7 @@
 bool entry_directory::hear(time_point now, const entry_summary& summary)
 {
     const std::string& name = summary.entry.value;
-    heard_[name] = now;
+    last_seen_at_[name] = now;
     return summaries_.insert_or_assign(name, summary).second;
 }
 
@@ -111,24 +114,24 @@
 {
     for (const std::string& name : names)
     {
-        heard_[name] = now;
+        last_seen_at_[name] = now;
     }
 }
 
 void entry_directory::expire(time_point now)
 {
-    std::erase_if(heard_, [&](const auto& item)
+    std::erase_if(last_seen_at_, [&](const auto& item)
                   { return now - item.second > options_.forget_after; });
     std::erase_if(summaries_, [&](const auto& item)
-                  { return !heard_.contains(item.first); });
+                  { return !last_seen_at_.contains(item.first); });
 }
 
 std::set<std::string> entry_directory::alive(time_point now) const
 {
     std::set<std::string> names;
-    for (const auto& [name, heard] : heard_)
+    for (const auto& [name, last_seen_at] : last_seen_at_)
     {
-        if (now - heard <= options_.suspect_after)
+        if (now - last_seen_at <= options_.suspect_after)
         {
             names.insert(name);
         }
--- a/packages/policy/include/springstair/detail/policy/fleet_limits.hpp
+++ b/packages/policy/include/springstair/detail/policy/fleet_limits.hpp
@@ -68,8 +68,8 @@
 
     /// @brief Maximum in-flight requests of a workspace at this entry. Not
     /// meaningful for a workspace without a limit.
-    [[nodiscard]] std::int64_t part(time_point now,
-                                    const std::string& workspace) const;
+    [[nodiscard]] std::int64_t quota(time_point now,
+                                     const std::string& workspace) const;
     /// @brief Current in-flight requests of a workspace at this entry.
     [[nodiscard]] std::int64_t in_flight(const std::string& workspace) const;
 
--- a/packages/policy/include/springstair/detail/policy/outlier_detector.hpp
+++ b/packages/policy/include/springstair/detail/policy/outlier_detector.hpp
@@ -11,12 +11,12 @@
 /// @brief When and for how long a guard's executor is ejected.
 struct outlier_options
 {
-    int failures_in_a_row = 5;
+    int ejection_threshold = 5;
     duration first_ejection = std::chrono::seconds(1);
     duration max_ejection = std::chrono::seconds(30);
-    double max_ejected = 0.34;       ///< share of known guards
-    double bad_class_failures = 0.5; ///< failure rate above which a
-                                     ///< failure is blamed on the class
+    double max_ejected_share = 0.34;     ///< share of known guards
+    double max_class_failure_rate = 0.5; ///< failure rate above which a
+                                         ///< failure is blamed on the class
 };
 
 /// @brief State change of a guard caused by a result.
@@ -54,7 +54,7 @@
     void sent(time_point now, const guard_name& guard);
     /// @brief Called when a sent request gives no evidence about the executor:
     /// if it was the probe, another probe may be sent.
-    void returned(const guard_name& guard);
+    void discard_probe(const guard_name& guard);
     /// @brief Clears the state of a guard, after its process restarted.
     void forget(const guard_name& guard);
     /// @brief Guards that are ejected, including those being probed.
--- a/packages/policy/src/fleet_limits.cpp
+++ b/packages/policy/src/fleet_limits.cpp
@@ -89,8 +89,8 @@
     return units;
 }
 
-std::int64_t fleet_limits::part(time_point now,
-                                const std::string& workspace) const
+std::int64_t fleet_limits::quota(time_point now,
+                                 const std::string& workspace) const
 {
     const std::int64_t limit = limit_of(workspace);
     const auto found = usage_.find(workspace);
@@ -127,20 +127,20 @@
                                                       usage& use,
                                                       std::int64_t rate) const
 {
-    const double part =
+    const double own_rate =
         static_cast<double>(rate) / static_cast<double>(members_.size());
-    const double burst = std::max(1.0, part * options_.burst_seconds);
+    const double burst = std::max(1.0, own_rate * options_.burst_seconds);
     if (use.rate_tokens < 0)
     {
         use.rate_tokens = burst;
         use.rate_filled = now;
     }
-    const double refill = to_seconds(now - use.rate_filled) * part;
+    const double refill = to_seconds(now - use.rate_filled) * own_rate;
     use.rate_tokens = std::min(burst, use.rate_tokens + refill);
     use.rate_filled = now;
     if (use.rate_tokens < 1)
     {
-        return from_seconds((1 - use.rate_tokens) / part);
+        return from_seconds((1 - use.rate_tokens) / own_rate);
     }
     use.rate_tokens -= 1;
     return std::nullopt;
@@ -153,7 +153,7 @@
     update_peak(now, use);
     const workspace_row* const row = table_.find(workspace);
     const bool limited = row != nullptr && row->max_in_flight > 0;
-    if (limited && use.in_flight >= part(now, workspace))
+    if (limited && use.in_flight >= quota(now, workspace))
     {
         ++use.refused;
         return retry_delay_at_limit;
@@ -213,7 +213,7 @@
     {
         expire_loans(now, use);
     }
-    for (const auto& [workspace, row_units] : wanted)
+    for (const auto& [workspace, units] : wanted)
     {
         usage_.try_emplace(workspace);
     }
--- a/packages/policy/src/outlier_detector.cpp
+++ b/packages/policy/src/outlier_detector.cpp
@@ -21,7 +21,7 @@
 {
     const auto found = class_failures_.find(work_class);
     return found != class_failures_.end() &&
-           found->second > options_.bad_class_failures;
+           found->second > options_.max_class_failure_rate;
 }
 
 void outlier_detector::update_class_failures(const class_name& work_class,
@@ -35,7 +35,7 @@
 {
     const auto count = static_cast<double>(ejected().size());
     const double limit =
-        std::max(1.0, options_.max_ejected * static_cast<double>(known));
+        std::max(1.0, options_.max_ejected_share * static_cast<double>(known));
     return known > 1 && count + 1 <= limit;
 }
 
@@ -81,7 +81,7 @@
         }
         return outlier_change::none;
     }
-    if (record.failures < options_.failures_in_a_row || !may_eject(known))
+    if (record.failures < options_.ejection_threshold || !may_eject(known))
     {
         return outlier_change::none;
     }
@@ -98,9 +98,9 @@
         return true;
     }
     const guard_record& record = found->second;
-    const bool probe_out =
+    const bool probe_in_flight =
         record.probing && now - record.probe_sent_at <= options_.max_ejection;
-    return repeatable && !probe_out && now >= record.ejected_until;
+    return repeatable && !probe_in_flight && now >= record.ejected_until;
 }
 
 void outlier_detector::sent(time_point now, const guard_name& guard)
@@ -113,7 +113,7 @@
     }
 }
 
-void outlier_detector::returned(const guard_name& guard)
+void outlier_detector::discard_probe(const guard_name& guard)
 {
     const auto found = guards_.find(guard);
     if (found != guards_.end())
--- a/packages/table/include/springstair/detail/table/edit.hpp
+++ b/packages/table/include/springstair/detail/table/edit.hpp
@@ -54,9 +54,9 @@
 /// @brief The nonces of the most recent writes of a document, newest last.
 ///
 /// A write whose answer was lost has taken effect if its nonce is among them.
-std::vector<std::string> writers_of(const json& document);
+std::vector<std::string> write_nonces_of(const json& document);
 
 /// @brief Adds the nonce of the write that stores the document.
-void sign_document(json& document, const std::string& nonce);
+void add_write_nonce(json& document, const std::string& nonce);
 
 } // namespace springstair
--- a/packages/table/src/edit.cpp
+++ b/packages/table/src/edit.cpp
@@ -6,7 +6,7 @@
 namespace
 {
 
-constexpr std::size_t max_writers = 64;
+constexpr std::size_t max_write_nonces = 64;
 
 json member_or_null(const json& object, const std::string& key)
 {
@@ -127,16 +127,16 @@
     return document;
 }
 
-std::vector<std::string> writers_of(const json& document)
+std::vector<std::string> write_nonces_of(const json& document)
 {
     return document.value("writers", std::vector<std::string>{});
 }
 
-void sign_document(json& document, const std::string& nonce)
+void add_write_nonce(json& document, const std::string& nonce)
 {
-    std::vector<std::string> writers = writers_of(document);
+    std::vector<std::string> writers = write_nonces_of(document);
     writers.push_back(nonce);
-    if (writers.size() > max_writers)
+    if (writers.size() > max_write_nonces)
     {
         writers.erase(writers.begin());
     }
--- a/tests/unit/fleet_limits_tests.cpp
+++ b/tests/unit/fleet_limits_tests.cpp
@@ -200,12 +200,12 @@
     entry.use_table(limited());
     manual_clock clock;
     entry.use_members(clock.now(), {"e1"});
-    CHECK(entry.part(clock.now(), "a") == limit / 2);
+    CHECK(entry.quota(clock.now(), "a") == limit / 2);
     entry.use_members(clock.now(), {});
     clock.advance(seconds(4));
     entry.use_members(clock.now(), {});
-    CHECK(entry.part(clock.now(), "a") == limit / 2);
+    CHECK(entry.quota(clock.now(), "a") == limit / 2);
     clock.advance(seconds(2));
     entry.use_members(clock.now(), {});
-    CHECK(entry.part(clock.now(), "a") == limit);
+    CHECK(entry.quota(clock.now(), "a") == limit);
 }
