--- a/packages/transport/include/springstair/detail/transport/connection_pool.hpp
+++ b/packages/transport/include/springstair/detail/transport/connection_pool.hpp
@@ -41,9 +41,9 @@
     /// @brief Registers a call if fewer than @p max_calls are in flight to the
     /// peer.
     /// @return whether the call may be sent now
-    bool begin(const std::string& peer, std::size_t max_calls);
-    /// @brief Unregisters a call that begin() has registered.
-    void end(const std::string& peer);
+    bool begin_call(const std::string& peer, std::size_t max_calls);
+    /// @brief Unregisters a call that begin_call() has registered.
+    void end_call(const std::string& peer);
 
     /// @brief Records a new connection to a peer.
     void opened(const std::string& peer, int socket, time_point now);
@@ -57,11 +57,13 @@
     /// later are not affected
     /// @param busy the sockets that carry calls; these fail by themselves
     /// @return the peer's idle sockets to close; they are no longer reused
-    std::vector<int> lost(const std::string& peer, call_failure failure,
-                          time_point sent_at, const std::set<int>& busy);
+    std::vector<int> on_unanswered(const std::string& peer,
+                                   call_failure failure, time_point sent_at,
+                                   const std::set<int>& busy);
 
     /// @brief The usable connections to a peer: sockets and opening times.
-    [[nodiscard]] std::map<int, time_point> kept(const std::string& peer) const;
+    [[nodiscard]] std::map<int, time_point>
+    usable_connections(const std::string& peer) const;
     /// @brief Number of calls in flight to a peer.
     [[nodiscard]] std::size_t calls(const std::string& peer) const;
     /// @brief Number of open connections to all peers, idle or in use.
--- a/packages/transport/src/connection_pool.cpp
+++ b/packages/transport/src/connection_pool.cpp
@@ -16,7 +16,7 @@
 
 } // namespace
 
-bool connection_pool::begin(const std::string& peer, std::size_t max_calls)
+bool connection_pool::begin_call(const std::string& peer, std::size_t max_calls)
 {
     peer_state& state = peers_[peer];
     if (state.calls >= max_calls)
@@ -27,7 +27,7 @@
     return true;
 }
 
-void connection_pool::end(const std::string& peer)
+void connection_pool::end_call(const std::string& peer)
 {
     --peers_.at(peer).calls;
     erase_if_unused(peer);
@@ -63,9 +63,10 @@
     }
 }
 
-std::vector<int> connection_pool::lost(const std::string& peer,
-                                       call_failure failure, time_point sent_at,
-                                       const std::set<int>& busy)
+std::vector<int> connection_pool::on_unanswered(const std::string& peer,
+                                                call_failure failure,
+                                                time_point sent_at,
+                                                const std::set<int>& busy)
 {
     peer_state& state = peers_[peer];
     ++state.unanswered_in_a_row;
@@ -91,7 +92,8 @@
     return to_close;
 }
 
-std::map<int, time_point> connection_pool::kept(const std::string& peer) const
+std::map<int, time_point>
+connection_pool::usable_connections(const std::string& peer) const
 {
     const auto found = peers_.find(peer);
     return found == peers_.end() ? std::map<int, time_point>{}
--- a/packages/transport/src/http_client.cpp
+++ b/packages/transport/src/http_client.cpp
@@ -199,7 +199,7 @@
 
     void start(std::unique_ptr<open_call> call)
     {
-        if (pool.begin(call->peer, call->call.max_open_calls))
+        if (pool.begin_call(call->peer, call->call.max_open_calls))
         {
             send(std::move(call));
             return;
@@ -246,7 +246,7 @@
                         .error = "timed out while queued for a connection"});
         }
         if (!calls.empty() &&
-            pool.begin(peer, calls.front()->call.max_open_calls))
+            pool.begin_call(peer, calls.front()->call.max_open_calls))
         {
             send(std::move(calls.front()));
             calls.pop_front();
@@ -272,7 +272,7 @@
         {
             curl_easy_cleanup(handle);
         }
-        pool.end(ended->peer);
+        pool.end_call(ended->peer);
         ended->done(std::move(result));
         start_queued(ended->peer);
     }
@@ -292,7 +292,7 @@
     std::size_t close_idle(const open_call& lost, call_failure how)
     {
         const auto closed =
-            pool.lost(lost.peer, how, lost.since, busy_sockets());
+            pool.on_unanswered(lost.peer, how, lost.since, busy_sockets());
         for (const int socket : closed)
         {
             shutdown(socket, SHUT_RDWR);
--- a/packages/transport/src/open_call.cpp
+++ b/packages/transport/src/open_call.cpp
@@ -206,15 +206,15 @@
     {
         return true; // the connection's age is irrelevant
     }
-    for (const auto& [kept, since] : pool->kept(peer))
+    for (const auto& [fd, since] : pool->usable_connections(peer))
     {
-        if (port_of(kept) != port)
+        if (port_of(fd) != port)
         {
             continue;
         }
         if (opened_connection)
         {
-            pool->opened(peer, kept, boot_clock::now());
+            pool->opened(peer, fd, boot_clock::now());
         }
         no_eligible_connection =
             call.connected_before && since >= *call.connected_before;
--- a/tests/unit/connection_pool_tests.cpp
+++ b/tests/unit/connection_pool_tests.cpp
@@ -34,7 +34,7 @@
 
     void call(const std::string& peer)
     {
-        if (pool_.begin(peer, max_calls_))
+        if (pool_.begin_call(peer, max_calls_))
         {
             send(peer);
         }
@@ -67,7 +67,7 @@
                 continue;
             }
             one.busy = false;
-            pool_.end(one.peer);
+            pool_.end_call(one.peer);
             failed += one.dead ? 1 : 0;
             one.dead ? lose(at) : pool_.answered(one.peer);
             answered_ += one.dead ? 0 : 1;
@@ -128,7 +128,7 @@
         connection& lost = connections_[at];
         lost.closed = true;
         pool_.closed(lost.socket);
-        const auto to_close = pool_.lost(
+        const auto to_close = pool_.on_unanswered(
             lost.peer, call_failure::unacknowledged, lost.sent, busy);
         for (connection& one : connections_)
         {
@@ -230,17 +230,19 @@
     // Socket 1 carried the failed call, 2 carries another call, 5 was opened
     // after the call was sent.
     pool.closed(1);
-    CHECK(pool.lost("a", call_failure::unacknowledged, start + milliseconds(50),
-                    {2}) == std::vector<int>{3});
+    CHECK(pool.on_unanswered("a", call_failure::unacknowledged,
+                             start + milliseconds(50),
+                             {2}) == std::vector<int>{3});
     // A socket is returned only once; it counts as open until it is closed.
-    CHECK(pool.lost("a", call_failure::unacknowledged, start + milliseconds(50),
-                    {2})
+    CHECK(pool.on_unanswered("a", call_failure::unacknowledged,
+                             start + milliseconds(50), {2})
               .empty());
     CHECK(pool.connections() == 4);
     pool.closed(3);
     CHECK(pool.connections() == 3);
-    CHECK(pool.lost("a", call_failure::unacknowledged,
-                    start + milliseconds(200), {}) == std::vector<int>{2, 5});
+    CHECK(pool.on_unanswered("a", call_failure::unacknowledged,
+                             start + milliseconds(200),
+                             {}) == std::vector<int>{2, 5});
 }
 
 TEST_CASE("one unanswered call does not close the other connections")
@@ -249,7 +251,7 @@
     const time_point start{std::chrono::hours(1)};
     const auto unanswered = [&](const std::string& peer)
     {
-        return pool.lost(peer, call_failure::unanswered, start, {});
+        return pool.on_unanswered(peer, call_failure::unanswered, start, {});
     };
     pool.opened("a", 1, start);
     pool.opened("b", 2, start);
@@ -264,11 +266,11 @@
 TEST_CASE("the limit of calls in flight applies to each peer separately")
 {
     connection_pool pool;
-    CHECK(pool.begin("a", 2));
-    CHECK(pool.begin("a", 2));
-    CHECK_FALSE(pool.begin("a", 2));
-    CHECK(pool.begin("b", 2));
-    pool.end("a");
+    CHECK(pool.begin_call("a", 2));
+    CHECK(pool.begin_call("a", 2));
+    CHECK_FALSE(pool.begin_call("a", 2));
+    CHECK(pool.begin_call("b", 2));
+    pool.end_call("a");
     CHECK(pool.calls("a") == 1);
-    CHECK(pool.begin("a", 2));
+    CHECK(pool.begin_call("a", 2));
 }
