--- a/packages/daemon/src/guard_control.cpp
+++ b/packages/daemon/src/guard_control.cpp
@@ -264,7 +264,7 @@
 {
     for (const worker_action& action : actions)
     {
-        worker_.carry_out(action);
+        worker_.execute(action);
         next_poll_ = time_point{};
     }
 }
--- a/packages/daemon/src/job_request_forwarding.cpp
+++ b/packages/daemon/src/job_request_forwarding.cpp
@@ -191,7 +191,7 @@
     const bool is_shown = incoming.method == "GET" && job_scheduler_.shown(id);
     if (store_unavailable_since_ && !is_shown)
     {
-        answer(request, platform::not_taken_answer(
+        answer(request, platform::refused_answer(
                             caller_retry_after,
                             "the store is unavailable here as well"));
         return;
@@ -233,7 +233,7 @@
                              result.status == store_status::refused;
     if (!unavailable)
     {
-        timeout_.answered(result.took);
+        timeout_.answered(result.latency);
         if (store_unavailable_since_)
         {
             log_event(event_id::store_back);
--- a/packages/daemon/src/job_request_handler.cpp
+++ b/packages/daemon/src/job_request_handler.cpp
@@ -71,8 +71,8 @@
     }
     answer(request, request->may_be_written
                         ? platform::unknown_answer("the store gave no answer")
-                        : platform::not_taken_answer(caller_retry_after,
-                                                     "the store is away"));
+                        : platform::refused_answer(caller_retry_after,
+                                                   "the store is away"));
 }
 
 void job_request_handler::tick(time_point now)
@@ -320,8 +320,8 @@
             else if (!last_counts_.contains(queue))
             {
                 answer(request,
-                       platform::not_taken_answer(caller_retry_after,
-                                                  "the leader is not known"));
+                       platform::refused_answer(caller_retry_after,
+                                                "the leader is not known"));
                 return;
             }
             answer(request, platform::count_answer(last_counts_[queue]));
--- a/packages/daemon/src/job_request_submission.cpp
+++ b/packages/daemon/src/job_request_submission.cpp
@@ -21,14 +21,14 @@
 void job_request_handler::handle(const platform::submit_request& message,
                                  const request_ptr& request)
 {
-    const queue_row* const queue = table_.queue(message.what.queue);
+    const queue_row* const queue = table_.queue(message.definition.queue);
     if (queue->advice && process_.settings.advice.empty())
     {
-        refuse_submission(message.what, request,
+        refuse_submission(message.definition, request,
                           "the settings name no service to ask for advice");
         return;
     }
-    job accepted = message.what;
+    job accepted = message.definition;
     accepted.accepted_ms = unix_milliseconds();
     // The store may be unavailable to this VM only; another entry can then
     // write the job.
@@ -72,7 +72,7 @@
                {"why", why},
                {"tries", std::to_string(request->tries)},
                {"store_away_ms", std::to_string(to_milliseconds(outage))}});
-    answer(request, platform::not_taken_answer(caller_retry_after, why));
+    answer(request, platform::refused_answer(caller_retry_after, why));
 }
 
 void job_request_handler::submit(const job& definition,
--- a/packages/daemon/src/job_scheduler.cpp
+++ b/packages/daemon/src/job_scheduler.cpp
@@ -114,7 +114,7 @@
     switch (result.status)
     {
     case store_status::done:
-        hedge_delay_.answered(result.took);
+        hedge_delay_.answered(result.latency);
         end_batch(result.revision, sent);
         return;
     case store_status::conflict:
--- a/packages/daemon/src/job_scheduler_loading.cpp
+++ b/packages/daemon/src/job_scheduler_loading.cpp
@@ -76,7 +76,7 @@
         next_read_ = boot_clock::now() + retry_delay;
         return;
     }
-    page_timeout_.answered(result.took);
+    page_timeout_.answered(result.latency);
     if (jobs_revision_ == 0)
     {
         jobs_revision_ = result.revision; // later pages may have a newer one
@@ -268,7 +268,7 @@
         jobs_revision_ = 0; // no revision to watch from: read again
         return;
     }
-    page_timeout_.answered(result.took);
+    page_timeout_.answered(result.latency);
     if (page_after_.empty())
     {
         jobs_revision_ = result.revision;
--- a/packages/daemon/src/leader_election.cpp
+++ b/packages/daemon/src/leader_election.cpp
@@ -92,7 +92,7 @@
     }
     if (result.status != store_status::refused)
     {
-        timeout_.answered(result.took);
+        timeout_.answered(result.latency);
         store_answered_ = boot_clock::now();
     }
 }
@@ -436,7 +436,7 @@
     log_event(event_id::office_lost,
               {{"epoch", std::to_string(epoch_)}, {"why", "planned stop"}});
     // Ending the lease deletes the key, so another entry can claim at once.
-    store_.end_lease(lease_, timeout_.value(), [](const store_result&) {});
+    store_.revoke_lease(lease_, timeout_.value(), [](const store_result&) {});
     leader_.clear();
     callbacks_.lost({});
 }
--- a/packages/daemon/src/leader_watch.cpp
+++ b/packages/daemon/src/leader_watch.cpp
@@ -63,7 +63,7 @@
         next_call_at_ = boot_clock::now() + retry_delay;
         return;
     }
-    timeout_.answered(result.took);
+    timeout_.answered(result.latency);
     store_answered_ = boot_clock::now();
     watched_revision_ = result.revision;
     changed_(result.items.empty() ? std::nullopt
--- a/packages/daemon/src/operator_watch.cpp
+++ b/packages/daemon/src/operator_watch.cpp
@@ -99,7 +99,7 @@
         next_read_ = boot_clock::now() + retry_delay;
         return;
     }
-    timeout_.answered(result.took);
+    timeout_.answered(result.latency);
     if (page_after_.empty())
     {
         read_revision_ = result.revision;
--- a/packages/guard/src/attempt_tracker.cpp
+++ b/packages/guard/src/attempt_tracker.cpp
@@ -126,7 +126,8 @@
                        .end_state = {},
                        .detail = {},
                        .stopping = false};
-    actions.emplace_back(worker_start{.what = request, .not_after = not_after});
+    actions.emplace_back(
+        worker_start{.request = request, .not_after = not_after});
     return {.accepted = true, .reason = {}};
 }
 
--- a/packages/platform/include/springstair/detail/platform/platform_client.hpp
+++ b/packages/platform/include/springstair/detail/platform/platform_client.hpp
@@ -21,7 +21,7 @@
                                list_completion done)
 {
     worker.list(std::move(done));
-    worker.carry_out(action);
+    worker.execute(action);
 };
 
 /// @brief Client for the JSON interface of a worker.
@@ -36,7 +36,7 @@
     /// @brief Requests the worker's list of attempts, running and ended.
     void list(list_completion done);
     /// @brief Sends a command. Its effect is visible in the next list.
-    void carry_out(const worker_action& action);
+    void execute(const worker_action& action);
 
 private:
     void post(const std::string& path, const json& body);
--- a/packages/platform/include/springstair/detail/platform/worker_types.hpp
+++ b/packages/platform/include/springstair/detail/platform/worker_types.hpp
@@ -42,7 +42,7 @@
 /// @brief Command to start an attempt under a lease.
 struct worker_start
 {
-    start_task what;
+    start_task request;
     duration not_after{0}; ///< on the worker's clock; refused after this
     bool operator==(const worker_start&) const = default;
 };
--- a/packages/platform/src/platform_client.cpp
+++ b/packages/platform/src/platform_client.cpp
@@ -116,17 +116,17 @@
                  [](const http_result&) {});
 }
 
-void worker_client::carry_out(const worker_action& action)
+void worker_client::execute(const worker_action& action)
 {
     if (const auto* start = std::get_if<worker_start>(&action))
     {
         post("/v1/worker/start",
-             {{"task", start->what.spec.id},
-              {"attempt", start->what.attempt},
-              {"needs", start->what.spec.needs},
-              {"class", start->what.spec.of.row()},
-              {"payload", start->what.spec.payload},
-              {"checkpoint", start->what.checkpoint},
+             {{"task", start->request.spec.id},
+              {"attempt", start->request.attempt},
+              {"needs", start->request.spec.needs},
+              {"class", start->request.spec.of.row()},
+              {"payload", start->request.spec.payload},
+              {"checkpoint", start->request.checkpoint},
               {"not_after_ms", to_milliseconds(start->not_after)},
               {"lease_ms", to_milliseconds(lease_)}});
         return;
--- a/tests/unit/adapter_tests.cpp
+++ b/tests/unit/adapter_tests.cpp
@@ -125,7 +125,7 @@
         table);
     const auto* const submission = std::get_if<adapter::submit_request>(&what);
     REQUIRE(submission != nullptr);
-    const job& got = submission->what;
+    const job& got = submission->definition;
     CHECK(got.id == id);
     CHECK(got.queue == "r1");
     CHECK(got.payload == "text");
@@ -199,7 +199,7 @@
     CHECK(*adapter::count_answer(12).body == R"({"waiting":12})");
     CHECK(adapter::no_such_job_answer().status == 410);
     const http_response later =
-        adapter::not_taken_answer(std::chrono::milliseconds(1200), "why");
+        adapter::refused_answer(std::chrono::milliseconds(1200), "why");
     CHECK(later.status == 503);
     CHECK(later.headers.at("Retry-After") == "2");
     CHECK(adapter::unknown_answer("why").status == 504);
@@ -391,7 +391,7 @@
     one_answer_store store(
         json_response(200, {{"revision", 412}, {"more", false}}));
     const auto result = store.result_of(
-        [](adapter::store_client& client, adapter::store_done done)
+        [](adapter::store_client& client, adapter::store_completion done)
         {
             client.transact(
                 {.compares = {{.key = "k",
@@ -425,16 +425,16 @@
         one_answer_store store({.status = one.status, .body = make_body("")});
         CHECK(
             store
-                .result_of(
-                    [](adapter::store_client& client, adapter::store_done done)
-                    { client.read("k", call_timeout, std::move(done)); })
+                .result_of([](adapter::store_client& client,
+                              adapter::store_completion done)
+                           { client.read("k", call_timeout, std::move(done)); })
                 .status == one.means);
     }
     one_answer_store malformed({.status = 200, .body = make_body("no")});
     CHECK(malformed
-              .result_of(
-                  [](adapter::store_client& client, adapter::store_done done)
-                  { client.read("k", call_timeout, std::move(done)); })
+              .result_of([](adapter::store_client& client,
+                            adapter::store_completion done)
+                         { client.read("k", call_timeout, std::move(done)); })
               .status == adapter::store_status::unknown);
 }
 
@@ -446,7 +446,7 @@
                     {"lease", 9}};
     one_answer_store conflict(json_response(412, {{"items", {item}}}));
     const auto refused = conflict.result_of(
-        [](adapter::store_client& client, adapter::store_done done)
+        [](adapter::store_client& client, adapter::store_completion done)
         { client.transact({}, call_timeout, std::move(done)); });
     CHECK(refused.status == adapter::store_status::conflict);
     CHECK(refused.items.at(0).value == "node-1");
@@ -457,7 +457,7 @@
                {item, {{"tls_key", "my/b"}, {"revision", 5}, {"gone", true}}}},
               {"at", 5}}));
     const auto watched = events.result_of(
-        [](adapter::store_client& client, adapter::store_done done)
+        [](adapter::store_client& client, adapter::store_completion done)
         {
             client.watch("my/ \xc3\xa4", 3, std::chrono::milliseconds(20),
                          std::move(done));
--- a/tests/unit/task_simulation_tests.cpp
+++ b/tests/unit/task_simulation_tests.cpp
@@ -69,12 +69,13 @@
                duration length)
     {
         settle(now);
-        const task_attempt name{command.what.spec.id, command.what.attempt};
+        const task_attempt name{command.request.spec.id,
+                                command.request.attempt};
         if (now.time_since_epoch() > command.not_after || runs.contains(name))
         {
             return;
         }
-        runs[name] = {.needs = command.what.spec.needs,
+        runs[name] = {.needs = command.request.spec.needs,
                       .begun = now,
                       .ends = now + length,
                       .lease_until = now + worker_lease,
@@ -547,7 +548,7 @@
         if (const auto* start = std::get_if<worker_start>(&action))
         {
             worker.start(clock_.now(), *start, chance(faults_.fail),
-                         milliseconds(start->what.spec.run_ms));
+                         milliseconds(start->request.spec.run_ms));
         }
         else if (const auto* stop = std::get_if<worker_stop>(&action))
         {
