--- a/packages/cli/commands.hpp
+++ b/packages/cli/commands.hpp
@@ -25,9 +25,9 @@
     std::vector<std::string> entries;
     std::string credential;
     bool as_json = false;
-    std::optional<std::string> expects;
-    std::string workspace;
-    bool wait = true;
+    std::optional<std::string> expects; ///< cell value the operator saw
+    std::string workspace; ///< whose tasks `task list` shows; empty: own
+    bool wait = true;      ///< until an edit is in force everywhere
     std::vector<std::string> arguments;
 };
 
@@ -35,7 +35,7 @@
 const char* usage();
 
 /// @brief Splits a text at a character; empty parts are omitted.
-std::vector<std::string> split(const std::string& text, char at);
+std::vector<std::string> split(const std::string& text, char separator);
 
 /// @brief Executes a command.
 /// @return the exit code
--- a/packages/entry/include/springstair/detail/entry/request_core.hpp
+++ b/packages/entry/include/springstair/detail/entry/request_core.hpp
@@ -20,7 +20,7 @@
     std::string incarnation;
     std::string data_centre;
     any_router router = sampled_router{};
-    int most_attempts = 3;
+    int max_attempts = 3;
     /// Number of guards without a free slot that a latency-critical request
     /// tries before it may wait in a guard's queue.
     int max_busy_replies = 2;
@@ -140,8 +140,8 @@
     /// @brief Applies a newer table; ignores any other.
     /// @return whether the table was applied
     bool on_table(const table& rows);
-    /// @brief Refuses requests whose deadline has passed and expires
-    /// unresponsive guards and entries.
+    /// @brief Ends requests whose deadline has passed, expires unresponsive
+    /// guards and entries, and retries repeatable requests from lost guards.
     request_actions on_tick(time_point now);
 
     /// @brief Adds this entry's limit usage to a summary for a peer.
--- a/packages/entry/include/springstair/detail/entry/table_synchronizer.hpp
+++ b/packages/entry/include/springstair/detail/entry/table_synchronizer.hpp
@@ -24,10 +24,10 @@
 struct table_synchronizer_options
 {
     std::string writer; ///< prefix of this process's nonces
-    duration poll = std::chrono::seconds(1);
-    duration edit_deadline = std::chrono::seconds(8);
-    duration retry = std::chrono::milliseconds(200);
-    std::int64_t kept_history = 1000; ///< revisions
+    duration poll_interval = std::chrono::seconds(1);
+    duration edit_timeout = std::chrono::seconds(8); ///< after an edit arrives
+    duration retry_delay = std::chrono::milliseconds(200); ///< of store calls
+    std::int64_t max_history = 1000; ///< revisions in the stored history
 };
 
 /// @brief Identifies an operator's edit within its entry.
@@ -50,7 +50,7 @@
     ending how = ending::unknown;
     std::int64_t revision = 0; ///< of the commit
     std::vector<edit_conflict> conflicts;
-    findings wrong;
+    findings errors;
 };
 
 /// @brief Action: puts a newer table from the store in force.
@@ -63,7 +63,7 @@
 /// table stays in force.
 struct table_rejected
 {
-    findings wrong;
+    findings errors;
 };
 
 /// @brief Action: reports that the store became available or unavailable.
@@ -83,10 +83,11 @@
 ///
 /// Processes one edit at a time: reads the document, applies and checks the
 /// edit, and writes the result if the document is unchanged since the read.
-/// Each write carries a nonce. If the answer to a write is lost, the document
-/// is read again:
+/// Each write carries a nonce. After each write, whether it was answered or
+/// not, the document is read again:
 /// - it contains the nonce: the write is committed;
-/// - it has changed without the nonce: the write can never take effect;
+/// - it has changed without the nonce: that write can never take effect; the
+///   edit is applied to the new document;
 /// - it is unchanged: the same write is sent again; at most one of the two
 ///   takes effect.
 class table_synchronizer
--- a/packages/entry/src/task_shards.cpp
+++ b/packages/entry/src/task_shards.cpp
@@ -149,7 +149,7 @@
         if (owner != nullptr && owner->value == self)
         {
             shard.epoch =
-                owner->create_revision; // the answer to the claim was lost
+                owner->create_revision; // the acquiring write's answer was lost
             load_shard(number, actions);
         }
         else if (owner == nullptr)
@@ -212,7 +212,7 @@
     {
         shard.retry_operation =
             kv_range{.key = task_keys::all_of(number), .prefix = true};
-        shard.retry_at = now + options_.retry;
+        shard.retry_at = now + options_.retry_delay;
         return;
     }
     shard.tasks = shard_tasks{};
--- a/packages/platform/include/springstair/detail/platform/platform_client.hpp
+++ b/packages/platform/include/springstair/detail/platform/platform_client.hpp
@@ -21,7 +21,7 @@
                                list_completion done)
 {
     worker.list(std::move(done));
-    worker.carry_out(action);
+    worker.execute(action);
 };
 
 /// @brief Client for the JSON interface of a worker.
@@ -33,10 +33,10 @@
     /// @param lease how long the worker runs a task without a renewal
     worker_client(http_client& client, std::string address, duration lease);
 
-    /// @brief Requests the list of what runs.
+    /// @brief Requests the worker's list of attempts, running and ended.
     void list(list_completion done);
     /// @brief Sends a command. Its effect is visible in the next list.
-    void carry_out(const worker_action& action);
+    void execute(const worker_action& action);
 
 private:
     void post(const std::string& path, const json& body);
--- a/packages/transport/include/springstair/detail/transport/connection_pool.hpp
+++ b/packages/transport/include/springstair/detail/transport/connection_pool.hpp
@@ -22,10 +22,10 @@
 /// @brief Tracks the calls and connections of one client by peer.
 ///
 /// Limits the calls in flight to each peer, and thereby the connections: each
-/// costs the peer 32 KB and a descriptor. In simulated days with 160 peers, the
-/// process to which all of them report held 4,342 descriptors and 147 MB
-/// without a limit, and 391 and 22.5 MB with a limit of six and dead
-/// connections closed together.
+/// costs the peer 32 KB and a descriptor. In simulated days, a process to
+/// which 160 peers report held 4,342 descriptors and 147 MB without a limit;
+/// 391 and 22.5 MB with a limit of six calls per peer and dead connections
+/// closed together.
 ///
 /// A failure that makes one connection dead (for example, a middlebox that
 /// lost its connection table) affects all connections that were open to the
@@ -41,9 +41,9 @@
     /// @brief Registers a call if fewer than @p max_calls are in flight to the
     /// peer.
     /// @return whether the call may be sent now
-    bool begin(const std::string& peer, std::size_t max_calls);
-    /// @brief Unregisters a call that begin() has registered.
-    void end(const std::string& peer);
+    bool begin_call(const std::string& peer, std::size_t max_calls);
+    /// @brief Unregisters a call that begin_call() has registered.
+    void end_call(const std::string& peer);
 
     /// @brief Records a new connection to a peer.
     void opened(const std::string& peer, int socket, time_point now);
@@ -57,11 +57,13 @@
     /// later are not affected
     /// @param busy the sockets that carry calls; these fail by themselves
     /// @return the peer's idle sockets to close; they are no longer reused
-    std::vector<int> lost(const std::string& peer, call_failure failure,
-                          time_point sent_at, const std::set<int>& busy);
+    std::vector<int> on_unanswered(const std::string& peer,
+                                   call_failure failure, time_point sent_at,
+                                   const std::set<int>& busy);
 
     /// @brief The usable connections to a peer: sockets and opening times.
-    [[nodiscard]] std::map<int, time_point> kept(const std::string& peer) const;
+    [[nodiscard]] std::map<int, time_point>
+    usable_connections(const std::string& peer) const;
     /// @brief Number of calls in flight to a peer.
     [[nodiscard]] std::size_t calls(const std::string& peer) const;
     /// @brief Number of open connections to all peers, idle or in use.
--- a/packages/transport/src/open_call.cpp
+++ b/packages/transport/src/open_call.cpp
@@ -68,7 +68,7 @@
     current.no_eligible_connection = current.call.connected_before.has_value();
     if (current.no_eligible_connection || !current.may_be_sent())
     {
-        return CURL_SOCKET_BAD; // avoids connecting for nothing
+        return CURL_SOCKET_BAD; // the call may not be sent on it
     }
     current.opened_connection = true;
     const int fd = socket(address->family, address->socktype | SOCK_CLOEXEC,
@@ -206,15 +206,15 @@
     {
         return true; // the connection's age is irrelevant
     }
-    for (const auto& [kept, since] : pool->kept(peer))
+    for (const auto& [fd, since] : pool->usable_connections(peer))
     {
-        if (port_of(kept) != port)
+        if (port_of(fd) != port)
         {
             continue;
         }
         if (opened_connection)
         {
-            pool->opened(peer, kept, boot_clock::now());
+            pool->opened(peer, fd, boot_clock::now());
         }
         no_eligible_connection =
             call.connected_before && since >= *call.connected_before;
