--- a/tests/unit/blocked_step_tests.cpp
+++ b/tests/unit/blocked_step_tests.cpp
@@ -13,10 +13,10 @@
 
 // Two workers. Long-running tasks fill the first, the only one with the
 // label.
-class filled_worker
+class blocked_step_fleet
 {
 public:
-    explicit filled_worker(std::int64_t most_missing)
+    explicit blocked_step_fleet(std::int64_t most_missing)
     {
         harness.worker("g1").worker.labels = {"a"};
         harness.say("g1");
@@ -73,7 +73,7 @@
 // for them.
 TEST_CASE("long-running tasks are preempted for a step with no other worker")
 {
-    filled_worker fixture(0);
+    blocked_step_fleet fixture(0);
     fixture.run(seconds(1));
     CHECK(fixture.stopped == 0);
     fixture.run(milliseconds(1500));
@@ -91,7 +91,7 @@
 
 TEST_CASE("preemption stops at most most_missing tasks of a step at once")
 {
-    filled_worker fixture(1);
+    blocked_step_fleet fixture(1);
     fixture.run(milliseconds(2500));
     CHECK(fixture.max_stops == 1);
     CHECK(fixture.harness.where[fixture.blocked] == "g1");
@@ -99,7 +99,7 @@
 
 TEST_CASE("long-running tasks are not preempted without another worker")
 {
-    filled_worker fixture(0);
+    blocked_step_fleet fixture(0);
     fixture.harness.worker("g2").worker.draining = true;
     fixture.run(seconds(5));
     CHECK(fixture.stopped == 0);
--- a/tests/unit/closed_data_centre_tests.cpp
+++ b/tests/unit/closed_data_centre_tests.cpp
@@ -79,7 +79,8 @@
     driven_guard()
     {
         reconciler.on_worker(
-            {.executor = "x", .service = "s", .capacity = room}, 0, now);
+            {.executor = "x", .service = "s", .capacity = worker_capacity}, 0,
+            now);
         reconciler.on_answer({.holds = true,
                               .permit_ms = 4000,
                               .orders = {.epoch = 7, .executor = "x"}},
--- a/tests/unit/freed_capacity_tests.cpp
+++ b/tests/unit/freed_capacity_tests.cpp
@@ -69,8 +69,9 @@
             }
         }
         used.erase(""); // of tasks without a worker
-        return std::ranges::any_of(used, [](const auto& one)
-                                   { return !one.second.fits(room); });
+        return std::ranges::any_of(
+            used,
+            [](const auto& one) { return !one.second.fits(worker_capacity); });
     }
 
     [[nodiscard]] std::size_t max_queued() const
--- a/tests/unit/job_simulation_checks.cpp
+++ b/tests/unit/job_simulation_checks.cpp
@@ -253,7 +253,7 @@
                             [&](const auto& entry)
                             {
                                 return entry.first.starts_with(prefix) &&
-                                       entry.second >= crashes_to_give_up;
+                                       entry.second >= min_crashes_to_fail;
                             });
     return crashed ||
            std::ranges::any_of(
--- a/tests/unit/job_simulation_guards.cpp
+++ b/tests/unit/job_simulation_guards.cpp
@@ -55,7 +55,7 @@
             guard.name + "-life-" + std::to_string(guard.incarnations);
     }
     const std::int64_t back = guard.incarnations % 2 == 0 ? -1 : 1;
-    return {guard.executor_id, base_birth_ms + back * guard.incarnations};
+    return {guard.executor_id, base_start_time_ms + back * guard.incarnations};
 }
 
 void job_simulation::begin_guard(std::size_t index)
@@ -471,7 +471,7 @@
     executor.closed[task] = std::max(executor.closed[task], work.run);
     runs_[work.interval].end = now_;
     runs_[work.interval].how = std::string(to_string(how));
-    executor.ended.emplace_back(ended_task{.number = ++executor.numbers,
+    executor.ended.emplace_back(ended_task{.number = ++executor.last_end_number,
                                            .task = task,
                                            .run = work.run,
                                            .how = how,
--- a/tests/unit/job_simulation_leaders.cpp
+++ b/tests/unit/job_simulation_leaders.cpp
@@ -341,7 +341,7 @@
 {
     const auto index = static_cast<std::size_t>(std::stoi(one.guard.substr(6)));
     const bool is_cut = now_ < guards_[index].cut_until;
-    if (chance(faults_.push_again))
+    if (chance(faults_.order_duplicated))
     {
         schedule(milliseconds(draw(max_wait_ms)),
                  [this, index, orders = one.orders]
--- a/tests/unit/job_simulation_parts.hpp
+++ b/tests/unit/job_simulation_parts.hpp
@@ -20,7 +20,7 @@
 constexpr resources capacity{.cpu_millis = 4000, .memory_mb = 4000};
 constexpr std::int64_t most_attempts = 3;
 constexpr std::size_t guard_count = 4;
-constexpr std::int64_t crashes_to_give_up = 2;
+constexpr std::int64_t min_crashes_to_fail = 2;
 constexpr std::int64_t max_crashes = 3;
 // Max starts of a task after max_crashes executor crashes under it. Counts only
 // starts by guards that neither restarted nor were cut off within
@@ -39,7 +39,7 @@
 constexpr duration max_lease = seconds(6);
 // Max downtime of an executor that restarts under its id.
 constexpr int max_downtime_ms = 3000;
-constexpr std::int64_t base_birth_ms = 1'776'000'000'000;
+constexpr std::int64_t base_start_time_ms = 1'776'000'000'000;
 
 // Probabilities of faults, in units of 1/100,000, per step or message.
 struct job_faults
@@ -65,10 +65,10 @@
     int busy = 0;         ///< an executor refuses calls, up to seconds
     int no_room = 0;      ///< a start is refused
     int poll_silent =
-        0;              ///< polls are carried out but unanswered for 10 to 15 s
-    int push_again = 0; ///< orders are duplicated, up to seconds later
-    int kill_guards = 0; ///< all at once
-    int kill_all = 0;    ///< guards and leader at once, half of them twice
+        0; ///< polls are carried out but unanswered for 10 to 15 s
+    int order_duplicated = 0; ///< orders are duplicated, up to seconds later
+    int kill_guards = 0;      ///< all at once
+    int kill_all = 0;         ///< guards and leader at once, half of them twice
 };
 
 // One run on a worker, recorded for the checks.
@@ -110,14 +110,14 @@
     std::map<std::string, active_run> running;
     std::map<std::string, std::int64_t> closed; ///< highest closed run per task
     std::vector<std::pair<ended_task, std::size_t>> ended;
-    std::int64_t numbers = 0;
+    std::int64_t last_end_number = 0;
     time_point busy_until{}; ///< refuses calls before this
 
     // Extends the lease, at most to max_lease from now (platform).
-    void extend_to(std::int64_t asked, time_point now)
+    void extend_to(std::int64_t requested, time_point now)
     {
         const std::int64_t limit = clock(now) + to_milliseconds(max_lease);
-        deadline = std::max(deadline, std::min(asked, limit));
+        deadline = std::max(deadline, std::min(requested, limit));
     }
 
     [[nodiscard]] std::int64_t clock(time_point now) const
--- a/tests/unit/job_simulation_tests.cpp
+++ b/tests/unit/job_simulation_tests.cpp
@@ -52,38 +52,38 @@
 
 TEST_CASE("jobs survive everything, each task in one place, to one end")
 {
-    CHECK(rc::check("under faults",
-                    []
-                    {
-                        const auto seed = *rc::gen::arbitrary<std::uint32_t>();
-                        const job_faults faults{
-                            .order_lost = *rc::gen::element(0, 2000, 10'000),
-                            .order_late = *rc::gen::element(0, 2000, 10'000),
-                            .report_lost = *rc::gen::element(0, 3000, 20'000),
-                            .report_held = *rc::gen::element(0, 3000, 20'000),
-                            .heartbeat_held =
-                                *rc::gen::element(0, 10'000, 50'000),
-                            .write_lost = *rc::gen::element(0, 5000, 30'000),
-                            .takeover = *rc::gen::element(0, 50, 300),
-                            .kill_guard = *rc::gen::element(0, 20, 100),
-                            .crash_worker = *rc::gen::element(0, 10, 60),
-                            .cut_guard = *rc::gen::element(0, 20, 60),
-                            .fail = *rc::gen::element(0, 5000, 30'000),
-                            .cancel = *rc::gen::element(0, 100),
-                            .crashing_job = *rc::gen::element(0, 0, 10'000),
-                            .close = *rc::gen::element(0, 100, 400),
-                            .cut_watch = *rc::gen::element(0, 5000, 20'000),
-                            .call_held = *rc::gen::element(0, 2000, 10'000),
-                            .answer_lost = *rc::gen::element(0, 2000, 10'000),
-                            .busy = *rc::gen::element(0, 50, 200),
-                            .no_room = *rc::gen::element(0, 2000, 10'000),
-                            .poll_silent = *rc::gen::element(0, 0, 30),
-                            .push_again = *rc::gen::element(0, 5000, 30'000),
-                            .kill_guards = *rc::gen::element(0, 0, 60),
-                            .kill_all = *rc::gen::element(0, 0, 60)};
-                        job_simulation simulation(seed, faults);
-                        run_simulation(simulation, seconds(20), seconds(40));
-                    }));
+    CHECK(rc::check(
+        "under faults",
+        []
+        {
+            const auto seed = *rc::gen::arbitrary<std::uint32_t>();
+            const job_faults faults{
+                .order_lost = *rc::gen::element(0, 2000, 10'000),
+                .order_late = *rc::gen::element(0, 2000, 10'000),
+                .report_lost = *rc::gen::element(0, 3000, 20'000),
+                .report_held = *rc::gen::element(0, 3000, 20'000),
+                .heartbeat_held = *rc::gen::element(0, 10'000, 50'000),
+                .write_lost = *rc::gen::element(0, 5000, 30'000),
+                .takeover = *rc::gen::element(0, 50, 300),
+                .kill_guard = *rc::gen::element(0, 20, 100),
+                .crash_worker = *rc::gen::element(0, 10, 60),
+                .cut_guard = *rc::gen::element(0, 20, 60),
+                .fail = *rc::gen::element(0, 5000, 30'000),
+                .cancel = *rc::gen::element(0, 100),
+                .crashing_job = *rc::gen::element(0, 0, 10'000),
+                .close = *rc::gen::element(0, 100, 400),
+                .cut_watch = *rc::gen::element(0, 5000, 20'000),
+                .call_held = *rc::gen::element(0, 2000, 10'000),
+                .answer_lost = *rc::gen::element(0, 2000, 10'000),
+                .busy = *rc::gen::element(0, 50, 200),
+                .no_room = *rc::gen::element(0, 2000, 10'000),
+                .poll_silent = *rc::gen::element(0, 0, 30),
+                .order_duplicated = *rc::gen::element(0, 5000, 30'000),
+                .kill_guards = *rc::gen::element(0, 0, 60),
+                .kill_all = *rc::gen::element(0, 0, 60)};
+            job_simulation simulation(seed, faults);
+            run_simulation(simulation, seconds(20), seconds(40));
+        }));
 }
 
 // Guards against two runs of one task at once, and against runs that begin
@@ -114,13 +114,14 @@
 // elsewhere.
 TEST_CASE("a duplicate of an order arrives after its run was refused")
 {
-    CHECK(rc::check("busy",
-                    [] { run_short({.busy = 500, .push_again = 30'000}); }));
-    CHECK(rc::check(
-        "to the guard's next incarnation",
-        [] {
-            run_short({.busy = 500, .push_again = 30'000, .kill_guards = 60});
-        }));
+    CHECK(rc::check("busy", []
+                    { run_short({.busy = 500, .order_duplicated = 30'000}); }));
+    CHECK(rc::check("to the guard's next incarnation",
+                    [] {
+                        run_short({.busy = 500,
+                                   .order_duplicated = 30'000,
+                                   .kill_guards = 60});
+                    }));
 }
 
 // Guards against runs that begin after an end as done was acknowledged, as seen
@@ -211,7 +212,7 @@
                                                    .busy = 300,
                                                    .no_room = 10'000,
                                                    .poll_silent = 60,
-                                                   .push_again = 30'000,
+                                                   .order_duplicated = 30'000,
                                                    .kill_guards = 200,
                                                    .kill_all = 60});
                         run_simulation(simulation, short_length, short_calm);
--- a/tests/unit/late_message_tests.cpp
+++ b/tests/unit/late_message_tests.cpp
@@ -91,7 +91,7 @@
     run_reconciler reconciler;
     time_point now{std::chrono::hours(1)};
     const worker_description live{.executor = "w2", .service = "s"};
-    const worker_description former{.executor = "w1", .service = "s"};
+    const worker_description other{.executor = "w1", .service = "s"};
     reconciler.on_worker(live, 5, now);
     reconciler.on_answer(
         {.holds = true, .permit_ms = 4000, .orders = {.epoch = 5}},
@@ -99,7 +99,7 @@
     static_cast<void>(reconciler.due(now));
     reconciler.on_polled("w2", order_result::accepted, executor_snapshot{}, now,
                          now);
-    reconciler.on_worker(former, 9000, now);
+    reconciler.on_worker(other, 9000, now);
     CHECK(reconciler.worker().executor == "w2");
     CHECK(reconciler.report(now).looked);
     // The guard polls that address to learn which incarnation is there.
--- a/tests/unit/resent_call_tests.cpp
+++ b/tests/unit/resent_call_tests.cpp
@@ -43,8 +43,8 @@
     reset   // as when a process is killed with unread bytes
 };
 
-// Answers each request with 200. After cut_each_kept(), it executes a request
-// on a connection that has carried an answer before and then ends the
+// Answers each request with 200. After cut_reused_connections(), it executes a
+// request on a connection that has carried an answer before and then ends the
 // connection; on new connections it answers with 503.
 class cutting_server
 {
@@ -92,7 +92,7 @@
         delay_ = delay;
     }
 
-    void cut_each_kept(cut how)
+    void cut_reused_connections(cut how)
     {
         how_ = how;
         cuts_ = true;
@@ -269,7 +269,7 @@
         cutting_server server;
         http_client client;
         open_connections(client, server, 1);
-        server.cut_each_kept(how);
+        server.cut_reused_connections(how);
         const http_result result = client.send_and_wait(call_to(server));
         CHECK(server.carried_out() == 1 + 1);
         CHECK(result.how == delivery::unknown);
@@ -282,7 +282,7 @@
     cutting_server server;
     http_client client;
     open_connections(client, server, 3);
-    server.cut_each_kept(cut::closed);
+    server.cut_reused_connections(cut::closed);
     CHECK(client.send_and_wait(call_to(server)).how == delivery::unknown);
     CHECK(server.requests() == 3 + 1);
 }
@@ -293,7 +293,7 @@
     http_client client;
     open_connections(client, server, 1);
     server.refuse_connections();
-    server.cut_each_kept(cut::closed);
+    server.cut_reused_connections(cut::closed);
     CHECK(client.send_and_wait(call_to(server)).how == delivery::unknown);
     CHECK(server.carried_out() == 1 + 1);
     // No connection could be opened, so nothing was sent.
@@ -318,7 +318,7 @@
     cutting_server server;
     http_client client;
     open_connections(client, server, 1);
-    server.cut_each_kept(cut::closed);
+    server.cut_reused_connections(cut::closed);
     const http_result result = client.send_and_wait(call_to(server, "GET"));
     CHECK(result.how == delivery::answered);
     CHECK(result.response.status == 503);
@@ -330,7 +330,7 @@
     cutting_server server;
     http_client client;
     open_connections(client, server, 1);
-    server.cut_each_kept(cut::closed);
+    server.cut_reused_connections(cut::closed);
     const start_run start{.order = {.task = "j.0.0.0", .run = 1},
                           .deadline_ms = 900,
                           .fence = 7,
@@ -346,7 +346,7 @@
     cutting_server server;
     http_client client;
     open_connections(client, server, 1);
-    server.cut_each_kept(cut::closed);
+    server.cut_reused_connections(cut::closed);
     platform::store_client store(client, server.address());
     auto status = platform::store_status::done;
     absl::Notification ended;
--- a/tests/unit/restarted_guard_tests.cpp
+++ b/tests/unit/restarted_guard_tests.cpp
@@ -33,13 +33,13 @@
 constexpr duration tick_interval = milliseconds(10);
 constexpr duration report_interval = milliseconds(100);
 // A start that is read later than this after it was sent has no effect.
-constexpr duration start_limit = seconds(2);
+constexpr duration start_timeout = seconds(2);
 
 // An executor that can leave starts unread in its socket.
 struct fake_worker
 {
     std::string executor;
-    resources capacity = tests::room;
+    resources capacity = tests::worker_capacity;
     order_result to_starts = order_result::accepted;
     order_result to_stops = order_result::accepted;
     bool reads_starts = true;
@@ -308,7 +308,7 @@
         CAPTURE(to_string(refusal));
         interrupted_start interrupted;
         interrupted.worker().to_starts = refusal;
-        interrupted.fleet.advance(interrupted.sent + start_limit -
+        interrupted.fleet.advance(interrupted.sent + start_timeout -
                                   milliseconds(50) - interrupted.fleet.now);
         interrupted.fleet.read_starts(interrupted.where);
         interrupted.fleet.advance(milliseconds(300));
@@ -322,7 +322,7 @@
     interrupted_start interrupted;
     interrupted.worker().to_starts = order_result::unhealthy;
     interrupted.worker().to_stops = order_result::unhealthy;
-    interrupted.fleet.advance(interrupted.sent + start_limit -
+    interrupted.fleet.advance(interrupted.sent + start_timeout -
                               milliseconds(50) - interrupted.fleet.now);
     CHECK_FALSE(interrupted.fleet.runs_at(other_than(interrupted.where)));
 }
--- a/tests/unit/restarting_executor.hpp
+++ b/tests/unit/restarting_executor.hpp
@@ -29,11 +29,11 @@
     {
         ++starts_;
         born_ = now;
-        began_.clear();
+        runs_.clear();
         closed_.clear();
         ended_ = json::array();
-        numbers_ = 0;
-        beats_ = 0;
+        last_end_number_ = 0;
+        heartbeat_number_ = 0;
     }
 
     http_request heartbeat(time_point now)
@@ -49,7 +49,7 @@
                         {"labels", {"small", "r1"}},
                         {"clock_ms", clock_ms(now)},
                         {"born", born_ms()},
-                        {"seq", ++beats_}};
+                        {"seq", ++heartbeat_number_}};
         return {.method = "POST",
                 .path = "/springstair/executors/i-1/heartbeat",
                 .body = make_body(body.dump())};
@@ -76,7 +76,7 @@
     void end_due_runs(time_point now)
     {
         std::vector<std::string> due;
-        for (const auto& [task, run] : began_)
+        for (const auto& [task, run] : runs_)
         {
             if (now - run.second >= run_time)
             {
@@ -106,10 +106,10 @@
 
     void end(const std::string& task, const char* how)
     {
-        const std::int64_t run = began_.at(task).first;
-        ended_.push_back(json::array({++numbers_, task, run, how, ""}));
+        const std::int64_t run = runs_.at(task).first;
+        ended_.push_back(json::array({++last_end_number_, task, run, how, ""}));
         closed_[task] = run;
-        began_.erase(task);
+        runs_.erase(task);
         if (how == std::string("done"))
         {
             done.insert(task);
@@ -128,19 +128,19 @@
     {
         const std::string task = request.at("task");
         const std::int64_t run = request.at("run");
-        const bool is_there =
-            began_.contains(task) && began_.at(task).first == run;
-        if (!is_there && closed_[task] >= run)
+        const bool is_running =
+            runs_.contains(task) && runs_.at(task).first == run;
+        if (!is_running && closed_[task] >= run)
         {
             return result(409, {{"reason", "old"}}, now);
         }
-        if (!is_there)
+        if (!is_running)
         {
             if (done.contains(task))
             {
                 began_after_done.push_back(task);
             }
-            began_[task] = {run, now};
+            runs_[task] = {run, now};
         }
         return result(200, json::object(), now);
     }
@@ -149,7 +149,7 @@
     {
         const std::string task = request.at("task");
         const std::int64_t run = request.at("run");
-        if (began_.contains(task) && began_.at(task).first <= run)
+        if (runs_.contains(task) && runs_.at(task).first <= run)
         {
             end(task, "stopped");
         }
@@ -161,7 +161,8 @@
     {
         // A number that this incarnation has not assigned acknowledges nothing.
         const std::int64_t acknowledged = request.at("last_seen");
-        const std::int64_t seen = acknowledged <= numbers_ ? acknowledged : 0;
+        const std::int64_t seen =
+            acknowledged <= last_end_number_ ? acknowledged : 0;
         json remaining = json::array();
         for (const json& row : ended_)
         {
@@ -172,7 +173,7 @@
         }
         ended_ = remaining;
         json running = json::array();
-        for (const auto& [task, run] : began_)
+        for (const auto& [task, run] : runs_)
         {
             running.push_back(json::array({task, run.first, "", 50, 100}));
         }
@@ -183,11 +184,11 @@
 
     std::int64_t starts_ = 0;
     time_point born_{};
-    std::map<std::string, std::pair<std::int64_t, time_point>> began_;
+    std::map<std::string, std::pair<std::int64_t, time_point>> runs_;
     std::map<std::string, std::int64_t> closed_; ///< newest ended run, by task
     json ended_ = json::array();
-    std::int64_t numbers_ = 0;
-    std::int64_t beats_ = 0;
+    std::int64_t last_end_number_ = 0;
+    std::int64_t heartbeat_number_ = 0;
 };
 
 // One worker, its guard and its leader. Time advances in steps of 10 ms; calls
--- a/tests/unit/run_exclusivity_tests.cpp
+++ b/tests/unit/run_exclusivity_tests.cpp
@@ -40,9 +40,10 @@
 
     void heartbeat()
     {
-        reconciler_.on_worker(
-            {.executor = executor(), .service = "s", .capacity = room}, clock(),
-            harness_.now);
+        reconciler_.on_worker({.executor = executor(),
+                               .service = "s",
+                               .capacity = worker_capacity},
+                              clock(), harness_.now);
     }
 
     // Replaces the guard's process by a new incarnation.
@@ -349,7 +350,8 @@
     busy_guard()
     {
         reconciler.on_worker(
-            {.executor = "w1", .service = "s", .capacity = room}, 1000, now);
+            {.executor = "w1", .service = "s", .capacity = worker_capacity},
+            1000, now);
         receive_orders({});
         poll(0);
     }
--- a/tests/unit/scheduler_harness.hpp
+++ b/tests/unit/scheduler_harness.hpp
@@ -16,7 +16,8 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-inline constexpr resources room{.cpu_millis = 4000, .memory_mb = 4000};
+inline constexpr resources worker_capacity{.cpu_millis = 4000,
+                                           .memory_mb = 4000};
 
 inline job_step step_of(std::int64_t count, std::int64_t cpu = 1000)
 {
@@ -122,7 +123,7 @@
                       .incarnation = "i",
                       .worker = {.executor = guard + "-1",
                                  .service = "s",
-                                 .capacity = room},
+                                 .capacity = worker_capacity},
                       .looked = true,
                       .answering = true};
         }
