--- a/tests/unit/job_simulation_guards.cpp
+++ b/tests/unit/job_simulation_guards.cpp
@@ -36,14 +36,15 @@
     }
 }
 
-// Returns how long an executor that restarts under its id is down: zero or some
-// time.
+// Returns the downtime of an executor that restarts under its id; zero in half
+// of the cases.
 duration job_simulation::restart_downtime()
 {
     return milliseconds(draw(2) == 0 ? 0 : draw(max_downtime_ms));
 }
 
-// Birth times differ between incarnations but do not order them.
+// The start times of incarnations differ, but a later incarnation may have an
+// earlier one.
 executor_incarnation job_simulation::next_incarnation(guard_process& guard,
                                                       bool keeps_id)
 {
@@ -54,7 +55,7 @@
             guard.name + "-life-" + std::to_string(guard.incarnations);
     }
     const std::int64_t back = guard.incarnations % 2 == 0 ? -1 : 1;
-    return {guard.executor_id, base_birth_ms + back * guard.incarnations};
+    return {guard.executor_id, base_start_time_ms + back * guard.incarnations};
 }
 
 void job_simulation::begin_guard(std::size_t index)
@@ -470,7 +471,7 @@
     executor.closed[task] = std::max(executor.closed[task], work.run);
     runs_[work.interval].end = now_;
     runs_[work.interval].how = std::string(to_string(how));
-    executor.ended.emplace_back(ended_task{.number = ++executor.numbers,
+    executor.ended.emplace_back(ended_task{.number = ++executor.last_end_number,
                                            .task = task,
                                            .run = work.run,
                                            .how = how,
