--- a/tests/unit/closed_data_centre_tests.cpp
+++ b/tests/unit/closed_data_centre_tests.cpp
@@ -18,7 +18,7 @@
 
 constexpr duration bound = seconds(5);
 
-scheduler_options closing_options()
+scheduler_options options_with_closing()
 {
     return {.closing = {.close_within = bound},
             .lasting_batch_window = duration{0}};
@@ -26,7 +26,7 @@
 
 struct two_data_centres : scheduler_harness
 {
-    two_data_centres() : scheduler_harness(closing_options())
+    two_data_centres() : scheduler_harness(options_with_closing())
     {
         add("g1", "east");
         add("g2", "west");
@@ -230,7 +230,7 @@
 
 TEST_CASE("a leader that does not know the closures yet places nothing")
 {
-    scheduler_harness harness(closing_options());
+    scheduler_harness harness(options_with_closing());
     harness.say("g1");
     const job definition = harness.submit({step_of(1)});
     harness.turn();
