--- a/tests/unit/spontaneous_crash_tests.cpp
+++ b/tests/unit/spontaneous_crash_tests.cpp
@@ -88,7 +88,7 @@
 
 TEST_CASE("an executor that crashes again and again fails no job")
 {
-    crashing_fleet fleet({.workers = 3, .away = seconds(2)});
+    crashing_fleet fleet({.workers = 3, .downtime = seconds(2)});
     const std::string long_running = fleet.submit(lasting_step(9));
     background_jobs background(fleet);
     for (int turn = 0; turn < 10; ++turn)
