--- a/packages/scheduler/include/springstair/detail/scheduler/crash_suspicion.hpp
+++ b/packages/scheduler/include/springstair/detail/scheduler/crash_suspicion.hpp
@@ -39,7 +39,7 @@
     duration surely_proven_after = std::chrono::milliseconds(1000);
     /// A run that has been running for this long clears its task: spontaneous
     /// executor crashes must not add up over the life of a long-running task.
-    duration sound_after = std::chrono::seconds(3);
+    duration cleared_after = std::chrono::seconds(3);
     /// Maximum share of the workers that are closed for suspects at once; the
     /// others remain available to all other work.
     double closed_share = 0.2;
@@ -48,15 +48,15 @@
     duration max_isolation_wait = std::chrono::seconds(3);
     /// A suspect that has waited this long may close any worker, whatever the
     /// share: a job may have nothing running for at most three seconds.
-    duration share_bound_for = std::chrono::milliseconds(1500);
+    duration closed_share_timeout = std::chrono::milliseconds(1500);
     /// Executors of a rack that were lost within this time of one another had a
     /// common cause, and no task is it. A poll of a crashed executor fails at
     /// once.
-    duration same_fault = std::chrono::milliseconds(300);
+    duration common_cause_window = std::chrono::milliseconds(300);
     /// Backoff of a task with the suspicion of four crashes, too few of them
     /// confirmed. Their cause is hidden by lost answers, which may be
     /// temporary.
-    duration unnamed_pause = std::chrono::seconds(3);
+    duration unidentified_backoff = std::chrono::seconds(3);
     /// Minimum time before a suspect returns to the worker that it left.
     duration return_backoff = std::chrono::seconds(10);
 };
@@ -78,19 +78,19 @@
 inline constexpr std::int64_t blame_threshold = 6;
 /// @brief More suspicion than three crashes add: from here on two confirmed
 /// crashes are enough to blame a task, whatever ran beside it.
-inline constexpr std::int64_t four_crashes = 7;
+inline constexpr std::int64_t strong_blame_threshold = 7;
 /// @brief Minimum number of executors lost with a start of a task at which one
 /// confirmed crash is enough to blame it, given the suspicion of four crashes.
 /// The platform allows two more starts after the third.
-inline constexpr std::int64_t max_losses = 5;
+inline constexpr std::int64_t blame_losses = 5;
 /// @brief Minimum number of confirmed crashes under a task before its job may
-/// be reported as failed (platform). @ref max_losses is the exception.
+/// be reported as failed (platform). @ref blame_losses is the exception.
 inline constexpr std::int64_t min_crashes = 2;
 /// @brief Confirmed crashes at which a task is blamed: with the suspicion of
 /// three crashes, whatever ran beside it; with less, if nothing else can have
 /// caused the last one. The platform counts starts from here on, and a verdict
 /// can be lost with its leader before it is written.
-inline constexpr std::int64_t naming_crashes = 3;
+inline constexpr std::int64_t blame_crashes = 3;
 
 /// @brief One run that was lost with its executor.
 struct lost_run_facts
@@ -162,8 +162,8 @@
     std::int64_t losses = 0;  ///< executors lost with a start of it
     /// Everything that ran beside it was proven. Members of a gang, which are
     /// not isolated, count as if it was.
-    bool is_sole = false;
-    bool is_sure = false; ///< its run had certainly begun
+    bool is_only_unproven = false;
+    bool is_confirmed = false; ///< its run had certainly begun
 };
 
 /// @brief Whether a task is blamed. A crash beside other unproven runs does not
@@ -171,19 +171,19 @@
 /// jobs failed whose tasks had only run beside crashes. If lost answers leave
 /// only one of five crashes confirmed, coincidence is less likely than the task
 /// being the cause.
-[[nodiscard]] constexpr bool is_given_up(const crash_verdict& verdict) noexcept
+[[nodiscard]] constexpr bool is_blamed(const crash_verdict& verdict) noexcept
 {
     if (verdict.crashes < min_crashes)
     {
-        return verdict.crashes > 0 && verdict.losses >= max_losses &&
-               verdict.suspicion >= four_crashes;
+        return verdict.crashes > 0 && verdict.losses >= blame_losses &&
+               verdict.suspicion >= strong_blame_threshold;
     }
-    const bool is_only_cause = verdict.is_sole && verdict.is_sure;
-    const bool has_enough_crashes = verdict.crashes >= naming_crashes;
+    const bool is_only_cause = verdict.is_only_unproven && verdict.is_confirmed;
+    const bool has_enough_crashes = verdict.crashes >= blame_crashes;
     const bool is_identified = verdict.suspicion >= blame_threshold &&
                                (is_only_cause || has_enough_crashes);
     return is_identified || (is_only_cause && has_enough_crashes) ||
-           verdict.suspicion >= four_crashes;
+           verdict.suspicion >= strong_blame_threshold;
 }
 
 } // namespace springstair
--- a/packages/scheduler/include/springstair/detail/scheduler/scheduler_core.hpp
+++ b/packages/scheduler/include/springstair/detail/scheduler/scheduler_core.hpp
@@ -425,10 +425,10 @@
     struct crash_count
     {
         std::int64_t run = 0;
-        std::int64_t added = 0; ///< to its suspicion
-        bool is_sole = false;   ///< everything else there was proven
-        bool is_sure = false;   ///< the run had certainly begun
-        bool is_gang = false;   ///< members of a gang are not isolated
+        std::int64_t added = 0;        ///< to its suspicion
+        bool is_only_unproven = false; ///< everything else there was proven
+        bool is_confirmed = false;     ///< the run had certainly begun
+        bool is_gang = false;          ///< members of a gang are not isolated
     };
 
     // Runs that were not proven when their executor crashed.
--- a/packages/scheduler/src/scheduler_losses.cpp
+++ b/packages/scheduler/src/scheduler_losses.cpp
@@ -197,7 +197,7 @@
     {
         return other != time_point{} &&
                std::chrono::abs(other - worker.previously_lost_at) <=
-                   options_.suspicion.same_fault;
+                   options_.suspicion.common_cause_window;
     };
     std::size_t total = 0;
     std::size_t lost = 0;
@@ -423,9 +423,9 @@
         counts[task_name{record->definition().id, position}] = {
             .run = begun.run,
             .added = added_suspicion(facts, options_.suspicion),
-            .is_sole = is_unproven(facts, options_.suspicion) &&
-                       neighbours.unproven == 1,
-            .is_sure = begun.is_sure,
+            .is_only_unproven = is_unproven(facts, options_.suspicion) &&
+                                neighbours.unproven == 1,
+            .is_confirmed = begun.is_sure,
             .is_gang = record->step_at(position).gang};
     }
     for (const auto& [name, count] : counts)
@@ -462,7 +462,7 @@
     job_record& record = *job_of(name.job);
     job_task& task = *record.find(name.at);
     task.suspicion += count.added;
-    task.crashes += count.is_sure ? 1 : 0;
+    task.crashes += count.is_confirmed ? 1 : 0;
     ++task.losses;
     task.judged_run = count.run;
     ++record.change;
@@ -471,7 +471,7 @@
                   {"run", std::to_string(count.run)},
                   {"guard", worker.guard},
                   {"scope", scope == crash_scope::rack ? "rack" : "executor"},
-                  {"sole", count.is_sole ? "yes" : "no"},
+                  {"sole", count.is_only_unproven ? "yes" : "no"},
                   {"crashes", std::to_string(task.crashes)},
                   {"suspicion", std::to_string(task.suspicion)}});
     if (task.suspicion >= suspect_threshold)
@@ -480,15 +480,15 @@
             departed_worker{.guard = worker.guard,
                             .until = now + options_.suspicion.return_backoff};
     }
-    if (task.suspicion >= four_crashes)
+    if (task.suspicion >= strong_blame_threshold)
     {
-        task.not_before = now + options_.suspicion.unnamed_pause;
+        task.not_before = now + options_.suspicion.unidentified_backoff;
     }
-    if (is_given_up({.suspicion = task.suspicion,
-                     .crashes = task.crashes,
-                     .losses = task.losses,
-                     .is_sole = count.is_sole || count.is_gang,
-                     .is_sure = count.is_sure}))
+    if (is_blamed({.suspicion = task.suspicion,
+                   .crashes = task.crashes,
+                   .losses = task.losses,
+                   .is_only_unproven = count.is_only_unproven || count.is_gang,
+                   .is_confirmed = count.is_confirmed}))
     {
         // Going on would cost other jobs more than this job is worth.
         fail(record, task, now,
@@ -511,7 +511,7 @@
         may_place_ = may_place_ || worker.isolated_suspect == name;
         end_isolation(worker, name);
     }
-    if (at_work >= options_.suspicion.sound_after)
+    if (at_work >= options_.suspicion.cleared_after)
     {
         task.suspicion = 0;
         task.crashes = 0;
--- a/packages/scheduler/src/scheduler_placing.cpp
+++ b/packages/scheduler/src/scheduler_placing.cpp
@@ -297,7 +297,7 @@
         1, static_cast<std::size_t>(options.closed_share *
                                     static_cast<double>(workers_.size())));
     if (isolated_workers_ >= max_isolated &&
-        query.now - ready_since < options.share_bound_for)
+        query.now - ready_since < options.closed_share_timeout)
     {
         return nullptr;
     }
--- a/tests/unit/crashing_task_tests.cpp
+++ b/tests/unit/crashing_task_tests.cpp
@@ -206,13 +206,13 @@
 TEST_CASE("three certain crashes blame a task that was alone in the third")
 {
     const crash_verdict third{
-        .suspicion = 5, .crashes = 3, .losses = 3, .is_sure = true};
-    CHECK_FALSE(is_given_up(third));
+        .suspicion = 5, .crashes = 3, .losses = 3, .is_confirmed = true};
+    CHECK_FALSE(is_blamed(third));
     crash_verdict alone = third;
-    alone.is_sole = true;
-    CHECK(is_given_up(alone));
+    alone.is_only_unproven = true;
+    CHECK(is_blamed(alone));
     alone.crashes = 2;
-    CHECK_FALSE(is_given_up(alone));
+    CHECK_FALSE(is_blamed(alone));
 }
 
 // Guards against failing an innocent job: several executors crashed with starts
