--- a/packages/scheduler/include/springstair/detail/scheduler/availability_counts.hpp
+++ b/packages/scheduler/include/springstair/detail/scheduler/availability_counts.hpp
@@ -26,6 +26,6 @@
 };
 
 /// @brief Samples a job's long-running tasks; all zero if it has none.
-availability_counts sample_service(const job_record& record);
+availability_counts sample_availability(const job_record& record);
 
 } // namespace springstair
--- a/packages/scheduler/include/springstair/detail/scheduler/scheduler_core.hpp
+++ b/packages/scheduler/include/springstair/detail/scheduler/scheduler_core.hpp
@@ -284,25 +284,25 @@
     struct uncommitted_end
     {
         std::int64_t change = 0; ///< of the job, with the newest of them
-        resources room;          ///< that they free
+        resources freed;         ///< that they free
     };
 
     [[nodiscard]] bool may_write(time_point now) const noexcept;
     [[nodiscard]] bool is_due(const job_record& record, time_point now) const;
     std::set<std::string> jobs_to_write(time_point now);
-    [[nodiscard]] bool is_kept(const std::string& job,
-                               std::int64_t change) const;
-    void note_freed(const std::string& guard, const job_record& record,
-                    const job_step& step);
+    [[nodiscard]] bool is_committed(const std::string& job,
+                                    std::int64_t change) const;
+    void record_freed(const std::string& guard, const job_record& record,
+                      const job_step& step);
     const std::map<std::string, uncommitted_end>&
     find_uncommitted_ends(const std::string& guard);
     const std::map<std::string, uncommitted_end>&
     ends_needed(const worker_record& worker, const job_step& step);
-    void use_room(job_record& record, const job_step& step,
-                  const worker_record& worker);
-    std::set<std::string> written_with(const std::string& id);
-    bool can_be_written(const std::string& id, const job_step& step,
-                        const std::vector<worker_record*>& chosen);
+    void record_required_changes(job_record& record, const job_step& step,
+                                 const worker_record& worker);
+    std::set<std::string> required_records(const std::string& id);
+    bool fits_one_commit(const std::string& id, const job_step& step,
+                         const std::vector<worker_record*>& chosen);
 
     // Placement (scheduler_placing.cpp).
     //
@@ -352,7 +352,7 @@
     void log_wait(const placement_query& query, const job_record& record,
                   const job_task& first,
                   std::optional<wait_cause> known = std::nullopt);
-    void watch_service(time_point now);
+    void sample_availability_if_due(time_point now);
     void sample_jobs();
     void log_service();
 
@@ -366,16 +366,17 @@
                                             std::int64_t run);
     static bool lists_end(const worker_report& report, const std::string& task,
                           std::int64_t run);
-    [[nodiscard]] static bool report_shows(const worker_report& report,
-                                           const refused_run& refusal);
+    [[nodiscard]] static bool
+    report_contradicts_refusal(const worker_report& report,
+                               const refused_run& refusal);
     void note_ends(worker_record& worker, const worker_report& report,
                    time_point now);
     void note_refusals(worker_record& worker, const worker_report& report,
                        time_point now);
     void note_running(worker_record& worker, const worker_report& report,
                       guard_orders& out, time_point now);
-    void note_unwanted(const worker_record& worker, const running_task& row,
-                       const job_task* task);
+    void log_orphan(const worker_record& worker, const running_task& row,
+                    const job_task* task);
     void stop_unwanted_starts(const worker_record& worker,
                               const worker_report& report, guard_orders& out);
     void note_progress(worker_record& worker, task_run& run,
@@ -388,14 +389,14 @@
                         guard_orders& out, time_point now);
     void relocate_slowed(worker_record& worker, const worker_report& report,
                          guard_orders& out, time_point now);
-    bool may_move(const task_name& name, const std::string& image);
-    bool is_welcome_elsewhere(const task_name& name,
-                              const worker_record& worker, time_point now);
+    bool is_relocatable(const task_name& name, const std::string& image);
+    bool has_other_worker(const task_name& name, const worker_record& worker,
+                          time_point now);
     void relocate(const task_name& name, const worker_record& worker,
                   std::int64_t pace, guard_orders& out, time_point now);
     void preempt_lasting(const placement_query& query, const job_record& record,
                          const job_task& task);
-    resources room_after_stops(const worker_record& worker);
+    resources capacity_after_stops(const worker_record& worker);
     bool is_preemptible(const task_name& name);
     void drain_leaving_worker(worker_record& worker, guard_orders& out,
                               time_point now);
@@ -442,10 +443,10 @@
     // one.
     struct runs_after_restart
     {
-        std::set<task_name> over;  ///< ended with it, or never begin
-        std::set<task_name> taken; ///< listed by the next incarnation
+        std::set<task_name> lost;    ///< ended with it, or never begin
+        std::set<task_name> adopted; ///< listed by the next incarnation
         /// Their start may reach the next incarnation.
-        std::set<task_name> open;
+        std::set<task_name> in_doubt;
     };
 
     void on_executor_restart(worker_record& worker, const worker_report& report,
@@ -456,13 +457,15 @@
                         const executor_incarnation& next, time_point now);
     void rebind_run(const task_name& name, const executor_incarnation& executor,
                     time_point now);
-    [[nodiscard]] static bool is_judged(const job_record& record,
-                                        const job_task& task, std::int64_t run);
+    [[nodiscard]] static bool is_loss_counted(const job_record& record,
+                                              const job_task& task,
+                                              std::int64_t run);
     std::map<task_name, std::int64_t>
     unproven_runs(const worker_record& worker);
-    void suspect_unwitnessed(const worker_record& worker,
-                             const std::map<task_name, std::int64_t>& runs,
-                             time_point now);
+    void
+    raise_unwitnessed_suspicion(const worker_record& worker,
+                                const std::map<task_name, std::int64_t>& runs,
+                                time_point now);
     std::map<task_name, std::int64_t>
     unwitnessed_runs(const runs_after_restart& runs,
                      const worker_report& report);
@@ -470,15 +473,15 @@
                          time_point now);
     void adopt_run(worker_record& worker, const task_name& name,
                    time_point now);
-    static void watch_suspect(worker_record& worker, const job_task& task,
-                              const task_name& name);
+    static void register_suspect(worker_record& worker, const job_task& task,
+                                 const task_name& name);
     void lose_lapsed(worker_record& worker, const worker_report& report,
                      time_point now);
     void lose_worker(worker_record& worker, const std::set<task_name>& runs,
                      const end_proof& proof, time_point now);
     void lose_runs(const std::set<task_name>& lost, const end_proof& proof,
                    time_point now);
-    [[nodiscard]] static duration shown_at_work(const task_run& run);
+    [[nodiscard]] static duration observed_run_time(const task_run& run);
     void judge_crashes(worker_record& worker, const worker_report& report,
                        time_point now);
     void judge_crash(worker_record& worker, const past_incarnation& past,
@@ -487,12 +490,12 @@
     static time_point end_of(const past_incarnation& past,
                              const worker_record& worker,
                              const worker_report& report, time_point now);
-    [[nodiscard]] bool went_with_its_rack(const worker_record& worker,
-                                          time_point now) const;
+    [[nodiscard]] bool is_rack_failure(const worker_record& worker,
+                                       time_point now) const;
     void suspect(const worker_record& worker, const task_name& name,
                  const crash_count& count, crash_scope scope, time_point now);
-    void note_soundness(worker_record& worker, job_task& task,
-                        const task_name& name);
+    void clear_suspicion_if_proven(worker_record& worker, job_task& task,
+                                   const task_name& name);
 
     // Ends (scheduler_ends.cpp).
     void close_run(job_record& record, job_task& task, const end_proof& proof,
@@ -522,10 +525,10 @@
     // A task by its name in reports; null pointers if there is none.
     struct known_task
     {
-        job_record* of = nullptr;
+        job_record* record = nullptr;
         job_task* task = nullptr;
     };
-    known_task known(const std::string& name);
+    known_task find_task(const std::string& name);
     [[nodiscard]] static bool is_current_run(const job_task* task,
                                              std::int64_t run,
                                              const worker_record& worker);
@@ -535,9 +538,9 @@
     closure_tracker data_centres_;
     fault_detector failures_;
     /// No starts are allowed: the list of closed data centres is stale.
-    bool withheld_ = false;
+    bool starts_withheld_ = false;
     std::int64_t epoch_ = 0;
-    bool begun_ = false;
+    bool is_ready_ = false;
     time_point term_started_at_{};
     std::map<std::string, std::unique_ptr<job_record>> jobs_;
     /// Jobs that may have tasks to place.
@@ -545,7 +548,8 @@
     std::vector<std::string> dirty_; ///< jobs to write, oldest change first
     std::set<std::string> is_dirty_;
     /// By the guard of the worker whose capacity they free, and by job.
-    std::map<std::string, std::map<std::string, uncommitted_end>> freed_;
+    std::map<std::string, std::map<std::string, uncommitted_end>>
+        freed_by_guard_;
     bool committing_ = false;
     time_point last_commit_{};
     worker_map workers_;
@@ -568,9 +572,9 @@
     std::map<std::string, guard_orders> outbox_;
     std::vector<decision> decisions_;
     std::vector<finished_job> finished_;
-    wait_log waits_;
+    wait_log wait_log_;
     /// Of long-running jobs, by job id, since the last log line.
-    std::map<std::string, availability_counts> service_;
+    std::map<std::string, availability_counts> availability_;
     time_point next_sample_{};
     time_point next_service_log_{};
     std::int64_t accepted_jobs_ = 0;
--- a/packages/scheduler/src/availability_counts.cpp
+++ b/packages/scheduler/src/availability_counts.cpp
@@ -14,7 +14,7 @@
     return *this;
 }
 
-availability_counts sample_service(const job_record& record)
+availability_counts sample_availability(const job_record& record)
 {
     availability_counts sample;
     for (const job_task& task : record.tasks())
--- a/packages/scheduler/src/scheduler_closing.cpp
+++ b/packages/scheduler/src/scheduler_closing.cpp
@@ -17,7 +17,7 @@
         worker.closed = data_centres_.is_closed(worker.description.data_centre);
     }
     may_place_ = may_place_ || !change.opened.empty();
-    if (!begun_)
+    if (!is_ready_)
     {
         return;
     }
@@ -35,14 +35,14 @@
 bool scheduler_core::may_start(time_point now)
 {
     const bool was_withheld =
-        std::exchange(withheld_, now >= data_centres_.starts_until());
-    if (withheld_ && !was_withheld)
+        std::exchange(starts_withheld_, now >= data_centres_.starts_until());
+    if (starts_withheld_ && !was_withheld)
     {
         const duration age = now - data_centres_.known_at();
         log_decision(event_id::starts_withheld,
                      {{"known_age_ms", std::to_string(to_milliseconds(age))}});
     }
-    return !withheld_;
+    return !starts_withheld_;
 }
 
 // The latest time, by the guard's own clock, at which it may begin a run
--- a/packages/scheduler/src/scheduler_core.cpp
+++ b/packages/scheduler/src/scheduler_core.cpp
@@ -61,7 +61,7 @@
 
 void scheduler_core::begin(time_point now)
 {
-    begun_ = true;
+    is_ready_ = true;
     term_started_at_ = now;
     for (const auto& [id, record] : jobs_)
     {
@@ -128,11 +128,11 @@
     return found == jobs_.end() ? nullptr : found->second.get();
 }
 
-scheduler_core::known_task scheduler_core::known(const std::string& name)
+scheduler_core::known_task scheduler_core::find_task(const std::string& name)
 {
     const auto parsed = task_name::parse(name);
     job_record* const record = parsed ? job_of(parsed->job) : nullptr;
-    return {.of = record,
+    return {.record = record,
             .task = record == nullptr ? nullptr : record->find(parsed->at)};
 }
 
@@ -200,7 +200,7 @@
                                                time_point verified_at) const
 {
     const job_record* const record = find(id);
-    if (record == nullptr || !begun_)
+    if (record == nullptr || !is_ready_)
     {
         return std::nullopt;
     }
@@ -264,7 +264,7 @@
 
 void scheduler_core::tick(time_point now, std::int64_t unix_ms)
 {
-    if (!begun_)
+    if (!is_ready_)
     {
         return;
     }
@@ -290,7 +290,7 @@
         }
     }
     place_if_due(now, unix_ms);
-    watch_service(now);
+    sample_availability_if_due(now);
 }
 
 } // namespace springstair
--- a/packages/scheduler/src/scheduler_diagnostics.cpp
+++ b/packages/scheduler/src/scheduler_diagnostics.cpp
@@ -24,7 +24,7 @@
 {
     const duration waited = query.now - task.ready_since;
     if (waited < options_.wait_log_threshold ||
-        !waits_.is_due(query.group, query.now, options_.min_log_interval))
+        !wait_log_.is_due(query.group, query.now, options_.min_log_interval))
     {
         return;
     }
@@ -48,7 +48,7 @@
          {"free_in_time_millis", std::to_string(report.free_in_time_millis)}});
 }
 
-void scheduler_core::watch_service(time_point now)
+void scheduler_core::sample_availability_if_due(time_point now)
 {
     if (now < next_sample_)
     {
@@ -72,10 +72,10 @@
         {
             continue;
         }
-        const availability_counts sample = sample_service(*record);
+        const availability_counts sample = sample_availability(*record);
         if (sample.tasks > 0)
         {
-            service_[id] += sample;
+            availability_[id] += sample;
             samples.push_back(sample);
         }
     }
@@ -96,7 +96,7 @@
 
 void scheduler_core::log_service()
 {
-    for (const auto& [id, counts] : std::exchange(service_, {}))
+    for (const auto& [id, counts] : std::exchange(availability_, {}))
     {
         if (counts.is_whole())
         {
@@ -109,7 +109,7 @@
              {"queue", record.definition().queue},
              {"tasks", std::to_string(record.tasks().size())},
              {"cpu_millis",
-              std::to_string(sample_service(record).reserved_millis)},
+              std::to_string(sample_availability(record).reserved_millis)},
              {"at_work", percent(counts.at_work, counts.tasks)},
              {"over_target", percent(counts.over_target, counts.tasks)},
              {"unplaced", percent(counts.unplaced, counts.tasks)}});
--- a/packages/scheduler/src/scheduler_ends.cpp
+++ b/packages/scheduler/src/scheduler_ends.cpp
@@ -52,7 +52,7 @@
     task.run.reset();
     task.ready_since = now;
     ++record.change;
-    note_freed(run.guard, record, step);
+    record_freed(run.guard, record, step);
     if (!proof.checkpoint().empty())
     {
         task.checkpoint = proof.checkpoint();
--- a/packages/scheduler/src/scheduler_leases.cpp
+++ b/packages/scheduler/src/scheduler_leases.cpp
@@ -29,7 +29,7 @@
 bool scheduler_core::is_end_given_up(const worker_record& worker,
                                      const ended_task& end)
 {
-    const job_task* const task = known(end.task).task;
+    const job_task* const task = find_task(end.task).task;
     if (task == nullptr || end.how != run_end::done)
     {
         return false;
--- a/packages/scheduler/src/scheduler_losses.cpp
+++ b/packages/scheduler/src/scheduler_losses.cpp
@@ -34,14 +34,14 @@
                                  : unproven_runs(worker);
     const runs_after_restart runs =
         after_restart(worker.assigned_tasks, report);
-    for (const task_name& name : runs.taken)
+    for (const task_name& name : runs.adopted)
     {
         suspects.erase(name);
     }
-    lose_worker(worker, runs.over, end_proof::incarnation_ended(), now);
+    lose_worker(worker, runs.lost, end_proof::incarnation_ended(), now);
     outbox_.erase(worker.guard); // addressed to the past incarnation
     follow_restart(worker, runs, report.worker.executor, now);
-    suspect_unwitnessed(worker, suspects, now);
+    raise_unwitnessed_suspicion(worker, suspects, now);
     worker.previously_lost_at = worker.lost_at;
     worker.noted = 0;
     worker.acknowledged = 0;
@@ -64,22 +64,22 @@
         const bool is_same_executor =
             run.executor.id == report.worker.executor.id;
         const bool guard_knows = run.told_incarnation == report.incarnation;
-        const bool is_taken = lists_running(report, text, run.number) ||
-                              lists_end(report, text, run.number);
-        const bool is_open =
+        const bool is_adopted = lists_running(report, text, run.number) ||
+                                lists_end(report, text, run.number);
+        const bool is_in_doubt =
             std::ranges::find(report.starting, text) != report.starting.end() ||
             !guard_knows;
         if (!is_same_executor || !run.ordered)
         {
-            out.over.insert(name);
+            out.lost.insert(name);
         }
-        else if (is_taken)
+        else if (is_adopted)
         {
-            out.taken.insert(name);
+            out.adopted.insert(name);
         }
         else
         {
-            (is_open ? out.open : out.over).insert(name);
+            (is_in_doubt ? out.in_doubt : out.lost).insert(name);
         }
     }
     return out;
@@ -94,11 +94,11 @@
                                     const executor_incarnation& next,
                                     time_point now)
 {
-    for (const task_name& name : runs.taken)
+    for (const task_name& name : runs.adopted)
     {
         rebind_run(name, next, now);
     }
-    for (const task_name& name : runs.open)
+    for (const task_name& name : runs.in_doubt)
     {
         rebind_run(name, next, now);
         task_run& run = *job_of(name.job)->find(name.at)->run;
@@ -121,8 +121,8 @@
 }
 
 // Whether the loss of a run adds no evidence about its task.
-bool scheduler_core::is_judged(const job_record& record, const job_task& task,
-                               std::int64_t run)
+bool scheduler_core::is_loss_counted(const job_record& record,
+                                     const job_task& task, std::int64_t run)
 {
     return is_final(record.state()) || task.done || run <= task.judged_run;
 }
@@ -135,7 +135,7 @@
     for (const task_name& name : worker.assigned_tasks)
     {
         const task_run& run = *job_of(name.job)->find(name.at)->run;
-        if (is_likely_cause({.at_work = shown_at_work(run)},
+        if (is_likely_cause({.at_work = observed_run_time(run)},
                             options_.suspicion))
         {
             runs.emplace(name, run.number);
@@ -149,7 +149,7 @@
 // cause. The loss counts like that of a whole rack, never as a sure crash.
 // Without this, a task whose first two crashes were not observed was started
 // six times.
-void scheduler_core::suspect_unwitnessed(
+void scheduler_core::raise_unwitnessed_suspicion(
     const worker_record& worker, const std::map<task_name, std::int64_t>& runs,
     time_point now)
 {
@@ -157,7 +157,7 @@
     {
         job_record& record = *job_of(name.job);
         const job_task& task = *record.find(name.at);
-        if (is_judged(record, task, run))
+        if (is_loss_counted(record, task, run))
         {
             continue;
         }
@@ -186,8 +186,8 @@
 // Whether at least half of the executors of the rack were lost at the same
 // time. Executors unavailable for other reasons do not count: when they did, a
 // few tasks that crash executors hid one another.
-bool scheduler_core::went_with_its_rack(const worker_record& worker,
-                                        time_point now) const
+bool scheduler_core::is_rack_failure(const worker_record& worker,
+                                     time_point now) const
 {
     if (worker.description.rack.empty())
     {
@@ -283,7 +283,7 @@
     }
     const runs_after_restart runs = after_restart(other_incarnation, report);
     const auto suspects = unwitnessed_runs(runs, report);
-    for (const std::set<task_name>& names : {runs.taken, runs.open})
+    for (const std::set<task_name>& names : {runs.adopted, runs.in_doubt})
     {
         for (const task_name& name : names)
         {
@@ -291,8 +291,8 @@
         }
     }
     follow_restart(worker, runs, worker.description.executor, now);
-    lose_runs(runs.over, end_proof::past_incarnation_ended(), now);
-    suspect_unwitnessed(worker, suspects, now);
+    lose_runs(runs.lost, end_proof::past_incarnation_ended(), now);
+    raise_unwitnessed_suspicion(worker, suspects, now);
 }
 
 // Runs of a previous leader that were, or may have been, lost with their
@@ -302,7 +302,7 @@
                                  const worker_report& report)
 {
     std::map<task_name, std::int64_t> out;
-    for (const std::set<task_name>& names : {runs.over, runs.open})
+    for (const std::set<task_name>& names : {runs.lost, runs.in_doubt})
     {
         for (const task_name& name : names)
         {
@@ -329,13 +329,14 @@
     run.ordered_at = now;
     run.stopping = is_final(record.state());
     reserve(worker, record.step_at(name.at), name);
-    watch_suspect(worker, *record.find(name.at), name);
+    register_suspect(worker, *record.find(name.at), name);
 }
 
 // Until a suspect is proven, other tasks avoid its worker where possible;
 // beside an isolated suspect nothing else is started.
-void scheduler_core::watch_suspect(worker_record& worker, const job_task& task,
-                                   const task_name& name)
+void scheduler_core::register_suspect(worker_record& worker,
+                                      const job_task& task,
+                                      const task_name& name)
 {
     if (task.suspicion >= suspect_threshold)
     {
@@ -347,7 +348,7 @@
     }
 }
 
-duration scheduler_core::shown_at_work(const task_run& run)
+duration scheduler_core::observed_run_time(const task_run& run)
 {
     return run.seen ? run.last_seen - run.ordered_at : duration{0};
 }
@@ -360,15 +361,15 @@
         job_record& record = *job_of(name.job);
         job_task& task = *record.find(name.at);
         const task_run& run = *task.run;
-        log_decision(
-            event_id::run_lost,
-            {{"task", name.text()},
-             {"run", std::to_string(run.number)},
-             {"guard", run.guard},
-             {"life", run.executor.text()},
-             {"why", proof.why()},
-             {"shown_ms", std::to_string(to_milliseconds(shown_at_work(run)))},
-             {"beside", std::to_string(lost.size() - 1)}});
+        log_decision(event_id::run_lost,
+                     {{"task", name.text()},
+                      {"run", std::to_string(run.number)},
+                      {"guard", run.guard},
+                      {"life", run.executor.text()},
+                      {"why", proof.why()},
+                      {"shown_ms",
+                       std::to_string(to_milliseconds(observed_run_time(run)))},
+                      {"beside", std::to_string(lost.size() - 1)}});
         close_run(record, task, proof, now);
     }
 }
@@ -401,15 +402,15 @@
 void scheduler_core::judge_crash(worker_record& worker,
                                  const past_incarnation& past, time_point now)
 {
-    const crash_scope scope = went_with_its_rack(worker, now)
+    const crash_scope scope = is_rack_failure(worker, now)
                                   ? crash_scope::rack
                                   : crash_scope::executor;
     std::map<task_name, crash_count> counts;
     const unproven_neighbours neighbours = unproven_neighbours_in(past);
     for (const begun_run& begun : past.begun)
     {
-        const auto [record, task] = known(begun.task);
-        if (task == nullptr || is_judged(*record, *task, begun.run))
+        const auto [record, task] = find_task(begun.task);
+        if (task == nullptr || is_loss_counted(*record, *task, begun.run))
         {
             continue;
         }
@@ -444,7 +445,7 @@
     unproven_neighbours neighbours;
     for (const begun_run& begun : past.begun)
     {
-        const job_task* const task = known(begun.task).task;
+        const job_task* const task = find_task(begun.task).task;
         const lost_run_facts facts{
             .suspicion = task == nullptr ? 0 : task->suspicion,
             .at_work = std::chrono::milliseconds(begun.at_work_ms)};
@@ -501,10 +502,11 @@
 
 // A run that has lived long enough is proven and ends its isolation; after
 // longer it clears the suspicion of its task.
-void scheduler_core::note_soundness(worker_record& worker, job_task& task,
-                                    const task_name& name)
+void scheduler_core::clear_suspicion_if_proven(worker_record& worker,
+                                               job_task& task,
+                                               const task_name& name)
 {
-    const duration at_work = shown_at_work(*task.run);
+    const duration at_work = observed_run_time(*task.run);
     if (at_work >= proof_time(task.suspicion, options_.suspicion) &&
         worker.unproven.contains(name))
     {
--- a/packages/scheduler/src/scheduler_moves.cpp
+++ b/packages/scheduler/src/scheduler_moves.cpp
@@ -24,11 +24,11 @@
             {
                 return;
             }
-            if (!may_move(name, image))
+            if (!is_relocatable(name, image))
             {
                 continue;
             }
-            if (!is_welcome_elsewhere(name, worker, now))
+            if (!has_other_worker(name, worker, now))
             {
                 break; // its siblings find no worker either
             }
@@ -38,7 +38,8 @@
     }
 }
 
-bool scheduler_core::may_move(const task_name& name, const std::string& image)
+bool scheduler_core::is_relocatable(const task_name& name,
+                                    const std::string& image)
 {
     job_record& record = *job_of(name.job);
     const job_step& step = record.step_at(name.at);
@@ -48,9 +49,9 @@
            !run.stopping && queue != nullptr && !queue->advice;
 }
 
-bool scheduler_core::is_welcome_elsewhere(const task_name& name,
-                                          const worker_record& worker,
-                                          time_point now)
+bool scheduler_core::has_other_worker(const task_name& name,
+                                      const worker_record& worker,
+                                      time_point now)
 {
     const job_record& record = *job_of(name.job);
     const std::string group = step_group(name.job, name.at);
@@ -106,7 +107,7 @@
         {
             continue;
         }
-        if (asked.fits(room_after_stops(worker)))
+        if (asked.fits(capacity_after_stops(worker)))
         {
             return;
         }
@@ -122,7 +123,7 @@
             worker->assigned_tasks,
             [&](const task_name& name) { return is_preemptible(name); });
         if (candidate != worker->assigned_tasks.end() &&
-            is_welcome_elsewhere(*candidate, *worker, query.now))
+            has_other_worker(*candidate, *worker, query.now))
         {
             relocate(*candidate, *worker, full_percent, outbox_[worker->guard],
                      query.now);
@@ -133,7 +134,7 @@
 
 // The capacity that will be free once all short runs, and the long-running runs
 // that are being stopped, have ended.
-resources scheduler_core::room_after_stops(const worker_record& worker)
+resources scheduler_core::capacity_after_stops(const worker_record& worker)
 {
     resources capacity = worker.eventual_capacity();
     for (const task_name& name : worker.assigned_tasks)
--- a/packages/scheduler/src/scheduler_placing.cpp
+++ b/packages/scheduler/src/scheduler_placing.cpp
@@ -236,7 +236,7 @@
                 query, std::ranges::count_if(tasks, &job_task::is_waiting));
             return true; // its siblings ask for the same
         }
-        if (!can_be_written(record.definition().id, step_definition, {worker}))
+        if (!fits_one_commit(record.definition().id, step_definition, {worker}))
         {
             return true;
         }
@@ -267,7 +267,7 @@
     const bool is_ready =
         worker != nullptr && worker->unproven.empty() &&
         can_take(*worker, query, options_.placement) &&
-        can_be_written(record.definition().id, query.step, {worker});
+        fits_one_commit(record.definition().id, query.step, {worker});
     if (!is_ready)
     {
         log_wait(query, record, task,
@@ -358,7 +358,7 @@
                                       const ticket_map& tickets, time_point now)
 {
     const task_position position = record.position_of(task);
-    use_room(record, record.step_at(position), worker);
+    record_required_changes(record, record.step_at(position), worker);
     ++record.change;
     task.runs = number;
     const auto ticket = tickets.find(worker.description.executor);
@@ -371,7 +371,7 @@
                         .last_progress_at = now};
     const task_name name{record.definition().id, position};
     reserve(worker, record.step_at(position), name);
-    watch_suspect(worker, task, name);
+    register_suspect(worker, task, name);
     record.enter(job_state::running);
     record.first_start = record.first_start.value_or(now);
     record.urgent_commit = true;
@@ -426,7 +426,7 @@
                       now);
         return true;
     }
-    if (!can_be_written(record.definition().id, record.step_at(first), chosen))
+    if (!fits_one_commit(record.definition().id, record.step_at(first), chosen))
     {
         return true;
     }
--- a/packages/scheduler/src/scheduler_reports.cpp
+++ b/packages/scheduler/src/scheduler_reports.cpp
@@ -11,7 +11,7 @@
                                      time_point now, time_point verified)
 {
     report_answer answer;
-    if (!begun_)
+    if (!is_ready_)
     {
         return answer;
     }
@@ -147,7 +147,7 @@
             continue;
         }
         worker.noted = end.number;
-        const auto [record, task] = known(end.task);
+        const auto [record, task] = find_task(end.task);
         const bool current = is_current_run(task, end.run, worker);
         log_decision(event_id::run_ended,
                      {{"task", end.task},
@@ -189,8 +189,8 @@
 // Whether a report that refuses a run shows that the run is there all the same:
 // it runs, or the guard has another copy of its order. Then it may continue or
 // begin. Partial reports list neither, and show nothing.
-bool scheduler_core::report_shows(const worker_report& report,
-                                  const refused_run& refusal)
+bool scheduler_core::report_contradicts_refusal(const worker_report& report,
+                                                const refused_run& refusal)
 {
     return lists_running(report, refusal.task, refusal.run) ||
            std::ranges::find(report.starting, refusal.task) !=
@@ -202,9 +202,9 @@
 {
     for (const refused_run& refusal : report.refused)
     {
-        const auto [record, task] = known(refusal.task);
+        const auto [record, task] = find_task(refusal.task);
         const bool current = is_current_run(task, refusal.run, worker);
-        if (!current || report_shows(report, refusal))
+        if (!current || report_contradicts_refusal(report, refusal))
         {
             continue;
         }
@@ -232,12 +232,12 @@
 {
     for (const running_task& running : report.running)
     {
-        const auto [record, task] = known(running.task);
+        const auto [record, task] = find_task(running.task);
         const bool current = is_current_run(task, running.run, worker);
         if (!current)
         {
             out.stops.push_back({.task = running.task, .run = running.run});
-            note_unwanted(worker, running, task);
+            log_orphan(worker, running, task);
             continue;
         }
         const task_position position = record->position_of(*task);
@@ -251,7 +251,8 @@
         task->run->last_seen =
             std::max(task->run->last_seen,
                      now - std::chrono::milliseconds(report.lists_age_ms));
-        note_soundness(worker, *task, {record->definition().id, position});
+        clear_suspicion_if_proven(worker, *task,
+                                  {record->definition().id, position});
         const bool undescribed =
             std::find(report.unknown.begin(), report.unknown.end(),
                       running.task) != report.unknown.end();
@@ -268,9 +269,9 @@
 
 // Logs an orphan with the state of its task: another run may be executing
 // elsewhere, or the task may be done.
-void scheduler_core::note_unwanted(const worker_record& worker,
-                                   const running_task& running,
-                                   const job_task* task)
+void scheduler_core::log_orphan(const worker_record& worker,
+                                const running_task& running,
+                                const job_task* task)
 {
     std::vector<event_field> fields{{"task", running.task},
                                     {"run", std::to_string(running.run)},
@@ -295,7 +296,7 @@
 {
     for (const std::string& name : report.starting)
     {
-        const job_task* const task = known(name).task;
+        const job_task* const task = find_task(name).task;
         if (task == nullptr)
         {
             continue; // stopped once it runs
--- a/packages/scheduler/src/scheduler_writing.cpp
+++ b/packages/scheduler/src/scheduler_writing.cpp
@@ -14,15 +14,17 @@
 // Records that must be written together
 // ---------------------------------------------------------------------------
 
-void scheduler_core::note_freed(const std::string& guard,
-                                const job_record& record, const job_step& step)
+void scheduler_core::record_freed(const std::string& guard,
+                                  const job_record& record,
+                                  const job_step& step)
 {
-    uncommitted_end& end = freed_[guard][record.definition().id];
+    uncommitted_end& end = freed_by_guard_[guard][record.definition().id];
     end.change = record.change;
-    end.room += reserved_by(step);
+    end.freed += reserved_by(step);
 }
 
-bool scheduler_core::is_kept(const std::string& job, std::int64_t change) const
+bool scheduler_core::is_committed(const std::string& job,
+                                  std::int64_t change) const
 {
     const job_record* const record = find(job);
     return record == nullptr || record->committed_change >= change;
@@ -32,9 +34,9 @@
 const std::map<std::string, scheduler_core::uncommitted_end>&
 scheduler_core::find_uncommitted_ends(const std::string& guard)
 {
-    auto& ends = freed_[guard];
+    auto& ends = freed_by_guard_[guard];
     std::erase_if(ends, [this](const auto& entry)
-                  { return is_kept(entry.first, entry.second.change); });
+                  { return is_committed(entry.first, entry.second.change); });
     return ends;
 }
 
@@ -48,13 +50,14 @@
     resources committed_free = worker.free_capacity();
     for (const auto& [job, end] : ends)
     {
-        committed_free -= end.room;
+        committed_free -= end.freed;
     }
     return reserved_by(step).fits(committed_free) ? none : ends;
 }
 
-void scheduler_core::use_room(job_record& record, const job_step& step,
-                              const worker_record& worker)
+void scheduler_core::record_required_changes(job_record& record,
+                                             const job_step& step,
+                                             const worker_record& worker)
 {
     for (const auto& [job, end] : ends_needed(worker, step))
     {
@@ -68,7 +71,7 @@
 
 // The records to be written together with one, itself included: those whose
 // ends its placements need, and transitively what those need.
-std::set<std::string> scheduler_core::written_with(const std::string& id)
+std::set<std::string> scheduler_core::required_records(const std::string& id)
 {
     std::set<std::string> found{id};
     std::vector<std::string> pending{id};
@@ -77,7 +80,7 @@
         job_record& record = *job_of(pending.back());
         pending.pop_back();
         std::erase_if(record.required_changes, [this](const auto& entry)
-                      { return is_kept(entry.first, entry.second); });
+                      { return is_committed(entry.first, entry.second); });
         for (const auto& [job, change] : record.required_changes)
         {
             if (found.insert(job).second)
@@ -93,10 +96,11 @@
 // requires, once it has placements of a step at these workers. Otherwise
 // nothing is placed there before the next write: records that require each
 // other must never exceed one write.
-bool scheduler_core::can_be_written(const std::string& id, const job_step& step,
-                                    const std::vector<worker_record*>& chosen)
+bool scheduler_core::fits_one_commit(const std::string& id,
+                                     const job_step& step,
+                                     const std::vector<worker_record*>& chosen)
 {
-    std::set<std::string> records = written_with(id);
+    std::set<std::string> records = required_records(id);
     for (const worker_record* const worker : chosen)
     {
         // Gang members that share a worker use more of its capacity than a
@@ -106,7 +110,7 @@
                                : find_uncommitted_ends(worker->guard);
         for (const auto& [job, end] : ends)
         {
-            records.merge(written_with(job));
+            records.merge(required_records(job));
         }
     }
     if (records.size() <= options_.jobs_per_commit)
@@ -149,7 +153,7 @@
         {
             continue;
         }
-        std::set<std::string> group = written_with(id);
+        std::set<std::string> group = required_records(id);
         std::erase_if(group, [&](const std::string& job)
                       { return jobs.contains(job); });
         if (jobs.size() + group.size() <= options_.jobs_per_commit)
@@ -162,7 +166,7 @@
 
 std::optional<commit_batch> scheduler_core::next_commit(time_point now)
 {
-    if (!begun_ || dirty_.empty() || !may_write(now))
+    if (!is_ready_ || dirty_.empty() || !may_write(now))
     {
         return std::nullopt;
     }
