--- a/packages/scheduler/include/springstair/detail/scheduler/infeasible_queries.hpp
+++ b/packages/scheduler/include/springstair/detail/scheduler/infeasible_queries.hpp
@@ -55,7 +55,7 @@
     static bool is_comparable(const placement_query& query)
     {
         return query.step.most_per_worker == 0 && !query.ignore_interference &&
-               !query.isolated && query.tickets == nullptr;
+               !query.is_suspect && query.tickets == nullptr;
     }
 
     static key key_of(const placement_query& query)
--- a/packages/scheduler/include/springstair/detail/scheduler/placement.hpp
+++ b/packages/scheduler/include/springstair/detail/scheduler/placement.hpp
@@ -56,7 +56,7 @@
     const std::string& service;
     const std::string& group; ///< step_group() of the task
     const std::set<std::string>& avoided;
-    const interference_model& harm;
+    const interference_model& interference;
     time_point now;
     /// The guard of the worker that the task has just left; null if none.
     const std::string* departed = nullptr;
@@ -65,17 +65,17 @@
     bool ignore_interference = false;
     /// The task is a suspect: it is placed where the fewest runs are unproven,
     /// so that a crash is the strongest evidence.
-    bool isolated = false;
+    bool is_suspect = false;
     /// The task, if it must be isolated: workers may be reserved for it. Else
     /// null.
-    const task_name* suspect = nullptr;
+    const task_name* isolated_task = nullptr;
     /// Tickets by incarnation, if the step needs one; else null.
     const ticket_map* tickets = nullptr;
 };
 
 /// @brief Whether a worker accepts new runs at all.
-bool takes_runs(const worker_record& worker, const std::string& service,
-                time_point now, const placement_options& options);
+bool accepts_runs(const worker_record& worker, const std::string& service,
+                  time_point now, const placement_options& options);
 
 /// @brief Whether a worker may run a task, apart from its free capacity.
 bool may_run(const worker_record& worker, const placement_query& query,
--- a/packages/scheduler/include/springstair/detail/scheduler/worker_ledger.hpp
+++ b/packages/scheduler/include/springstair/detail/scheduler/worker_ledger.hpp
@@ -12,13 +12,13 @@
 {
 
 /// @brief An end that is applied but may not be committed to the store yet.
-struct noted_end
+struct applied_end
 {
     std::int64_t number = 0;
     std::string job;
     std::int64_t change = 0; ///< the job's change that contains it
 
-    bool operator==(const noted_end&) const = default;
+    bool operator==(const applied_end&) const = default;
 };
 
 /// @brief The leader's view of one worker.
@@ -29,7 +29,7 @@
     worker_description description;
     resources used;                     ///< by runs that may be there
     resources lasting_used;             ///< share of long-running tasks in it
-    resources claimed;                  ///< reserved for a waiting task
+    resources reserved;                 ///< for a waiting task
     std::int64_t fill_cpu = 0;          ///< demand of its best-effort runs
     std::int64_t fill_runs = 0;         ///< number of best-effort runs
     std::set<task_name> assigned_tasks; ///< tasks whose newest run may be there
@@ -48,19 +48,19 @@
     std::set<executor_incarnation> judged_incarnations;
     /// The guard process that last reported the executor's current incarnation.
     /// It witnesses the end of that incarnation.
-    std::string witness;
+    std::string witness_incarnation;
     /// When the executor's current incarnation was first reported.
     time_point incarnation_since{};
     /// When polls of its executor began to fail, or its guard became
     /// unresponsive.
     time_point lost_at{};
-    time_point previously_lost_at{}; ///< same, of the past incarnation
-    std::string incarnation;         ///< of its guard
-    std::int64_t sequence = 0;       ///< of the newest report
-    std::int64_t offered = 0;        ///< newest admission number
-    std::string offered_to;          ///< guard incarnation that it was given to
-    bool answering = true;           ///< its executor answers the guard
-    bool closed = false;             ///< its data centre accepts no new runs
+    time_point previously_lost_at{};   ///< same, of the past incarnation
+    std::string incarnation;           ///< of its guard
+    std::int64_t sequence = 0;         ///< of the newest report
+    std::int64_t admission_number = 0; ///< newest one offered
+    std::string offered_to;            ///< guard incarnation that received it
+    bool answering = true;             ///< its executor answers the guard
+    bool closed = false;               ///< its data centre accepts no new runs
     /// Its lease must expire before any end listed there is acknowledged.
     bool lease_must_expire = false;
     /// Reading of its guard's clock at the newest report minus the leader's at
@@ -71,15 +71,15 @@
     /// leader does not give up its runs earlier.
     std::int64_t starts_until_ms = 0;
     time_point lease_ends{};       ///< its lease has certainly expired by then
-    std::int64_t noted = 0;        ///< ends up to this number are applied
+    std::int64_t applied_ends = 0; ///< ends up to this number are applied
     std::int64_t acknowledged = 0; ///< ends up to this number are committed
-    std::deque<noted_end> uncommitted_ends;
+    std::deque<applied_end> uncommitted_ends;
     double fault_score = 0; ///< evidence that it is faulty; see fault_detector
     std::string failed_job; ///< the last job that failed here
     time_point ejected_until{};
     std::int64_t ejections = 0;
     /// Runs by job, round and step.
-    std::map<std::string, std::int64_t> of_step;
+    std::map<std::string, std::int64_t> runs_of_step;
     /// Reserved runs of latency-critical tasks, by image.
     std::map<std::string, std::int64_t> serving_runs;
     std::int64_t serving_cpu = 0; ///< reserved by latency-critical tasks
@@ -87,13 +87,14 @@
     std::map<std::string, std::int64_t> fill_cpu_of;
     /// Paces of images that are throttled there.
     std::map<std::string, std::int64_t> paces;
-    time_point learnt{}; ///< when the model last learnt from its samples
+    /// When the model last learnt from its samples.
+    time_point last_sampled_at{};
     /// Lowest headroom (latency target divided by tail latency) that
     /// latency-critical tasks of an image would have without best-effort work,
     /// by the newest samples.
     std::map<std::string, double> headroom_alone;
     /// Newest processor use by best-effort image, share of capacity.
-    std::map<std::string, double> filling;
+    std::map<std::string, double> best_effort_use;
 
     /// @brief Capacity that no run reserves.
     [[nodiscard]] resources free_capacity() const noexcept;
--- a/packages/scheduler/src/placement.cpp
+++ b/packages/scheduler/src/placement.cpp
@@ -32,7 +32,8 @@
 bool is_open_to(const worker_record& worker, const placement_query& query)
 {
     return !worker.reserved_for ||
-           (query.suspect != nullptr && *query.suspect == *worker.reserved_for);
+           (query.isolated_task != nullptr &&
+            *query.isolated_task == *worker.reserved_for);
 }
 
 double share(std::int64_t part, std::int64_t whole)
@@ -63,7 +64,7 @@
     std::optional<double> lowest;
     for (const auto& [serving, runs] : worker.serving_runs)
     {
-        double cost = query.harm.harm(serving, query.step.image) *
+        double cost = query.interference.harm(serving, query.step.image) *
                       static_cast<double>(query.step.demand.cpu_millis) /
                       capacity;
         if (cost < negligible_cost)
@@ -72,7 +73,7 @@
         }
         for (const auto& [filling, cpu] : worker.fill_cpu_of)
         {
-            cost += query.harm.harm(serving, filling) *
+            cost += query.interference.harm(serving, filling) *
                     static_cast<double>(cpu) / capacity;
         }
         const auto found = worker.headroom_alone.find(serving);
@@ -158,7 +159,7 @@
     }
     // A suspect avoids unproven runs; any other task avoids suspects.
     const std::size_t neighbours =
-        query.isolated ? worker.unproven.size() : worker.suspects.size();
+        query.is_suspect ? worker.unproven.size() : worker.suspects.size();
     value += options.unproven_penalty * static_cast<double>(neighbours);
     const bool just_departed =
         query.departed != nullptr && *query.departed == worker.guard;
@@ -174,7 +175,7 @@
 bool may_run(const worker_record& worker, const placement_query& query,
              const placement_options& options)
 {
-    return takes_runs(worker, query.service, query.now, options) &&
+    return accepts_runs(worker, query.service, query.now, options) &&
            is_open_to(worker, query) && has_label(worker, query.step.label) &&
            is_below_step_bound(worker, query) && has_ticket(worker, query);
 }
@@ -197,8 +198,8 @@
            std::find(labels.begin(), labels.end(), label) != labels.end();
 }
 
-bool takes_runs(const worker_record& worker, const std::string& service,
-                time_point now, const placement_options& options)
+bool accepts_runs(const worker_record& worker, const std::string& service,
+                  time_point now, const placement_options& options)
 {
     return worker.description.service == service &&
            !worker.description.executor.empty() &&
@@ -215,8 +216,8 @@
     {
         return true;
     }
-    const auto found = worker.of_step.find(query.group);
-    return found == worker.of_step.end() ||
+    const auto found = worker.runs_of_step.find(query.group);
+    return found == worker.runs_of_step.end() ||
            found->second < query.step.most_per_worker;
 }
 
@@ -249,7 +250,7 @@
     worker_record* best = nullptr;
     for (auto& [name, worker] : workers)
     {
-        const bool is_eligible = worker.claimed == resources{} &&
+        const bool is_eligible = worker.reserved == resources{} &&
                                  asked.fits(worker.eventual_capacity()) &&
                                  may_run(worker, query, options);
         if (is_eligible &&
--- a/packages/scheduler/src/scheduler_learning.cpp
+++ b/packages/scheduler/src/scheduler_learning.cpp
@@ -14,11 +14,11 @@
                                         const worker_report& report,
                                         time_point now)
 {
-    if (now - worker.learnt < options_.sample_interval)
+    if (now - worker.last_sampled_at < options_.sample_interval)
     {
         return;
     }
-    worker.learnt = now;
+    worker.last_sampled_at = now;
     fill_usage fill_use;
     std::vector<serving_figure> figures;
     for (const running_task& running : report.running)
@@ -58,7 +58,7 @@
             worker.headroom_alone.try_emplace(figure.image, alone);
         found->second = std::min(found->second, alone);
     }
-    worker.filling = std::move(fill_use);
+    worker.best_effort_use = std::move(fill_use);
 }
 
 std::vector<pair_interference>
@@ -67,7 +67,7 @@
     std::vector<pair_interference> out;
     for (const auto& [serving, alone] : worker.headroom_alone)
     {
-        for (const auto& [filling, use] : worker.filling)
+        for (const auto& [filling, use] : worker.best_effort_use)
         {
             const double harm = interference_model_.harm(serving, filling);
             if (harm >= options_.min_reported_interference)
--- a/packages/scheduler/src/scheduler_leases.cpp
+++ b/packages/scheduler/src/scheduler_leases.cpp
@@ -52,13 +52,14 @@
 {
     const bool was_set = worker.lease_must_expire;
     // Ends up to this number are already applied and will be acknowledged.
-    const std::int64_t noted =
-        worker.description.executor == report.worker.executor ? worker.noted
-                                                              : 0;
+    const std::int64_t applied =
+        worker.description.executor == report.worker.executor
+            ? worker.applied_ends
+            : 0;
     const auto end =
         std::ranges::find_if(report.ended,
                              [&](const ended_task& candidate) {
-                                 return candidate.number > noted &&
+                                 return candidate.number > applied &&
                                         is_end_given_up(worker, candidate);
                              });
     worker.lease_must_expire = knows_incarnation && report.looked &&
--- a/packages/scheduler/src/scheduler_losses.cpp
+++ b/packages/scheduler/src/scheduler_losses.cpp
@@ -27,7 +27,7 @@
         return;
     }
     const bool is_witnessed =
-        worker.witness == report.incarnation ||
+        worker.witness_incarnation == report.incarnation ||
         std::ranges::find(report.former, worker.description.executor,
                           &past_incarnation::executor) != report.former.end();
     auto suspects = is_witnessed ? std::map<task_name, std::int64_t>{}
@@ -43,7 +43,7 @@
     follow_restart(worker, runs, report.worker.executor, now);
     raise_unwitnessed_suspicion(worker, suspects, now);
     worker.previously_lost_at = worker.lost_at;
-    worker.noted = 0;
+    worker.applied_ends = 0;
     worker.acknowledged = 0;
     worker.uncommitted_ends.clear();
     worker.fault_score = 0;
--- a/packages/scheduler/src/scheduler_moves.cpp
+++ b/packages/scheduler/src/scheduler_moves.cpp
@@ -62,7 +62,7 @@
          .service = table_.queue(record.definition().queue)->service,
          .group = group,
          .avoided = current_guard,
-         .harm = interference_model_,
+         .interference = interference_model_,
          .now = now},
         options_.placement);
     return other != nullptr && other != &worker;
--- a/packages/scheduler/src/scheduler_placing.cpp
+++ b/packages/scheduler/src/scheduler_placing.cpp
@@ -61,7 +61,7 @@
     isolated_workers_ = 0;
     for (auto& [guard, worker] : workers_)
     {
-        worker.claimed = {};
+        worker.reserved = {};
         if (worker.reserved_for && !is_isolation_valid(worker, last_pass_))
         {
             worker.reserved_for.reset();
@@ -144,7 +144,7 @@
     std::vector<const worker_record*> candidates;
     for (const auto& [name, worker] : workers_)
     {
-        if (takes_runs(worker, queue.service, now, options_.placement) &&
+        if (accepts_runs(worker, queue.service, now, options_.placement) &&
             has_label(worker, step.label))
         {
             candidates.push_back(&worker);
@@ -207,7 +207,7 @@
             .service = queue.service,
             .group = group,
             .avoided = task.avoided,
-            .harm = interference_model_,
+            .interference = interference_model_,
             .now = now,
             .departed = task.departed && now < task.departed->until
                             ? &task.departed->guard
@@ -215,7 +215,7 @@
             .ignore_interference =
                 !record.has_runs() &&
                 now - task.ready_since > options_.max_interference_wait,
-            .isolated = task.suspicion >= suspect_threshold,
+            .is_suspect = task.suspicion >= suspect_threshold,
             .tickets = queue.advice ? &tickets : nullptr};
         if (task.suspicion >= isolation_threshold)
         {
@@ -262,7 +262,7 @@
                                     job_task& task, const ticket_map& tickets)
 {
     const task_name name{record.definition().id, record.position_of(task)};
-    query.suspect = &name;
+    query.isolated_task = &name;
     worker_record* const worker = isolation_worker(query, task.ready_since);
     const bool is_ready =
         worker != nullptr && worker->unproven.empty() &&
@@ -287,7 +287,7 @@
 {
     for (auto& [guard, worker] : workers_)
     {
-        if (worker.reserved_for == *query.suspect)
+        if (worker.reserved_for == *query.isolated_task)
         {
             return &worker;
         }
@@ -307,7 +307,7 @@
                  : worker;
     if (worker != nullptr)
     {
-        worker->reserved_for = *query.suspect;
+        worker->reserved_for = *query.isolated_task;
         worker->reserved_until = query.now + options.max_isolation_wait;
         ++isolated_workers_;
     }
@@ -347,7 +347,7 @@
         {
             return;
         }
-        worker->claimed = reserved_by(query.step);
+        worker->reserved = reserved_by(query.step);
         ++reservations_;
     }
 }
@@ -453,7 +453,7 @@
                                 .service = queue.service,
                                 .group = group,
                                 .avoided = member.avoided,
-                                .harm = interference_model_,
+                                .interference = interference_model_,
                                 .now = now,
                                 .tickets = tickets};
     const bool fits_one =
@@ -492,7 +492,7 @@
                                .service = queue.service,
                                .group = group,
                                .avoided = tasks[index].avoided,
-                               .harm = interference_model_,
+                               .interference = interference_model_,
                                .now = now,
                                .tickets = tickets},
                               options_.placement);
--- a/packages/scheduler/src/scheduler_reports.cpp
+++ b/packages/scheduler/src/scheduler_reports.cpp
@@ -51,7 +51,7 @@
     {
         on_executor_restart(worker, report, now);
         worker.description = report.worker;
-        worker.witness = report.incarnation;
+        worker.witness_incarnation = report.incarnation;
         worker.closed = data_centres_.is_closed(worker.description.data_centre);
         adopt_inherited(worker, report, now);
         judge_crashes(worker, report, now);
@@ -101,7 +101,8 @@
     {
         return report.sequence > worker.sequence;
     }
-    const guard_admission offered{.epoch = epoch_, .number = worker.offered};
+    const guard_admission offered{.epoch = epoch_,
+                                  .number = worker.admission_number};
     if (worker.offered_to == report.incarnation && report.admission == offered)
     {
         return true;
@@ -109,14 +110,14 @@
     if (worker.offered_to != report.incarnation)
     {
         worker.offered_to = report.incarnation;
-        ++worker.offered;
+        ++worker.admission_number;
         log_decision(event_id::guard_unproven,
                      {{"guard", report.guard},
                       {"incarnation", report.incarnation},
                       {"present", worker.incarnation},
                       {"life", report.worker.executor.text()}});
     }
-    answer.admission = {.epoch = epoch_, .number = worker.offered};
+    answer.admission = {.epoch = epoch_, .number = worker.admission_number};
     return false;
 }
 
@@ -142,11 +143,11 @@
 {
     for (const ended_task& end : report.ended)
     {
-        if (end.number <= worker.noted)
+        if (end.number <= worker.applied_ends)
         {
             continue;
         }
-        worker.noted = end.number;
+        worker.applied_ends = end.number;
         const auto [record, task] = find_task(end.task);
         const bool current = is_current_run(task, end.run, worker);
         log_decision(event_id::run_ended,
@@ -412,7 +413,7 @@
          {"repeats", std::to_string(run.repeats)},
          {"listed_end",
           end == report.ended.end() ? "none" : std::to_string(end->number)},
-         {"ends_noted_to", std::to_string(worker.noted)},
+         {"ends_noted_to", std::to_string(worker.applied_ends)},
          {"ends_acknowledged_to", std::to_string(worker.acknowledged)}});
 }
 
@@ -420,7 +421,7 @@
 {
     while (!worker.uncommitted_ends.empty())
     {
-        const noted_end& oldest = worker.uncommitted_ends.front();
+        const applied_end& oldest = worker.uncommitted_ends.front();
         const job_record* const record = job_of(oldest.job);
         if (record != nullptr && record->committed_change < oldest.change)
         {
--- a/packages/scheduler/src/wait_report.cpp
+++ b/packages/scheduler/src/wait_report.cpp
@@ -79,7 +79,7 @@
     wait_report report;
     for (const auto& [guard, worker] : workers)
     {
-        if (!takes_runs(worker, query.service, query.now, options))
+        if (!accepts_runs(worker, query.service, query.now, options))
         {
             const bool closed =
                 worker.closed && worker.description.service == query.service;
--- a/packages/scheduler/src/worker_ledger.cpp
+++ b/packages/scheduler/src/worker_ledger.cpp
@@ -15,12 +15,12 @@
 resources worker_record::unreserved_capacity() const noexcept
 {
     const resources free = free_capacity();
-    return {.cpu_millis =
-                std::max<std::int64_t>(0, free.cpu_millis - claimed.cpu_millis),
+    return {.cpu_millis = std::max<std::int64_t>(0, free.cpu_millis -
+                                                        reserved.cpu_millis),
             .memory_mb =
-                std::max<std::int64_t>(0, free.memory_mb - claimed.memory_mb),
+                std::max<std::int64_t>(0, free.memory_mb - reserved.memory_mb),
             .accelerators = std::max<std::int64_t>(
-                0, free.accelerators - claimed.accelerators)};
+                0, free.accelerators - reserved.accelerators)};
 }
 
 resources worker_record::eventual_capacity() const noexcept
@@ -58,7 +58,7 @@
 void update_counts(worker_record& worker, const job_step& step,
                    const task_name& task, int sign)
 {
-    add(worker.of_step, step_group(task.job, task.at), sign);
+    add(worker.runs_of_step, step_group(task.job, task.at), sign);
     if (step.fills)
     {
         worker.fill_cpu += sign * step.demand.cpu_millis;
--- a/tests/unit/interference_model_tests.cpp
+++ b/tests/unit/interference_model_tests.cpp
@@ -194,7 +194,7 @@
                                 .service = "v",
                                 .group = "k",
                                 .avoided = none,
-                                .harm = model,
+                                .interference = model,
                                 .now = now};
     worker_record* const chosen = choose_worker(workers, query, {});
     REQUIRE(chosen != nullptr);
--- a/tests/unit/scheduler_tests.cpp
+++ b/tests/unit/scheduler_tests.cpp
@@ -156,7 +156,7 @@
                 .service = service,
                 .group = group,
                 .avoided = avoided,
-                .harm = interference,
+                .interference = interference,
                 .now = {},
                 .ignore_interference = ignore_interference};
     };
