--- a/packages/daemon/src/operator_watch.cpp
+++ b/packages/daemon/src/operator_watch.cpp
@@ -241,7 +241,7 @@
 
 void operator_watch::tell_closed(time_point known_at)
 {
-    closed_.known_at = std::max(closed_.known_at, known_at);
+    closed_.as_of = std::max(closed_.as_of, known_at);
     then_.closed(closed_);
 }
 
--- a/packages/jobs/include/springstair/detail/jobs/closed_data_centres.hpp
+++ b/packages/jobs/include/springstair/detail/jobs/closed_data_centres.hpp
@@ -15,7 +15,7 @@
     std::set<std::string> names;
     /// The store had exactly these entries at this time or later. The clock's
     /// epoch: nothing is known yet.
-    time_point known_at{};
+    time_point as_of{};
 
     bool operator==(const closed_data_centres&) const = default;
 };
--- a/packages/scheduler/include/springstair/detail/scheduler/closure_tracker.hpp
+++ b/packages/scheduler/include/springstair/detail/scheduler/closure_tracker.hpp
@@ -22,7 +22,7 @@
     duration close_within{0};
     /// Maximum time for which a watch receives nothing while the store compacts
     /// its history (platform).
-    duration deaf_watch = std::chrono::milliseconds(1000);
+    duration max_watch_outage = std::chrono::milliseconds(1000);
     /// Maximum time from a guard's last reading of its clock to the executor: a
     /// call of 300 ms, and the drift of two clocks.
     duration delivery = std::chrono::milliseconds(500);
@@ -56,7 +56,7 @@
     /// @brief When the list last matched the store.
     [[nodiscard]] time_point known_at() const noexcept
     {
-        return known_.known_at;
+        return known_.as_of;
     }
     /// @brief Starts that rely on the present list are void from this time on.
     [[nodiscard]] time_point starts_until() const noexcept;
--- a/packages/scheduler/include/springstair/detail/scheduler/job_order.hpp
+++ b/packages/scheduler/include/springstair/detail/scheduler/job_order.hpp
@@ -17,7 +17,7 @@
     /// Jobs with objectives in the same span of this length rank equally in
     /// time; among them, long-running jobs are ordered by size. A longer span
     /// would delay batch work.
-    duration one_moment = std::chrono::milliseconds(500);
+    duration objective_span = std::chrono::milliseconds(500);
 };
 
 /// @brief The value that a job can still have, from best to worst.
@@ -33,10 +33,11 @@
 {
     std::int64_t priority = 0; ///< of its queue; 0 is the most urgent
     job_prospect prospect = job_prospect::in_time;
-    std::int64_t moment = 0; ///< number of the order_options::one_moment span
+    /// Number of the order_options::objective_span.
+    std::int64_t objective_span_index = 0;
     /// Negative processor demand per task of a long-running job: the largest
     /// goes first, since it fits on the fewest workers. 0 for others.
-    std::int64_t smallness = 0;
+    std::int64_t negative_size = 0;
     time_point objective;   ///< when it should have ended
     std::int64_t order = 0; ///< number in order of acceptance
 
--- a/packages/scheduler/src/closure_tracker.cpp
+++ b/packages/scheduler/src/closure_tracker.cpp
@@ -23,7 +23,7 @@
 
 closing_change closure_tracker::take(const closed_data_centres& known)
 {
-    if (known.known_at <= known_.known_at)
+    if (known.as_of <= known_.as_of)
     {
         return {};
     }
@@ -44,7 +44,7 @@
     {
         return time_point::max();
     }
-    return known_.known_at + options_.close_within - options_.deaf_watch -
+    return known_.as_of + options_.close_within - options_.max_watch_outage -
            options_.delivery;
 }
 
--- a/packages/scheduler/src/job_order.cpp
+++ b/packages/scheduler/src/job_order.cpp
@@ -35,9 +35,10 @@
     }
     return {.priority = queue->priority,
             .prospect = prospect,
-            .moment = (record.accepted + objective).time_since_epoch() /
-                      options.one_moment,
-            .smallness =
+            .objective_span_index =
+                (record.accepted + objective).time_since_epoch() /
+                options.objective_span,
+            .negative_size =
                 lasting ? -record.definition().steps.front().demand.cpu_millis
                         : 0,
             .objective = record.accepted + objective,
--- a/tests/unit/closed_data_centre_tests.cpp
+++ b/tests/unit/closed_data_centre_tests.cpp
@@ -43,7 +43,7 @@
 
     void set_closures(std::set<std::string> closed)
     {
-        core.set_closed({.names = std::move(closed), .known_at = now}, now);
+        core.set_closed({.names = std::move(closed), .as_of = now}, now);
     }
 
     void report_all()
@@ -237,7 +237,7 @@
     harness.say("g1");
     harness.turn();
     CHECK(harness.started.empty());
-    harness.core.set_closed({.known_at = harness.now}, harness.now);
+    harness.core.set_closed({.as_of = harness.now}, harness.now);
     harness.say("g1");
     harness.turn();
     CHECK(harness.runs(definition.id + ".0.0.0"));
--- a/tests/unit/job_simulation_leaders.cpp
+++ b/tests/unit/job_simulation_leaders.cpp
@@ -304,7 +304,7 @@
         is_stale ? now_ - milliseconds(draw(max_watch_lag_ms)) : now_;
     schedule(delay(),
              [core = leader.core, this, sent = now_, names = closed_at(asked)]
-             { core->set_closed({.names = names, .known_at = sent}, now_); });
+             { core->set_closed({.names = names, .as_of = sent}, now_); });
 }
 
 std::string job_simulation::data_centre_of(std::size_t index)
