--- a/packages/daemon/src/leader_handover.cpp
+++ b/packages/daemon/src/leader_handover.cpp
@@ -30,7 +30,8 @@
     const duration silent = now - store_.served_at();
     return {.processors = process_.from.processors,
             .held_for = now - leader_election_.held_since(),
-            .store_silent = store_.is_unavailable() ? silent : duration{0},
+            .store_unavailable_for =
+                store_.is_unavailable() ? silent : duration{0},
             .stopping = stopping};
 }
 
@@ -102,7 +103,7 @@
     if (answer.holds)
     {
         const time_point now = boot_clock::now();
-        entries_.note(from, now);
+        entries_.record_heartbeat(from, now);
         answer.rank = entries_.rank(from.address, now);
         answer.peers = entries_.peers_of(from, now);
     }
--- a/packages/scheduler/include/springstair/detail/scheduler/entry_list.hpp
+++ b/packages/scheduler/include/springstair/detail/scheduler/entry_list.hpp
@@ -15,7 +15,7 @@
 {
     /// An entry counts as present for this time after its heartbeat: two
     /// heartbeat intervals and a lost heartbeat.
-    duration heard_within = std::chrono::seconds(7);
+    duration heartbeat_timeout = std::chrono::seconds(7);
     /// Maximum age of the order of the entries; each update sorts all of them.
     duration order_age = std::chrono::milliseconds(500);
     /// Maximum number of peers in the answer to a heartbeat: enough that one of
@@ -30,16 +30,16 @@
     double much_larger = 1.5;
     /// Minimum time between an election and a handover to a larger VM: other
     /// entries may be starting.
-    duration settling = std::chrono::milliseconds(500);
+    duration min_term = std::chrono::milliseconds(500);
     /// A leader that the store has not served for this long hands over: more
     /// than the response time of a store that is fifty times slower than usual,
     /// well below the lease that successors would have to wait for.
     duration store_outage_tolerance = std::chrono::milliseconds(400);
     /// Time for which an entry that could not take over is not asked again.
-    duration decline_lasts = std::chrono::seconds(2);
+    duration decline_backoff = std::chrono::seconds(2);
     /// Maximum number of entries asked within that time: if the store serves
     /// nobody, each of them would claim leadership in vain.
-    std::size_t most_asked = 4;
+    std::size_t max_declined = 4;
 };
 
 /// @brief Why a leader hands over to another entry.
@@ -56,9 +56,10 @@
 /// @brief The inputs of the decision whether a leader hands over.
 struct leader_state
 {
-    double processors = 1;    ///< of its VM
-    duration held_for{0};     ///< since its election
-    duration store_silent{0}; ///< since the store last served it; 0: it does
+    double processors = 1; ///< of its VM
+    duration held_for{0};  ///< since its election
+    /// Since the store last served it; 0: it does.
+    duration store_unavailable_for{0};
     bool stopping = false;
 };
 
@@ -93,11 +94,11 @@
     bool is_successor = true;
     duration delay{0};
 
-    /// @param was_told whether a leader has ever told this entry its rank; if
+    /// @param has_rank whether a leader has ever told this entry its rank; if
     /// not, it claims at once: after the loss of all entries nobody knows a
     /// better one
     /// @param rank its rank; nothing if the store did not serve it
-    static claim_schedule of(bool was_told, std::optional<std::int64_t> rank);
+    static claim_schedule of(bool has_rank, std::optional<std::int64_t> rank);
 
     bool operator==(const claim_schedule&) const = default;
 };
@@ -114,7 +115,7 @@
     explicit entry_list(entry_list_options options = {}) : options_(options) {}
 
     /// @brief Records a received heartbeat.
-    void note(const entry_heartbeat& heartbeat, time_point now);
+    void record_heartbeat(const entry_heartbeat& heartbeat, time_point now);
     /// @brief Drops all entries, at the start of a term.
     void clear();
 
@@ -135,7 +136,7 @@
                                       time_point now);
 
 private:
-    struct heard_entry
+    struct listed_entry
     {
         entry_heartbeat heartbeat;
         time_point at{};
@@ -144,7 +145,7 @@
     void sort(time_point now);
 
     entry_list_options options_;
-    std::map<std::string, heard_entry> entries_; ///< by address
+    std::map<std::string, listed_entry> entries_; ///< by address
     /// Time of the failure, by address.
     std::map<std::string, time_point> declined_;
     std::vector<entry_heartbeat> order_;        ///< successors as last sorted
--- a/packages/scheduler/src/entry_list.cpp
+++ b/packages/scheduler/src/entry_list.cpp
@@ -36,10 +36,10 @@
     return {};
 }
 
-claim_schedule claim_schedule::of(bool was_told,
+claim_schedule claim_schedule::of(bool has_rank,
                                   std::optional<std::int64_t> rank)
 {
-    if (!was_told)
+    if (!has_rank)
     {
         return {};
     }
@@ -54,7 +54,8 @@
             .delay = std::min(turn, last_turn) * step};
 }
 
-void entry_list::note(const entry_heartbeat& heartbeat, time_point now)
+void entry_list::record_heartbeat(const entry_heartbeat& heartbeat,
+                                  time_point now)
 {
     const auto [found, is_new] = entries_.try_emplace(heartbeat.address);
     is_sorted_ = is_sorted_ && !is_new && found->second.heartbeat == heartbeat;
@@ -74,10 +75,9 @@
     {
         return;
     }
-    std::erase_if(entries_,
-                  [&](const auto& heartbeat) {
-                      return now - heartbeat.second.at > options_.heard_within;
-                  });
+    std::erase_if(
+        entries_, [&](const auto& heartbeat)
+        { return now - heartbeat.second.at > options_.heartbeat_timeout; });
     order_.clear();
     for (const auto& [address, entry] : entries_)
     {
@@ -116,11 +116,11 @@
 {
     sort(now);
     std::erase_if(declined_, [&](const auto& entry)
-                  { return now - entry.second >= options_.decline_lasts; });
+                  { return now - entry.second >= options_.decline_backoff; });
     const auto best =
         std::ranges::find_if(order_, [&](const entry_heartbeat& entry)
                              { return !declined_.contains(entry.address); });
-    if (best == order_.end() || declined_.size() >= options_.most_asked)
+    if (best == order_.end() || declined_.size() >= options_.max_declined)
     {
         return std::nullopt;
     }
@@ -128,13 +128,13 @@
     {
         return handover_target{best->address, handover_reason::stopping};
     }
-    if (leader.store_silent >= options_.store_outage_tolerance)
+    if (leader.store_unavailable_for >= options_.store_outage_tolerance)
     {
         return handover_target{best->address, handover_reason::store_away};
     }
     const bool is_small =
         best->processors >= options_.much_larger * leader.processors;
-    if (is_small && leader.held_for >= options_.settling)
+    if (is_small && leader.held_for >= options_.min_term)
     {
         return handover_target{best->address, handover_reason::small};
     }
--- a/tests/unit/entry_list_tests.cpp
+++ b/tests/unit/entry_list_tests.cpp
@@ -30,9 +30,9 @@
     {
         for (int number = 0; number < 10; ++number)
         {
-            list.note(entry(name + std::to_string(number),
-                            number < 2 ? 1.0 : 0.12, name),
-                      now);
+            list.record_heartbeat(entry(name + std::to_string(number),
+                                        number < 2 ? 1.0 : 0.12, name),
+                                  now);
         }
     }
     return list;
@@ -52,12 +52,12 @@
 
     entry_heartbeat turned_away = best;
     turned_away.store_away = true;
-    list.note(turned_away, now);
+    list.record_heartbeat(turned_away, now);
     CHECK(list.successors(now).size() == 19);
     CHECK_FALSE(list.rank(best.address, now).has_value());
 
     now += seconds(6);
-    list.note(entry("a9", 0.12), now);
+    list.record_heartbeat(entry("a9", 0.12), now);
     now += seconds(2);
     REQUIRE(list.successors(now).size() == 1); // the others are unresponsive
     CHECK(list.rank("a9", now) == 0);
@@ -80,9 +80,9 @@
     }
     SUBCASE("the store is unavailable to it")
     {
-        state.store_silent = std::chrono::milliseconds(399);
+        state.store_unavailable_for = std::chrono::milliseconds(399);
         CHECK_FALSE(list.next_handover(state, now).has_value());
-        state.store_silent = std::chrono::milliseconds(400);
+        state.store_unavailable_for = std::chrono::milliseconds(400);
         CHECK(list.next_handover(state, now) ==
               handover_target{best, handover_reason::store_away});
     }
@@ -116,7 +116,7 @@
     for (entry_heartbeat one : list.successors(now))
     {
         one.store_away = true;
-        list.note(one, now);
+        list.record_heartbeat(one, now);
     }
     CHECK_FALSE(list.next_handover(draining, now).has_value());
 }
@@ -151,7 +151,7 @@
     other.clear();
     for (const entry_heartbeat& entry : one.successors(now))
     {
-        other.note(entry, now);
+        other.record_heartbeat(entry, now);
     }
     CHECK(one.successors(now) == other.successors(now));
 }
@@ -162,7 +162,7 @@
     entry_list list = two_data_centres(now);
     entry_heartbeat away = entry("b5", 0.12, "b");
     away.store_away = true;
-    list.note(away, now);
+    list.record_heartbeat(away, now);
     std::set<std::string> first;
     for (int number = 0; number < 10; ++number)
     {
