--- a/packages/daemon/src/job_scheduler.cpp
+++ b/packages/daemon/src/job_scheduler.cpp
@@ -218,7 +218,7 @@
 void job_scheduler::ask_for_advice(time_point now)
 {
     const auto question =
-        process_.from.advice.empty() ? std::nullopt : core_.next_question(now);
+        process_.from.advice.empty() ? std::nullopt : core_.next_query(now);
     if (!question)
     {
         return;
--- a/packages/guard/include/springstair/detail/guard/run_reconciler.hpp
+++ b/packages/guard/include/springstair/detail/guard/run_reconciler.hpp
@@ -68,7 +68,7 @@
     /// receives a guard's reports for a minute while its executor crashes every
     /// few seconds.
     std::size_t max_past_incarnations = 16;
-    interference_options interference_controller;
+    interference_options interference;
 };
 
 /// @brief Result of an order, or of a poll, at the executor.
--- a/packages/guard/src/run_reconciler.cpp
+++ b/packages/guard/src/run_reconciler.cpp
@@ -47,7 +47,7 @@
 run_reconciler::run_reconciler(run_reconciler_options options,
                                std::string incarnation)
     : options_(options), incarnation_(std::move(incarnation)),
-      interference_(options.interference_controller)
+      interference_(options.interference)
 {
 }
 
--- a/packages/guard/src/run_reconciler_incarnations.cpp
+++ b/packages/guard/src/run_reconciler_incarnations.cpp
@@ -89,7 +89,7 @@
     max_lease_end_ = {};
     assume_max_lease(now);
     next_poll_ = now;
-    interference_ = interference_controller(options_.interference_controller);
+    interference_ = interference_controller(options_.interference);
 }
 
 // A start without an answer may reach the next incarnation of the executor, now
--- a/packages/scheduler/include/springstair/detail/scheduler/fault_detector.hpp
+++ b/packages/scheduler/include/springstair/detail/scheduler/fault_detector.hpp
@@ -20,7 +20,7 @@
     /// Score of an executor that returns after an ejection: half the threshold,
     /// so that one failure, which one run in twenty has at 5%, does not eject
     /// it again.
-    double evidence_at_return = 4;
+    double score_at_return = 4;
     /// Weight decay per end of a run in the general failure rate: about the
     /// last five hundred count, two seconds of 62 workers.
     double memory = 0.998;
@@ -59,7 +59,7 @@
                    : std::log((1 - options_.faulty_share) / (1 - sound));
         // Suspected executors are left out of the general rate: a faulty one is
         // free again at once and gets more runs than others.
-        if (fault_score < options_.evidence_at_return)
+        if (fault_score < options_.score_at_return)
         {
             ends_ = ends_ * options_.memory + 1;
             failures_ = failures_ * options_.memory + (failed ? 1 : 0);
@@ -76,7 +76,7 @@
     /// @brief The score of an executor that returns after an ejection.
     [[nodiscard]] double fault_score_at_return() const noexcept
     {
-        return options_.evidence_at_return;
+        return options_.score_at_return;
     }
 
     /// @brief The present failure rate of the runs of all executors.
--- a/packages/scheduler/include/springstair/detail/scheduler/infeasible_queries.hpp
+++ b/packages/scheduler/include/springstair/detail/scheduler/infeasible_queries.hpp
@@ -26,7 +26,7 @@
     }
 
     /// @brief Records that the query found no worker.
-    void note(const placement_query& query)
+    void record(const placement_query& query)
     {
         if (is_comparable(query))
         {
--- a/packages/scheduler/include/springstair/detail/scheduler/interference_model.hpp
+++ b/packages/scheduler/include/springstair/detail/scheduler/interference_model.hpp
@@ -20,10 +20,10 @@
     double memory = 0.9998;
     /// Assumed interference of a pair without samples: the mean of the pairs of
     /// both sites. It spreads best-effort tasks of an unknown image.
-    double assumed = 1.0;
+    double default_interference = 1.0;
     /// Weight of that assumption: a few changes of use by a tenth of a worker
     /// (trials on both sites).
-    double caution = 0.03;
+    double prior_weight = 0.03;
     /// Samples of a task further apart are not compared: the load has changed,
     /// too.
     duration max_gap = std::chrono::milliseconds(900);
@@ -34,8 +34,8 @@
     double min_change = 0.01;
     /// Maximum number of best-effort images; nothing is learnt of further ones.
     std::size_t max_images = 48;
-    /// Weight of what a previous leader learnt; compare @ref caution.
-    double inherited = 0.05;
+    /// Weight of what a previous leader learnt; compare @ref prior_weight.
+    double inherited_weight = 0.05;
     /// Interference below this is not handed to a successor.
     double min_interference = 1.2;
     /// Iterations of the fit per sample; it starts from the last result.
@@ -76,8 +76,9 @@
 
     /// @brief Headroom that a pair would cost if best-effort tasks of that
     /// image used a whole worker; the assumed value if nothing is known.
-    [[nodiscard]] double harm(const std::string& serving,
-                              const std::string& filling) const;
+    [[nodiscard]] double
+    interference_coefficient(const std::string& serving,
+                             const std::string& filling) const;
     /// @brief All pairs with significant interference, for a successor.
     [[nodiscard]] std::vector<pair_interference> known() const;
     /// @brief Starts from what a previous leader learnt.
--- a/packages/scheduler/include/springstair/detail/scheduler/scheduler_core.hpp
+++ b/packages/scheduler/include/springstair/detail/scheduler/scheduler_core.hpp
@@ -243,9 +243,9 @@
 
     /// @brief The next query to the advice service; nothing while one is in
     /// flight. The caller reports its result with advised().
-    std::optional<advice_query> next_question(time_point now)
+    std::optional<advice_query> next_query(time_point now)
     {
-        return advice_.next_question(now);
+        return advice_.next_query(now);
     }
     /// @brief Handles the answer to the query; nothing if there was none.
     void advised(const std::optional<advice_answer>& answer, time_point now);
--- a/packages/scheduler/include/springstair/detail/scheduler/ticket_cache.hpp
+++ b/packages/scheduler/include/springstair/detail/scheduler/ticket_cache.hpp
@@ -42,12 +42,13 @@
                          time_point now);
     /// @brief Returns the query that has waited longest, now in flight; nothing
     /// while one is in flight or none waits.
-    std::optional<advice_query> next_question(time_point now);
+    std::optional<advice_query> next_query(time_point now);
     /// @brief Takes the answer to the query in flight; nothing if there was
     /// none.
-    void answered(const std::optional<advice_answer>& answer, time_point now);
+    void on_answer(const std::optional<advice_answer>& answer, time_point now);
     /// @brief A worker refused its ticket: it may be queried again.
-    void refused(const std::string& step, const executor_incarnation& executor);
+    void on_refused(const std::string& step,
+                    const executor_incarnation& executor);
     /// @brief Drops everything about a step that needs no worker any more.
     void forget(const std::string& step);
 
@@ -63,15 +64,15 @@
         /// Incarnations with a verdict, positive or not.
         std::set<executor_incarnation> asked;
         /// To be queried; empty: none.
-        std::vector<executor_incarnation> wanted;
-        time_point since{}; ///< when wanted was filled
+        std::vector<executor_incarnation> pending;
+        time_point since{}; ///< when pending was filled
         time_point not_before{};
     };
 
     ticket_options options_;
     std::map<std::string, step_record> steps_;
-    std::optional<advice_query> out_;
-    time_point out_since_{};
+    std::optional<advice_query> in_flight_;
+    time_point sent_at_{};
 };
 
 } // namespace springstair
--- a/packages/scheduler/src/interference_model.cpp
+++ b/packages/scheduler/src/interference_model.cpp
@@ -121,7 +121,7 @@
     const std::size_t size = images_.size();
     estimate.products.resize(size);
     estimate.targets.resize(size);
-    estimate.harms.resize(size, options_.assumed);
+    estimate.harms.resize(size, options_.default_interference);
     for (std::vector<double>& row : estimate.products)
     {
         row.resize(size);
@@ -158,8 +158,8 @@
         }
         fit& estimate = fits_[one.serving];
         resize(estimate);
-        estimate.products[*index][*index] += options_.inherited;
-        estimate.targets[*index] += options_.inherited * one.harm;
+        estimate.products[*index][*index] += options_.inherited_weight;
+        estimate.targets[*index] += options_.inherited_weight * one.harm;
         solve(estimate);
     }
 }
@@ -183,9 +183,11 @@
                 }
             }
             const double weight =
-                estimate.products[row][row] + options_.caution;
-            estimate.harms[row] = std::max(
-                0.0, (residual + options_.caution * options_.assumed) / weight);
+                estimate.products[row][row] + options_.prior_weight;
+            estimate.harms[row] =
+                std::max(0.0, (residual + options_.prior_weight *
+                                              options_.default_interference) /
+                                  weight);
         }
     }
 }
@@ -203,14 +205,16 @@
                   { return now - entry.second.noted() > retention; });
 }
 
-double interference_model::harm(const std::string& serving,
-                                const std::string& filling) const
+double
+interference_model::interference_coefficient(const std::string& serving,
+                                             const std::string& filling) const
 {
     const auto found = fits_.find(serving);
     const auto image = images_.find(filling);
     const bool known = found != fits_.end() && image != images_.end() &&
                        image->second < found->second.harms.size();
-    return known ? found->second.harms[image->second] : options_.assumed;
+    return known ? found->second.harms[image->second]
+                 : options_.default_interference;
 }
 
 double interference_model::interference_of(const std::string& serving,
@@ -219,7 +223,7 @@
     double sum = 0;
     for (const auto& [filling, use] : beside)
     {
-        sum += harm(serving, filling) * use;
+        sum += interference_coefficient(serving, filling) * use;
     }
     return sum;
 }
--- a/packages/scheduler/src/placement.cpp
+++ b/packages/scheduler/src/placement.cpp
@@ -64,17 +64,19 @@
     std::optional<double> lowest;
     for (const auto& [serving, runs] : worker.serving_runs)
     {
-        double cost = query.interference.harm(serving, query.step.image) *
-                      static_cast<double>(query.step.demand.cpu_millis) /
-                      capacity;
+        double cost =
+            query.interference.interference_coefficient(serving,
+                                                        query.step.image) *
+            static_cast<double>(query.step.demand.cpu_millis) / capacity;
         if (cost < negligible_cost)
         {
             continue;
         }
         for (const auto& [filling, cpu] : worker.fill_cpu_of)
         {
-            cost += query.interference.harm(serving, filling) *
-                    static_cast<double>(cpu) / capacity;
+            cost +=
+                query.interference.interference_coefficient(serving, filling) *
+                static_cast<double>(cpu) / capacity;
         }
         const auto found = worker.headroom_alone.find(serving);
         const double without_fills = found == worker.headroom_alone.end()
--- a/packages/scheduler/src/scheduler_learning.cpp
+++ b/packages/scheduler/src/scheduler_learning.cpp
@@ -69,7 +69,8 @@
     {
         for (const auto& [filling, use] : worker.best_effort_use)
         {
-            const double harm = interference_model_.harm(serving, filling);
+            const double harm =
+                interference_model_.interference_coefficient(serving, filling);
             if (harm >= options_.min_reported_interference)
             {
                 out.push_back(
--- a/packages/scheduler/src/scheduler_placing.cpp
+++ b/packages/scheduler/src/scheduler_placing.cpp
@@ -169,7 +169,7 @@
 void scheduler_core::advised(const std::optional<advice_answer>& answer,
                              time_point now)
 {
-    advice_.answered(answer, now);
+    advice_.on_answer(answer, now);
     may_place_ = true;
 }
 
@@ -229,7 +229,7 @@
                 : choose_worker(workers_, query, options_.placement);
         if (worker == nullptr)
         {
-            infeasible_queries_.note(query);
+            infeasible_queries_.record(query);
             log_wait(query, record, task);
             preempt_lasting(query, record, task);
             reserve_workers(
--- a/packages/scheduler/src/scheduler_reports.cpp
+++ b/packages/scheduler/src/scheduler_reports.cpp
@@ -218,7 +218,7 @@
                       {"reason", refusal.reason}});
         if (refusal.reason == no_ticket_reason)
         {
-            advice_.refused(
+            advice_.on_refused(
                 step_group(record->definition().id, record->position_of(*task)),
                 worker.description.executor);
         }
--- a/packages/scheduler/src/ticket_cache.cpp
+++ b/packages/scheduler/src/ticket_cache.cpp
@@ -29,7 +29,7 @@
 {
     step_record& record = steps_[step];
     const bool is_pending =
-        !record.wanted.empty() || (out_ && out_->step == step);
+        !record.pending.empty() || (in_flight_ && in_flight_->step == step);
     if (is_pending || now < record.not_before)
     {
         return;
@@ -43,16 +43,16 @@
         const bool was_denied =
             ticket == record.good.end() && record.asked.contains(executor);
         if (!is_valid && !was_denied &&
-            record.wanted.size() < options_.max_workers)
+            record.pending.size() < options_.max_workers)
         {
-            record.wanted.push_back(executor);
+            record.pending.push_back(executor);
         }
     }
 }
 
-std::optional<advice_query> ticket_cache::next_question(time_point now)
+std::optional<advice_query> ticket_cache::next_query(time_point now)
 {
-    if (out_)
+    if (in_flight_)
     {
         return std::nullopt;
     }
@@ -62,7 +62,7 @@
         const step_record& record = entry->second;
         const bool is_older =
             oldest == steps_.end() || record.since < oldest->second.since;
-        if (!record.wanted.empty() && is_older)
+        if (!record.pending.empty() && is_older)
         {
             oldest = entry;
         }
@@ -71,18 +71,18 @@
     {
         return std::nullopt;
     }
-    out_ = advice_query{.step = oldest->first,
-                        .executors = std::move(oldest->second.wanted)};
-    oldest->second.wanted.clear();
-    out_since_ = now;
-    return out_;
+    in_flight_ = advice_query{.step = oldest->first,
+                              .executors = std::move(oldest->second.pending)};
+    oldest->second.pending.clear();
+    sent_at_ = now;
+    return in_flight_;
 }
 
-void ticket_cache::answered(const std::optional<advice_answer>& answer,
-                            time_point now)
+void ticket_cache::on_answer(const std::optional<advice_answer>& answer,
+                             time_point now)
 {
-    const advice_query query = out_.value();
-    out_.reset();
+    const advice_query query = in_flight_.value();
+    in_flight_.reset();
     const auto found = steps_.find(query.step);
     if (found == steps_.end())
     {
@@ -95,7 +95,7 @@
         return;
     }
     const time_point until =
-        out_since_ + std::chrono::milliseconds(answer->valid_ms);
+        sent_at_ + std::chrono::milliseconds(answer->valid_ms);
     for (const executor_incarnation& executor : query.executors)
     {
         record.asked.insert(executor);
@@ -107,8 +107,8 @@
     }
 }
 
-void ticket_cache::refused(const std::string& step,
-                           const executor_incarnation& executor)
+void ticket_cache::on_refused(const std::string& step,
+                              const executor_incarnation& executor)
 {
     const auto found = steps_.find(step);
     if (found != steps_.end())
--- a/tests/unit/interference_model_tests.cpp
+++ b/tests/unit/interference_model_tests.cpp
@@ -44,11 +44,11 @@
         model.observe(figure_of("task", alone - cost + noise(random)), beside,
                       now);
     }
-    CHECK(model.harm("s", "b") > 4);
-    CHECK(model.harm("s", "b") < 6);
+    CHECK(model.interference_coefficient("s", "b") > 4);
+    CHECK(model.interference_coefficient("s", "b") < 6);
     for (const char* image : {"a", "c", "d"})
     {
-        CHECK(model.harm("s", image) < 1);
+        CHECK(model.interference_coefficient("s", image) < 1);
     }
     CHECK(model.interference_of("s", {{"b", 0.2}}) > 0.8);
 }
@@ -80,8 +80,9 @@
                           beside, now);
         }
     }
-    CHECK(model.harm("s", "bad") > model.harm("s", "good") + 4);
-    CHECK(model.harm("s", "good") < 1.2);
+    CHECK(model.interference_coefficient("s", "bad") >
+          model.interference_coefficient("s", "good") + 4);
+    CHECK(model.interference_coefficient("s", "good") < 1.2);
 }
 
 TEST_CASE("the siblings' mean excludes the task itself and stale figures")
@@ -117,17 +118,17 @@
     CHECK(known[0].harm > 3);
     interference_model second;
     second.adopt(known);
-    CHECK(second.harm("s", "f") > 1.5);
-    CHECK(second.harm("s", "g") == 1); // assumed
+    CHECK(second.interference_coefficient("s", "f") > 1.5);
+    CHECK(second.interference_coefficient("s", "g") == 1); // assumed
 }
 
 TEST_CASE("unobserved pairs have the assumed interference")
 {
     interference_model model;
     const time_point now{std::chrono::hours(1)};
-    CHECK(model.harm("s", "f") == 1); // assumed
+    CHECK(model.interference_coefficient("s", "f") == 1); // assumed
     model.observe(figure_of("task", 2), {}, now);
-    CHECK(model.harm("s", "f") == 1);
+    CHECK(model.interference_coefficient("s", "f") == 1);
     CHECK(model.known().empty());
 }
 
@@ -141,14 +142,14 @@
         model.observe(figure_of("task", count % 2 == 0 ? 3 : 1),
                       {{"f", count % 2 == 0 ? 0.0 : 0.3}}, now);
     }
-    CHECK(model.harm("s", "f") == 1);
+    CHECK(model.interference_coefficient("s", "f") == 1);
     for (int count = 0; count < 20; ++count)
     {
         now += std::chrono::milliseconds(500);
         model.observe(figure_of("other", 0.1),
                       {{"f", count % 2 == 0 ? 0.0 : 0.3}}, now);
     }
-    CHECK(model.harm("s", "f") == 1);
+    CHECK(model.interference_coefficient("s", "f") == 1);
 }
 
 TEST_CASE("images beyond max_images have the assumed interference")
@@ -161,7 +162,7 @@
         model.observe(figure_of("task", count % 2 == 0 ? 3 : 1),
                       {{"f" + std::to_string(count), 0.3}}, now);
     }
-    CHECK(model.harm("s", "f49") == 1); // assumed
+    CHECK(model.interference_coefficient("s", "f49") == 1); // assumed
 }
 
 TEST_CASE("a best-effort task is placed where its interference is tolerated")
--- a/tests/unit/scheduler_tests.cpp
+++ b/tests/unit/scheduler_tests.cpp
@@ -170,7 +170,7 @@
     job_step bounded = large;
     bounded.most_per_worker = 1;
     infeasible_queries infeasible;
-    infeasible.note(query(middle));
+    infeasible.record(query(middle));
     CHECK(infeasible.covers(query(middle)));
     CHECK(infeasible.covers(query(large)));
     CHECK_FALSE(infeasible.covers(query(small)));
@@ -302,7 +302,7 @@
     const job definition = harness.submit({step_of(2)});
     harness.turn();
     CHECK(harness.started.empty());
-    const auto question = harness.core.next_question(harness.now);
+    const auto question = harness.core.next_query(harness.now);
     REQUIRE(question.has_value());
     CHECK(question->step == definition.id + ".0.0");
     CHECK(question->executors.size() == 2);
@@ -322,7 +322,7 @@
     harness.say("g2");
     harness.worker("g2").refused.clear();
     harness.turn(milliseconds(400));
-    const auto again = harness.core.next_question(harness.now);
+    const auto again = harness.core.next_query(harness.now);
     REQUIRE(again.has_value());
     CHECK(again->executors == std::vector<executor_incarnation>{"g2-1"});
 }
