--- a/packages/core/include/springstair/detail/core/object_reader.hpp
+++ b/packages/core/include/springstair/detail/core/object_reader.hpp
@@ -19,8 +19,8 @@
 /// @brief Inclusive bounds of a number in a document.
 struct number_range
 {
-    std::int64_t least = 0;
-    std::int64_t most = std::numeric_limits<std::int32_t>::max();
+    std::int64_t min = 0;
+    std::int64_t max = std::numeric_limits<std::int32_t>::max();
 };
 
 /// @brief Reads the members of a JSON object and collects its errors.
--- a/packages/core/src/object_reader.cpp
+++ b/packages/core/src/object_reader.cpp
@@ -87,7 +87,7 @@
                                     number_range range)
 {
     const json* value = member(key);
-    const std::int64_t default_value = fallback.value_or(range.least);
+    const std::int64_t default_value = fallback.value_or(range.min);
     if (value == nullptr)
     {
         if (!fallback)
@@ -97,11 +97,11 @@
         return default_value;
     }
     const bool is_integer = value->is_number_integer();
-    if (!is_integer || value->get<std::int64_t>() < range.least ||
-        value->get<std::int64_t>() > range.most)
+    if (!is_integer || value->get<std::int64_t>() < range.min ||
+        value->get<std::int64_t>() > range.max)
     {
-        report(key, "must be an integer from " + std::to_string(range.least) +
-                        " to " + std::to_string(range.most));
+        report(key, "must be an integer from " + std::to_string(range.min) +
+                        " to " + std::to_string(range.max));
         return default_value;
     }
     return value->get<std::int64_t>();
--- a/packages/daemon/src/entry_tasks.cpp
+++ b/packages/daemon/src/entry_tasks.cpp
@@ -48,12 +48,12 @@
     object_reader reader(body, "", wrong);
     task_spec spec;
     spec.of = {.workspace = workspace, .work_class = reader.text("class")};
-    spec.needs.cpu_millis = reader.integer(
-        "cpu_millis", std::nullopt, {.least = 1, .most = max_cpu_millis});
+    spec.needs.cpu_millis = reader.integer("cpu_millis", std::nullopt,
+                                           {.min = 1, .max = max_cpu_millis});
     spec.needs.memory_mb =
-        reader.integer("memory_mb", std::nullopt, {.least = 1});
+        reader.integer("memory_mb", std::nullopt, {.min = 1});
     spec.needs.accelerators = reader.integer("accelerators", 0);
-    spec.run_ms = reader.integer("run_ms", 0, {.most = max_run_ms});
+    spec.run_ms = reader.integer("run_ms", 0, {.max = max_run_ms});
     spec.urgent = reader.boolean("urgent", false);
     spec.payload = reader.text("payload", std::string());
     reader.reject_unknown();
--- a/packages/daemon/src/job_settings.cpp
+++ b/packages/daemon/src/job_settings.cpp
@@ -62,7 +62,7 @@
                       std::int64_t usual)
 {
     return std::chrono::milliseconds(
-        reader.integer(key, usual, {.least = 1, .most = max_milliseconds}));
+        reader.integer(key, usual, {.min = 1, .max = max_milliseconds}));
 }
 
 job_role read_role(object_reader& reader)
@@ -114,7 +114,7 @@
     to.announced_address =
         reader.text("announced_address", std::optional(to.address));
     to.internal_port = static_cast<std::uint16_t>(reader.integer(
-        "internal_port", std::nullopt, {.least = 1, .most = max_port}));
+        "internal_port", std::nullopt, {.min = 1, .max = max_port}));
     to.store = endpoint(reader, "store", true);
     to.entries = read_entries(reader, to.internal_port);
     to.max_lease = milliseconds(reader, "longest_lease_ms", default_lease_ms);
@@ -130,9 +130,9 @@
     to.metrics = endpoint(reader, "metrics", false);
     to.processors = reader.positive("processors", default_processors);
     to.memory_mb =
-        reader.integer("memory_mb", 0, {.least = 0, .most = max_memory_mb});
+        reader.integer("memory_mb", 0, {.min = 0, .max = max_memory_mb});
     to.descriptors =
-        reader.integer("descriptors", 0, {.least = 0, .most = max_descriptors});
+        reader.integer("descriptors", 0, {.min = 0, .max = max_descriptors});
     reader.reject_unknown();
     if (!all.empty())
     {
--- a/packages/daemon/src/job_store.cpp
+++ b/packages/daemon/src/job_store.cpp
@@ -54,7 +54,7 @@
 {
     const std::string key = job_key(what.id);
     return {.compares = {{.key = key,
-                          .of = kv_compare::number::mod_revision,
+                          .target = kv_compare::number::mod_revision,
                           .equals = 0}},
             .puts = {{.key = key, .value = json(what).dump()}}};
 }
@@ -67,13 +67,13 @@
 kv_transaction transaction_of(const commit_batch& batch, std::int64_t epoch)
 {
     kv_transaction to{.compares = {{.key = leader_key,
-                                    .of = kv_compare::number::mod_revision,
+                                    .target = kv_compare::number::mod_revision,
                                     .equals = epoch}}};
     for (const progress_write& write : batch)
     {
         const std::string key = progress_key(write.job);
         to.compares.push_back({.key = key,
-                               .of = kv_compare::number::mod_revision,
+                               .target = kv_compare::number::mod_revision,
                                .equals = write.expected_revision});
         to.puts.push_back({.key = key, .value = write.text});
     }
--- a/packages/daemon/src/leader_election.cpp
+++ b/packages/daemon/src/leader_election.cpp
@@ -256,7 +256,7 @@
     busy_ = true;
     const time_point sent = boot_clock::now();
     store_.transact({.compares = {{.key = leader_key,
-                                   .of = kv_compare::number::mod_revision,
+                                   .target = kv_compare::number::mod_revision,
                                    .equals = replaces_}},
                      .puts = {{.key = leader_key,
                                .value = leader_value(process_, nonce_).dump(),
--- a/packages/daemon/src/settings.cpp
+++ b/packages/daemon/src/settings.cpp
@@ -61,7 +61,7 @@
                       std::int64_t fallback)
 {
     return std::chrono::milliseconds(
-        reader.integer(key, fallback, {.least = 1, .most = max_milliseconds}));
+        reader.integer(key, fallback, {.min = 1, .max = max_milliseconds}));
 }
 
 common_settings read_common(object_reader& reader)
@@ -82,7 +82,7 @@
         reader.report("address", "must be an IPv4 address");
     }
     common.port = static_cast<std::uint16_t>(
-        reader.integer("port", std::nullopt, {.least = 0, .most = max_port}));
+        reader.integer("port", std::nullopt, {.min = 0, .max = max_port}));
     common.fleet_key = reader.text("fleet_key");
     if (!common.fleet_key.empty() && common.fleet_key.size() < min_key_length)
     {
@@ -97,9 +97,9 @@
         check_endpoint(reader, "platform", common.platform);
     }
     common.threads = static_cast<unsigned int>(
-        reader.integer("threads", 2, {.least = 1, .most = max_threads}));
+        reader.integer("threads", 2, {.min = 1, .max = max_threads}));
     common.most_body_bytes = static_cast<std::size_t>(reader.integer(
-        "most_body_bytes", default_max_body, {.least = 1, .most = max_body}));
+        "most_body_bytes", default_max_body, {.min = 1, .max = max_body}));
     return common;
 }
 
@@ -120,8 +120,7 @@
     {
         reader.report("routing", "must be sampled, random or least_loaded");
     }
-    entry.shards =
-        reader.integer("shards", 8, {.least = 1, .most = max_shards});
+    entry.shards = reader.integer("shards", 8, {.min = 1, .max = max_shards});
     entry.commit_interval = milliseconds(reader, "commit_every_ms", 200);
     entry.drain_grace = milliseconds(reader, "drain_grace_ms", 2000);
     reader.reject_unknown();
@@ -136,7 +135,7 @@
     check_endpoint(reader, "executor", guard.executor);
     guard.worker = reader.text("worker");
     check_endpoint(reader, "worker", guard.worker);
-    guard.slots = reader.integer("slots", 8, {.least = 1, .most = 1024});
+    guard.slots = reader.integer("slots", 8, {.min = 1, .max = 1024});
     guard.reserve_slots = reader.boolean("reserve_slots", true);
     guard.capacity.cpu_millis = reader.integer("cpu_millis", std::nullopt);
     guard.capacity.memory_mb = reader.integer("memory_mb", std::nullopt);
--- a/packages/entry/src/request_core.cpp
+++ b/packages/entry/src/request_core.cpp
@@ -326,7 +326,7 @@
     adjust_outstanding(pending, sent.guard, -1);
     if (result.load)
     {
-        guards_.hear_load(sent.guard, *result.load);
+        guards_.on_load_report(sent.guard, *result.load);
     }
     record_result(now, result, sent, actions);
     switch (result.how)
@@ -381,8 +381,8 @@
     request_actions actions;
     std::vector<std::string> others = report.entries_heard;
     std::erase(others, options_.name.value);
-    entries_.relay(now, others);
-    const guard_change change = guards_.hear(now, report);
+    entries_.on_relayed_names(now, others);
+    const guard_change change = guards_.on_heartbeat(now, report);
     switch (change)
     {
     case guard_change::restarted:
@@ -409,15 +409,15 @@
 
 void request_core::on_exchange(time_point now, const entry_summary& summary)
 {
-    entries_.hear(now, summary);
+    entries_.on_exchange(now, summary);
     limits_.borrow(now, summary.entry.value, summary.lends);
 }
 
 void request_core::on_exchange_answer(time_point now,
                                       const entry_summary& summary)
 {
-    entries_.hear(now, summary);
-    limits_.settled(summary.entry.value, summary.holds);
+    entries_.on_exchange(now, summary);
+    limits_.on_offer_answered(summary.entry.value, summary.holds);
 }
 
 bool request_core::on_table(const table& rows)
--- a/packages/entry/src/table_synchronizer.cpp
+++ b/packages/entry/src/table_synchronizer.cpp
@@ -182,7 +182,7 @@
     const auto revision = edited.document.at("revision").get<std::int64_t>();
     kv_transaction transaction{
         .compares = {{.key = store_keys::table,
-                      .of = kv_compare::number::mod_revision,
+                      .target = kv_compare::number::mod_revision,
                       .equals = mod_revision}},
         .puts = {{.key = store_keys::table, .value = edited.document.dump()},
                  {.key = history_key(revision),
--- a/packages/entry/src/task_journal.cpp
+++ b/packages/entry/src/task_journal.cpp
@@ -19,7 +19,7 @@
 kv_compare still_owner(std::int64_t shard, std::int64_t epoch)
 {
     return {.key = task_keys::owner(shard),
-            .of = kv_compare::number::create_revision,
+            .target = kv_compare::number::create_revision,
             .equals = epoch};
 }
 
@@ -81,7 +81,7 @@
     send_for(shard,
              kv_transaction{.compares = {still_owner(number, shard.epoch),
                                          {.key = key,
-                                          .of = kv_compare::number::version,
+                                          .target = kv_compare::number::version,
                                           .equals = 0}},
                             .puts = {{.key = key, .value = std::move(value)}},
                             .deletes = {}},
@@ -115,7 +115,7 @@
         kv_transaction{
             .compares = {still_owner(number, shard.epoch),
                          {.key = task_keys::snapshot(number),
-                          .of = kv_compare::number::mod_revision,
+                          .target = kv_compare::number::mod_revision,
                           .equals = shard.snapshot_revision}},
             .puts = {{.key = task_keys::snapshot(number),
                       .value = std::move(value)}},
--- a/packages/entry/src/task_shards.cpp
+++ b/packages/entry/src/task_shards.cpp
@@ -174,7 +174,7 @@
     const std::string key = task_keys::owner(number);
     send_for(shard,
              kv_transaction{.compares = {{.key = key,
-                                          .of = kv_compare::number::version,
+                                          .target = kv_compare::number::version,
                                           .equals = 0}},
                             .puts = {{.key = key,
                                       .value = options_.name.value + "." +
@@ -260,12 +260,12 @@
 {
     shard_state& shard = shards_.at(number);
     const std::string key = task_keys::owner(number);
-    actions.emplace_back(make_call(
-        kv_transaction{.compares = {{.key = key,
-                                     .of = kv_compare::number::create_revision,
-                                     .equals = shard.epoch}},
-                       .puts = {},
-                       .deletes = {{.key = key}}}));
+    actions.emplace_back(make_call(kv_transaction{
+        .compares = {{.key = key,
+                      .target = kv_compare::number::create_revision,
+                      .equals = shard.epoch}},
+        .puts = {},
+        .deletes = {{.key = key}}}));
     drop_shard(number, false, actions);
 }
 
--- a/packages/guard/src/guard_core.cpp
+++ b/packages/guard/src/guard_core.cpp
@@ -77,7 +77,7 @@
     }
     const auto refused =
         admission_.offer(now, {.attempt = request.attempt,
-                               .of = request.of,
+                               .work_class = request.of,
                                .arrived = now,
                                .deadline = now + request.remaining,
                                .may_wait = request.may_wait});
@@ -98,7 +98,7 @@
 {
     for (slot_request& request : admission_.start_ready())
     {
-        running_[request.attempt] = {.of = request.of, .started = now};
+        running_[request.attempt] = {.of = request.work_class, .started = now};
         actions.emplace_back(run_attempt{std::move(request.attempt)});
     }
 }
--- a/packages/membership/include/springstair/detail/membership/directory.hpp
+++ b/packages/membership/include/springstair/detail/membership/directory.hpp
@@ -50,9 +50,9 @@
     explicit guard_directory(directory_options options = {});
 
     /// @brief Processes a heartbeat. O(log n)
-    guard_change hear(time_point now, const guard_report& report);
+    guard_change on_heartbeat(time_point now, const guard_report& report);
     /// @brief Processes a load report received with an attempt's answer.
-    void hear_load(const guard_name& guard, const load_report& load);
+    void on_load_report(const guard_name& guard, const load_report& load);
     /// @brief Called when a connection to the guard was refused.
     void refused(const guard_name& guard);
     /// @brief Sets the platform's list of leaving VMs, by address.
@@ -90,10 +90,11 @@
     explicit entry_directory(directory_options options = {});
 
     /// @brief Processes an exchange message. @return whether the entry is new
-    bool hear(time_point now, const entry_summary& summary);
+    bool on_exchange(time_point now, const entry_summary& summary);
     /// @brief Processes the names of entries from which a guard receives
     /// messages.
-    void relay(time_point now, const std::vector<std::string>& names);
+    void on_relayed_names(time_point now,
+                          const std::vector<std::string>& names);
     /// @brief Removes entries silent for longer than @a forget_after.
     void expire(time_point now);
 
--- a/packages/membership/src/directory.cpp
+++ b/packages/membership/src/directory.cpp
@@ -19,7 +19,8 @@
 {
 }
 
-guard_change guard_directory::hear(time_point now, const guard_report& report)
+guard_change guard_directory::on_heartbeat(time_point now,
+                                           const guard_report& report)
 {
     const auto [position, fresh] = guards_.try_emplace(report.guard);
     guard_view& view = position->second;
@@ -40,8 +41,8 @@
     return now_leaving ? guard_change::leaving : guard_change::none;
 }
 
-void guard_directory::hear_load(const guard_name& guard,
-                                const load_report& load)
+void guard_directory::on_load_report(const guard_name& guard,
+                                     const load_report& load)
 {
     const auto found = guards_.find(guard);
     if (found != guards_.end())
@@ -99,15 +100,15 @@
 {
 }
 
-bool entry_directory::hear(time_point now, const entry_summary& summary)
+bool entry_directory::on_exchange(time_point now, const entry_summary& summary)
 {
     const std::string& name = summary.entry.value;
     heard_[name] = now;
     return summaries_.insert_or_assign(name, summary).second;
 }
 
-void entry_directory::relay(time_point now,
-                            const std::vector<std::string>& names)
+void entry_directory::on_relayed_names(time_point now,
+                                       const std::vector<std::string>& names)
 {
     for (const std::string& name : names)
     {
--- a/packages/policy/include/springstair/detail/policy/admission.hpp
+++ b/packages/policy/include/springstair/detail/policy/admission.hpp
@@ -15,7 +15,7 @@
 struct slot_request
 {
     attempt_name attempt;
-    class_name of;
+    class_name work_class;
     time_point arrived;
     time_point deadline;
     bool may_wait = true; ///< false: it starts at once or is refused
--- a/packages/policy/include/springstair/detail/policy/fleet_limits.hpp
+++ b/packages/policy/include/springstair/detail/policy/fleet_limits.hpp
@@ -58,7 +58,7 @@
                    const unit_map& wanted);
     /// @brief Called when the peer has answered the last offer.
     /// @param holds borrowed units that it still uses
-    void settled(const std::string& peer, const unit_map& holds);
+    void on_offer_answered(const std::string& peer, const unit_map& holds);
     /// @brief Called when a peer's offer arrives; replaces its previous one.
     void borrow(time_point now, const std::string& peer, const unit_map& lends);
     /// @brief Borrowed units in use at this entry. The total is reported to
--- a/packages/policy/include/springstair/detail/policy/retry_budget.hpp
+++ b/packages/policy/include/springstair/detail/policy/retry_budget.hpp
@@ -11,8 +11,8 @@
 /// @brief Limits of the retries that an entry may add to its load.
 struct retry_budget_options
 {
-    double share = 0.1; ///< retries earned per success
-    double most = 50;   ///< maximum number of saved retries
+    double share = 0.1;    ///< retries earned per success
+    double max_saved = 50; ///< maximum number of saved retries
 };
 
 /// @brief Limits retries to a share of recent successes, so that a failing
@@ -22,14 +22,14 @@
 public:
     /// @param options share and maximum
     explicit retry_budget(retry_budget_options options = {})
-        : options_(options), saved_(options.most)
+        : options_(options), saved_(options.max_saved)
     {
     }
 
     /// @brief Called when a request succeeded.
     void succeeded() noexcept
     {
-        saved_ = std::min(options_.most, saved_ + options_.share);
+        saved_ = std::min(options_.max_saved, saved_ + options_.share);
     }
 
     /// @brief Takes one retry from the budget. @return false if none is left
--- a/packages/policy/include/springstair/detail/policy/router.hpp
+++ b/packages/policy/include/springstair/detail/policy/router.hpp
@@ -29,9 +29,9 @@
 struct route_candidate
 {
     guard_name guard;
-    double load = 0;    ///< requests per slot open to the request's kind
-    bool room = false;  ///< a slot for this kind is probably free
-    bool local = false; ///< in the entry's own data centre
+    double load = 0; ///< requests per slot open to the request's kind
+    bool has_free_slot = false; ///< a slot for this kind is probably free
+    bool local = false;         ///< in the entry's own data centre
 };
 
 /// @brief A type that picks one of several guards.
@@ -87,7 +87,7 @@
 /// @param name `sampled`, `random` or `least_loaded`
 std::optional<any_router> router_named(const std::string& name);
 
-/// @brief Computes load and room of a candidate from a guard's report.
+/// @brief Computes a candidate's load and has_free_slot from a guard report.
 ///
 /// Attempts of other entries are taken from the report. Those of this entry
 /// are taken from its own count, which includes attempts still in transit.
--- a/packages/policy/src/admission.cpp
+++ b/packages/policy/src/admission.cpp
@@ -156,17 +156,17 @@
 std::optional<slot_refusal> admission::offer(time_point now,
                                              const slot_request& request)
 {
-    const class_row* const row = table_.find(request.of);
+    const class_row* const row = table_.find(request.work_class);
     if (row == nullptr)
     {
         return slot_refusal{.request = request,
                             .reason = refusal::unknown_class,
                             .retry_after = {}};
     }
-    const bool critical = is_critical(request.of);
-    class_lane& lane = lane_of(request.of);
+    const bool critical = is_critical(request.work_class);
+    class_lane& lane = lane_of(request.work_class);
     const bool at_once = may_start(critical) &&
-                         is_below_class_limit(request.of, lane) &&
+                         is_below_class_limit(request.work_class, lane) &&
                          lane.waiting.empty();
     const duration wait = at_once ? duration{0} : backlog(critical);
     if (!at_once && !request.may_wait)
@@ -190,7 +190,7 @@
                             .reason = refusal::deadline,
                             .retry_after = bounded_retry(wait)};
     }
-    workspace_lane& workspace = lanes_[request.of.workspace];
+    workspace_lane& workspace = lanes_[request.work_class.workspace];
     workspace.virtual_time = std::max(workspace.virtual_time, virtual_time_);
     lane.waiting.push_back(request);
     return std::nullopt;
--- a/packages/policy/src/fleet_limits.cpp
+++ b/packages/policy/src/fleet_limits.cpp
@@ -240,7 +240,8 @@
     return offered;
 }
 
-void fleet_limits::settled(const std::string& peer, const unit_map& holds)
+void fleet_limits::on_offer_answered(const std::string& peer,
+                                     const unit_map& holds)
 {
     for (auto& [workspace, use] : usage_)
     {
--- a/packages/policy/src/router.cpp
+++ b/packages/policy/src/router.cpp
@@ -54,12 +54,13 @@
 sampled_router::pick(std::span<const route_candidate> candidates,
                      random_source& random) const
 {
-    auto group = matching(candidates, [](const auto& candidate)
-                          { return candidate.local && candidate.room; });
+    auto group =
+        matching(candidates, [](const auto& candidate)
+                 { return candidate.local && candidate.has_free_slot; });
     if (group.empty())
     {
-        group = matching(candidates,
-                         [](const auto& candidate) { return candidate.room; });
+        group = matching(candidates, [](const auto& candidate)
+                         { return candidate.has_free_slot; });
     }
     if (group.empty())
     {
@@ -131,7 +132,7 @@
         const std::int64_t used =
             critical + std::min(other, slots - reserved_slots);
         candidate.load = static_cast<double>(used) / static_cast<double>(slots);
-        candidate.room = used < slots;
+        candidate.has_free_slot = used < slots;
         return candidate;
     }
     const std::int64_t overflow =
@@ -139,7 +140,7 @@
     const std::int64_t used = other + overflow;
     candidate.load =
         static_cast<double>(used) / static_cast<double>(slots - reserved_slots);
-    candidate.room = used < slots - reserved_slots;
+    candidate.has_free_slot = used < slots - reserved_slots;
     return candidate;
 }
 
--- a/packages/store/include/springstair/detail/store/operations.hpp
+++ b/packages/store/include/springstair/detail/store/operations.hpp
@@ -22,7 +22,7 @@
     };
 
     std::string key;
-    number of = number::version;
+    number target = number::version;
     std::int64_t equals = 0;
 
     bool operator==(const kv_compare&) const = default;
--- a/packages/store/src/operations.cpp
+++ b/packages/store/src/operations.cpp
@@ -45,7 +45,7 @@
 {
     json body{{"key", to_base64(compare.key)}, {"result", "EQUAL"}};
     const std::string number = std::to_string(compare.equals);
-    switch (compare.of)
+    switch (compare.target)
     {
     case kv_compare::number::version:
         body["target"] = "VERSION";
--- a/packages/table/src/table.cpp
+++ b/packages/table/src/table.cpp
@@ -39,7 +39,7 @@
                       .cpu_millis = reader.integer("cpu_millis", 0),
                       .memory_mb = reader.integer("memory_mb", 0),
                       .accelerators =
-                          reader.integer("accelerators", -1, {.least = -1}),
+                          reader.integer("accelerators", -1, {.min = -1}),
                       .credential_hashes = reader.texts("credential_hashes")};
     for (std::size_t index = 0; index < row.credential_hashes.size(); ++index)
     {
@@ -72,7 +72,7 @@
                   .max_in_flight = reader.integer("max_in_flight", 0),
                   .max_queue = reader.integer("max_queue", 64),
                   .reserved_slots =
-                      reader.integer("reserved_slots", 0, {.most = max_slots}),
+                      reader.integer("reserved_slots", 0, {.max = max_slots}),
                   .target_ms = reader.integer("target_ms", 0),
                   .repeatable = reader.boolean("repeatable", false)};
     if (row.reserved_slots > 0 && row.kind != class_kind::latency_critical)
@@ -171,7 +171,7 @@
     object_reader reader(document, "", problems);
     parsed->revision = reader.integer(
         "revision", std::nullopt,
-        {.least = 0, .most = std::numeric_limits<std::int64_t>::max()});
+        {.min = 0, .max = std::numeric_limits<std::int64_t>::max()});
     reader.texts("writers");
     const json* rows = reader.member("rows");
     reader.reject_unknown();
--- a/tests/unit/adapter_tests.cpp
+++ b/tests/unit/adapter_tests.cpp
@@ -395,7 +395,7 @@
         {
             client.transact(
                 {.compares = {{.key = "k",
-                               .of = kv_compare::number::mod_revision,
+                               .target = kv_compare::number::mod_revision,
                                .equals = 3}},
                  .puts = {{.key = "k", .value = "ab", .lease = 5}}},
                 patience, std::move(done));
--- a/tests/unit/fleet_limits_tests.cpp
+++ b/tests/unit/fleet_limits_tests.cpp
@@ -132,8 +132,10 @@
                      if (!answer_lost)
                      {
                          schedule(milliseconds(draw(90)),
-                                  [this, from, to, holds]
-                                  { entries_[from].settled(name(to), holds); });
+                                  [this, from, to, holds] {
+                                      entries_[from].on_offer_answered(name(to),
+                                                                       holds);
+                                  });
                      }
                  });
     }
--- a/tests/unit/memory_store.hpp
+++ b/tests/unit/memory_store.hpp
@@ -78,7 +78,7 @@
     {
         const auto found = items_.find(compare.key);
         const kv_item item = found == items_.end() ? kv_item{} : found->second;
-        switch (compare.of)
+        switch (compare.target)
         {
         case kv_compare::number::version:
             return (found == items_.end()) == (compare.equals == 0);
--- a/tests/unit/policy_tests.cpp
+++ b/tests/unit/policy_tests.cpp
@@ -42,7 +42,7 @@
                                       bool may_wait = true)
     {
         return slots.offer(clock.now(), {.attempt = {std::to_string(++next)},
-                                         .of = work_class,
+                                         .work_class = work_class,
                                          .arrived = clock.now(),
                                          .deadline = clock.now() + deadline,
                                          .may_wait = may_wait});
@@ -115,7 +115,7 @@
     {
         for (const slot_request& request : fixture.slots.start_ready())
         {
-            ++served[request.of.workspace];
+            ++served[request.work_class.workspace];
             fixture.slots.finish(request.attempt, milliseconds(10));
         }
     }
@@ -218,7 +218,7 @@
 
 TEST_CASE("retries are limited by successes")
 {
-    retry_budget budget({.share = 0.1, .most = 5});
+    retry_budget budget({.share = 0.1, .max_saved = 5});
     int taken = 0;
     while (budget.take())
     {
@@ -243,7 +243,7 @@
     {
         candidates.push_back({.guard = {std::to_string(index)},
                               .load = 0.1 * index,
-                              .room = true,
+                              .has_free_slot = true,
                               .local = index >= 4});
     }
     const sampled_router router;
@@ -251,8 +251,8 @@
     {
         CHECK(*router.pick(candidates, random) >= 4);
     }
-    candidates[4].room = false;
-    candidates[5].room = false;
+    candidates[4].has_free_slot = false;
+    candidates[5].has_free_slot = false;
     for (int count = 0; count < 50; ++count)
     {
         CHECK(*router.pick(candidates, random) < 4);
@@ -268,7 +268,10 @@
                            .own_critical = 2,
                            .own_other = 1};
     const auto kind = class_kind::latency_critical;
-    CHECK(!make_candidate(load, {.critical = 2, .other = 1}, kind, 2).room);
-    CHECK(make_candidate(load, {.critical = 0, .other = 1}, kind, 2).room);
-    CHECK(!make_candidate(load, {.critical = 5, .other = 1}, kind, 2).room);
+    CHECK(!make_candidate(load, {.critical = 2, .other = 1}, kind, 2)
+               .has_free_slot);
+    CHECK(make_candidate(load, {.critical = 0, .other = 1}, kind, 2)
+              .has_free_slot);
+    CHECK(!make_candidate(load, {.critical = 5, .other = 1}, kind, 2)
+               .has_free_slot);
 }
--- a/tests/unit/task_simulation_tests.cpp
+++ b/tests/unit/task_simulation_tests.cpp
@@ -762,7 +762,7 @@
             send(entries_[entry],
                  [this, entry, index, report, generation = process.generation]
                  {
-                     entries_[entry].guards.hear(clock_.now(), report);
+                     entries_[entry].guards.on_heartbeat(clock_.now(), report);
                      task_actions actions;
                      const auto acked = entries_[entry].core->on_report(
                          clock_.now(), report, actions);
