--- a/bench/slopes.cpp
+++ b/bench/slopes.cpp
@@ -197,7 +197,7 @@
                               core.on_attempt(
                                   now, {.attempt = name,
                                         .entry = "e",
-                                        .of = {team, "fast"},
+                                        .request_class = {team, "fast"},
                                         .incarnation = "1",
                                         .remaining = std::chrono::seconds(9)});
                               core.on_executor(now, name,
--- a/packages/daemon/src/entry_control.cpp
+++ b/packages/daemon/src/entry_control.cpp
@@ -255,7 +255,7 @@
                        {"address", own_address()},
                        {"state", drain_since_ ? "leaving" : "live"},
                        {"table_revision", requests_.rows().revision()},
-                       {"shards", tasks_.held()}});
+                       {"shards", tasks_.owned_shards()}});
     const std::set<std::string> alive = requests_.entries().alive(now);
     for (const auto& [name, peer_summary] : requests_.entries().summaries())
     {
@@ -380,7 +380,7 @@
     const bool no_open_calls = open_.empty() && edits_.empty() &&
                                committed_.empty() && task_calls_.empty() &&
                                task_lists_.empty() && history_calls_.empty();
-    const bool may_drop_shards = tasks_.held().empty() ||
+    const bool may_drop_shards = tasks_.owned_shards().empty() ||
                                  !table_.store_available() ||
                                  now - *drain_since_ > 2 * grace;
     if (no_open_calls && may_drop_shards && now - *drain_since_ >= grace)
--- a/packages/daemon/src/entry_control.hpp
+++ b/packages/daemon/src/entry_control.hpp
@@ -67,7 +67,7 @@
     void carry_out(const request_actions& actions);
     void act(const send_attempt& send);
     void act(const forward_answer& forward);
-    void act(const answer_problem& problem);
+    void act(const answer_problem& answer);
     void act(const log_guard& note);
 
     // The table.
--- a/packages/daemon/src/entry_peers.cpp
+++ b/packages/daemon/src/entry_peers.cpp
@@ -56,7 +56,7 @@
                       .leaving = drain_since_.has_value(),
                       .table_revision = requests_.rows().revision(),
                       .entries = known_entries(),
-                      .shards = tasks_.held(),
+                      .shards = tasks_.owned_shards(),
                       .task_usage = tasks_.usage()};
     requests_.fill_summary(now, own, peer_name, offer);
     const auto& known = requests_.entries().summaries();
--- a/packages/daemon/src/entry_requests.cpp
+++ b/packages/daemon/src/entry_requests.cpp
@@ -187,12 +187,12 @@
     open_.erase(found);
 }
 
-void entry_control::act(const answer_problem& problem)
+void entry_control::act(const answer_problem& answer)
 {
-    const auto found = open_.find(problem.number);
-    process_.numbers.count("refused", problem.of,
-                           to_string(problem.what.reason));
-    found->second.responder->respond(to_response(problem.what));
+    const auto found = open_.find(answer.number);
+    process_.numbers.count("refused", answer.request_class,
+                           to_string(answer.problem.reason));
+    found->second.responder->respond(to_response(answer.problem));
     open_.erase(found);
 }
 
--- a/packages/daemon/src/entry_tasks.cpp
+++ b/packages/daemon/src/entry_tasks.cpp
@@ -310,8 +310,8 @@
 {
     process_.client.send(
         make_rpc_call(start.address, process_.own_settings.common.fleet_key,
-                      wire::start_task_method, start.what),
-        [&process = process_, request = start.what](http_result result) {
+                      wire::start_task_method, start.request),
+        [&process = process_, request = start.request](http_result result) {
             process.events.post(start_ended{request, std::move(result)});
         });
 }
@@ -320,8 +320,8 @@
 {
     process_.client.send(
         make_rpc_call(stop.address, process_.own_settings.common.fleet_key,
-                      wire::stop_task_method, stop.what),
-        [&process = process_, request = stop.what](http_result result) {
+                      wire::stop_task_method, stop.request),
+        [&process = process_, request = stop.request](http_result result) {
             process.events.post(stop_ended{request, std::move(result)});
         });
 }
--- a/packages/daemon/src/guard_control.cpp
+++ b/packages/daemon/src/guard_control.cpp
@@ -111,8 +111,8 @@
     const attempt_request attempt{
         .attempt = {request.header(wire::attempt)},
         .entry = request.header(wire::entry),
-        .of = {.workspace = request.header(wire::workspace),
-               .work_class = request.header(wire::work_class)},
+        .request_class = {.workspace = request.header(wire::workspace),
+                          .work_class = request.header(wire::work_class)},
         .incarnation = request.header(wire::incarnation),
         .remaining = std::chrono::milliseconds(std::strtoll(
             request.header(wire::deadline_ms).c_str(), nullptr, 10)),
@@ -127,7 +127,7 @@
     }
     open_[attempt.attempt] = {.request = std::move(arrival.request),
                               .responder = arrival.responder,
-                              .request_class = attempt.of,
+                              .request_class = attempt.request_class,
                               .arrived = now};
     carry_out(core_.on_attempt(now, attempt));
 }
@@ -203,17 +203,17 @@
     open_.erase(found);
 }
 
-void guard_control::act(const reply_problem& problem)
+void guard_control::act(const reply_problem& answer)
 {
-    const auto found = open_.find(problem.attempt);
+    const auto found = open_.find(answer.attempt);
     if (found == open_.end())
     {
         return;
     }
     process_.numbers.count("refused", found->second.request_class,
-                           to_string(problem.what.reason));
-    reply(*found->second.responder, found->second.request, problem.attempt,
-          problem.what);
+                           to_string(answer.problem.reason));
+    reply(*found->second.responder, found->second.request, answer.attempt,
+          answer.problem);
     open_.erase(found);
 }
 
--- a/packages/daemon/src/guard_control.hpp
+++ b/packages/daemon/src/guard_control.hpp
@@ -86,7 +86,7 @@
     void carry_out(const guard_actions& actions);
     void act(const run_attempt& run);
     void act(const reply_answer& reply);
-    void act(const reply_problem& problem);
+    void act(const reply_problem& answer);
     void reply(http_responder& responder, const http_request& request,
                const attempt_name& attempt, const problem_report& problem);
     void add_attempt_headers(http_response& response,
--- a/packages/entry/include/springstair/detail/entry/request_core.hpp
+++ b/packages/entry/include/springstair/detail/entry/request_core.hpp
@@ -92,8 +92,8 @@
 struct answer_problem
 {
     request_number number = 0;
-    class_name of;
-    problem_report what;
+    class_name request_class;
+    problem_report problem;
 
     bool operator==(const answer_problem&) const = default;
 };
--- a/packages/entry/include/springstair/detail/entry/task_core.hpp
+++ b/packages/entry/include/springstair/detail/entry/task_core.hpp
@@ -53,7 +53,7 @@
 {
     guard_name guard;
     std::string address;
-    start_task what;
+    start_task request;
 };
 
 /// @brief Action: sends a stop to a guard.
@@ -61,7 +61,7 @@
 {
     guard_name guard;
     std::string address;
-    stop_task what;
+    stop_task request;
 };
 
 /// @brief Action: logs that this entry acquired or lost a shard.
@@ -147,7 +147,7 @@
     [[nodiscard]] std::vector<task_record>
     records_of(const std::string& workspace) const;
     /// @brief The numbers of the owned shards.
-    [[nodiscard]] std::vector<std::int64_t> held() const;
+    [[nodiscard]] std::vector<std::int64_t> owned_shards() const;
     /// @brief Resources of placed tasks by workspace.
     [[nodiscard]] std::map<std::string, resources> usage() const;
     /// @brief Journal transactions, and the transitions and bytes in them.
--- a/packages/entry/src/request_core.cpp
+++ b/packages/entry/src/request_core.cpp
@@ -48,10 +48,10 @@
     request_actions actions;
     const auto reject = [&](refusal reason, duration wait)
     {
-        actions.emplace_back(
-            answer_problem{.number = request.number,
-                           .of = request.of,
-                           .what = not_run(reason, jittered(wait, random_))});
+        actions.emplace_back(answer_problem{
+            .number = request.number,
+            .request_class = request.of,
+            .problem = not_run(reason, jittered(wait, random_))});
     };
     const class_row* const row = table_.find(request.of);
     if (row == nullptr)
@@ -135,8 +135,8 @@
         problem.retry_after = jittered(problem.retry_after, random_);
     }
     actions.emplace_back(answer_problem{.number = number,
-                                        .of = pending.request.of,
-                                        .what = std::move(problem)});
+                                        .request_class = pending.request.of,
+                                        .problem = std::move(problem)});
     close(number);
 }
 
--- a/packages/entry/src/task_core.cpp
+++ b/packages/entry/src/task_core.cpp
@@ -72,7 +72,7 @@
     return records;
 }
 
-std::vector<std::int64_t> task_core::held() const
+std::vector<std::int64_t> task_core::owned_shards() const
 {
     std::vector<std::int64_t> numbers;
     for (const auto& [number, shard] : shards_)
@@ -245,11 +245,11 @@
     actions.emplace_back(
         send_stop{.guard = {guard},
                   .address = address->second,
-                  .what = {.task = name.task,
-                           .attempt = name.attempt,
-                           .shard = *number,
-                           .epoch = shards_.at(*number).epoch,
-                           .keep_checkpoint = keep_checkpoint}});
+                  .request = {.task = name.task,
+                              .attempt = name.attempt,
+                              .shard = *number,
+                              .epoch = shards_.at(*number).epoch,
+                              .keep_checkpoint = keep_checkpoint}});
 }
 
 void task_core::record_failed_attempt(const std::string& guard,
--- a/packages/entry/src/task_placement.cpp
+++ b/packages/entry/src/task_placement.cpp
@@ -319,12 +319,12 @@
     actions.emplace_back(
         send_start{.guard = {record.guard},
                    .address = address->second,
-                   .what = {.spec = record.spec,
-                            .attempt = record.attempt,
-                            .incarnation = record.incarnation,
-                            .checkpoint = record.checkpoint,
-                            .shard = number,
-                            .epoch = shards_.at(number).epoch}});
+                   .request = {.spec = record.spec,
+                               .attempt = record.attempt,
+                               .incarnation = record.incarnation,
+                               .checkpoint = record.checkpoint,
+                               .shard = number,
+                               .epoch = shards_.at(number).epoch}});
 }
 
 } // namespace springstair
--- a/packages/guard/include/springstair/detail/guard/guard_core.hpp
+++ b/packages/guard/include/springstair/detail/guard/guard_core.hpp
@@ -33,7 +33,7 @@
 {
     attempt_name attempt;
     std::string entry; ///< sender
-    class_name of;
+    class_name request_class;
     std::string incarnation; ///< of the guard, as known to the entry
     duration remaining{0};   ///< until the caller's deadline
     bool may_wait = true;    ///< false: start at once or refuse
@@ -66,7 +66,7 @@
 struct reply_problem
 {
     attempt_name attempt;
-    problem_report what;
+    problem_report problem;
     bool operator==(const reply_problem&) const = default;
 };
 
--- a/packages/guard/src/guard_core.cpp
+++ b/packages/guard/src/guard_core.cpp
@@ -50,7 +50,7 @@
                                  problem_report problem)
 {
     remember(now, attempt, problem);
-    return {reply_problem{.attempt = attempt, .what = std::move(problem)}};
+    return {reply_problem{.attempt = attempt, .problem = std::move(problem)}};
 }
 
 // A duplicate gets the outcome of the first copy: a refusal is repeated, and an
@@ -60,8 +60,8 @@
     const auto& refused = seen_.at(attempt);
     const problem_report duplicate{.result = outcome::unknown,
                                    .reason = refusal::duplicate};
-    return {
-        reply_problem{.attempt = attempt, .what = refused.value_or(duplicate)}};
+    return {reply_problem{.attempt = attempt,
+                          .problem = refused.value_or(duplicate)}};
 }
 
 guard_actions guard_core::on_attempt(time_point now,
@@ -77,7 +77,7 @@
     }
     const auto refused =
         admission_.offer(now, {.attempt = request.attempt,
-                               .work_class = request.of,
+                               .work_class = request.request_class,
                                .arrived = now,
                                .deadline = now + request.remaining,
                                .may_wait = request.may_wait});
@@ -130,7 +130,7 @@
         admission_.abandon(attempt);
         actions.emplace_back(reply_problem{
             .attempt = attempt,
-            .what = not_run(refusal::connection_lost, retry_soon)});
+            .problem = not_run(refusal::connection_lost, retry_soon)});
         break;
     case executor_result::unknown:
         // The slot stays occupied until the worker no longer lists the attempt.
@@ -139,10 +139,10 @@
         count_orphans();
         actions.emplace_back(
             reply_problem{.attempt = attempt,
-                          .what = {.result = outcome::unknown,
-                                   .reason = refusal::connection_lost,
-                                   .retry_after = {},
-                                   .detail = {}}});
+                          .problem = {.result = outcome::unknown,
+                                      .reason = refusal::connection_lost,
+                                      .retry_after = {},
+                                      .detail = {}}});
         break;
     }
     start_ready(now, actions);
@@ -218,8 +218,8 @@
     {
         actions.emplace_back(reply_problem{
             .attempt = refused.request.attempt,
-            .what = not_run(refused.reason,
-                            jittered(refused.retry_after, random_))});
+            .problem = not_run(refused.reason,
+                               jittered(refused.retry_after, random_))});
     }
     while (!forget_at_.empty() && forget_at_.begin()->first <= now)
     {
@@ -253,7 +253,7 @@
 
 void guard_core::admit(const attempt_request& request)
 {
-    const class_row* const row = table_.find(request.of);
+    const class_row* const row = table_.find(request.request_class);
     const bool critical =
         row != nullptr && row->kind == class_kind::latency_critical;
     admitted_[request.attempt] = {.entry = request.entry, .critical = critical};
--- a/tests/unit/request_simulation_tests.cpp
+++ b/tests/unit/request_simulation_tests.cpp
@@ -177,8 +177,8 @@
             for (const auto& [attempt, reply] : broken)
             {
                 reply(reply_problem{.attempt = attempt,
-                                    .what = {.result = outcome::unknown,
-                                             .reason = refusal::starting}});
+                                    .problem = {.result = outcome::unknown,
+                                                .reason = refusal::starting}});
             }
             start_guard(index);
         }
@@ -226,7 +226,7 @@
             {
                 tracked_request& one = requests_.at(refused->number);
                 ++one.answers;
-                one.not_run = refused->what.result == outcome::not_run;
+                one.not_run = refused->problem.result == outcome::not_run;
             }
         }
     }
@@ -286,7 +286,7 @@
             const auto& problem = std::get<reply_problem>(action);
             result = {.attempt = problem.attempt,
                       .how = ending::refused,
-                      .refused_with = problem.what};
+                      .refused_with = problem.problem};
         }
         if (chance(rates_.reply_lost))
         {
@@ -302,8 +302,8 @@
         if (guard.stopped)
         {
             reply(reply_problem{.attempt = send.attempt,
-                                .what = {.result = outcome::unknown,
-                                         .reason = refusal::starting}});
+                                .problem = {.result = outcome::unknown,
+                                            .reason = refusal::starting}});
             return;
         }
         request_of_[send.attempt] = send.number;
@@ -313,11 +313,12 @@
             guard.open[send.attempt] = reply;
         }
         const guard_actions actions = guard.core->on_attempt(
-            clock_.now(), {.attempt = send.attempt,
-                           .of = requests_.at(send.number).request.of,
-                           .incarnation = send.incarnation,
-                           .remaining = send.remaining,
-                           .may_wait = send.may_wait});
+            clock_.now(),
+            {.attempt = send.attempt,
+             .request_class = requests_.at(send.number).request.of,
+             .incarnation = send.incarnation,
+             .remaining = send.remaining,
+             .may_wait = send.may_wait});
         if (copy)
         {
             return; // the answer goes to the duplicate's connection
--- a/tests/unit/role_tests.cpp
+++ b/tests/unit/role_tests.cpp
@@ -74,7 +74,7 @@
 
 const problem_report& problem_in(const request_actions& actions)
 {
-    return std::get<answer_problem>(actions.back()).what;
+    return std::get<answer_problem>(actions.back()).problem;
 }
 
 bool sends_attempt(const request_actions& actions)
@@ -270,10 +270,10 @@
     REQUIRE(guard.ready());
     const guard_actions actions =
         guard.on_attempt(clock.now(), {.attempt = {"a"},
-                                       .of = {"a", "once"},
+                                       .request_class = {"a", "once"},
                                        .incarnation = "1",
                                        .remaining = seconds(1)});
-    CHECK(std::get<reply_problem>(actions.front()).what.result ==
+    CHECK(std::get<reply_problem>(actions.front()).problem.result ==
           outcome::unknown);
 }
 
--- a/tests/unit/task_simulation_tests.cpp
+++ b/tests/unit/task_simulation_tests.cpp
@@ -483,13 +483,15 @@
             else if (const auto* start = std::get_if<send_start>(&action))
             {
                 const auto guard = index_of(start->guard);
-                send_to_guard(guard, [this, entry, guard, request = start->what]
+                send_to_guard(guard,
+                              [this, entry, guard, request = start->request]
                               { deliver_start(entry, guard, request); });
             }
             else if (const auto* stop = std::get_if<send_stop>(&action))
             {
                 const auto guard = index_of(stop->guard);
-                send_to_guard(guard, [this, entry, guard, request = stop->what]
+                send_to_guard(guard,
+                              [this, entry, guard, request = stop->request]
                               { deliver_stop(entry, guard, request); });
             }
         }
