--- a/packages/scheduler/include/springstair/detail/scheduler/entry_list.hpp
+++ b/packages/scheduler/include/springstair/detail/scheduler/entry_list.hpp
@@ -127,7 +127,7 @@
                                      time_point now);
     /// @brief The entry to hand leadership over to now; nothing if there is no
     /// reason.
-    std::optional<handover_target> next_handover(const leader_state& state,
+    std::optional<handover_target> next_handover(const leader_state& leader,
                                                  time_point now);
     /// @brief Records that an entry could not take over, or did not answer.
     void note_declined(const std::string& address, time_point now);
--- a/packages/scheduler/include/springstair/detail/scheduler/interference_model.hpp
+++ b/packages/scheduler/include/springstair/detail/scheduler/interference_model.hpp
@@ -107,12 +107,12 @@
     std::optional<std::size_t> index_of(const std::string& filling);
     std::vector<std::pair<std::size_t, double>>
     changes(const fill_usage& before, const fill_usage& after);
-    bool compare(const std::string& serving, const headroom_sample& with,
-                 const headroom_sample& seen);
-    void learn(fit& model, double loss,
+    bool compare(const std::string& serving, const headroom_sample& reference,
+                 const headroom_sample& sample);
+    void learn(fit& estimate, double loss,
                const std::vector<std::pair<std::size_t, double>>& changes);
-    void resize(fit& model) const;
-    void solve(fit& model) const;
+    void resize(fit& estimate) const;
+    void solve(fit& estimate) const;
     void forget_old(time_point now);
 
     interference_model_options options_;
--- a/packages/scheduler/include/springstair/detail/scheduler/job_record.hpp
+++ b/packages/scheduler/include/springstair/detail/scheduler/job_record.hpp
@@ -120,7 +120,7 @@
     /// this is its state alone, so that a successor has little to read.
     [[nodiscard]] job_progress progress() const;
     /// @brief Restores what a previous leader stored.
-    void restore(const job_progress& stored);
+    void restore(const job_progress& progress);
 
     // State of the record in the store.
 
--- a/packages/scheduler/include/springstair/detail/scheduler/scheduler_core.hpp
+++ b/packages/scheduler/include/springstair/detail/scheduler/scheduler_core.hpp
@@ -199,7 +199,7 @@
     /// @brief Starts a term. @param epoch increases with each term
     void begin_term(std::int64_t epoch, time_point now);
     /// @brief Adds a job stored by a previous leader, before begin().
-    void adopt(job definition, const std::optional<job_progress>& progress,
+    void adopt(job definition, const std::optional<job_progress>& saved,
                std::int64_t revision, time_point now, std::int64_t unix_ms);
     /// @brief Starts from the interference that a previous leader learnt.
     void adopt_interference(const std::vector<pair_interference>& harms)
@@ -260,9 +260,9 @@
 
     /// @brief The state of a job that callers may see; nothing if the job is
     /// unknown, or if a successor may know a later state.
-    /// @param verified when leadership was last known to be held
+    /// @param verified_at when leadership was last known to be held
     [[nodiscard]] std::optional<job_state>
-    shown(const std::string& id, time_point now, time_point verified) const;
+    shown(const std::string& id, time_point now, time_point verified_at) const;
     /// @brief Number of jobs of a queue of which no task has begun.
     [[nodiscard]] std::int64_t waiting(const std::string& queue) const;
     /// @brief The epoch of the present term.
@@ -350,8 +350,8 @@
 
     // Log of waits and availability (scheduler_diagnostics.cpp).
     void log_wait(const placement_query& query, const job_record& record,
-                  const job_task& first,
-                  std::optional<wait_cause> known = std::nullopt);
+                  const job_task& task,
+                  std::optional<wait_cause> known_cause = std::nullopt);
     void sample_availability_if_due(time_point now);
     void sample_jobs();
     void log_service();
@@ -375,12 +375,12 @@
                        time_point now);
     void note_running(worker_record& worker, const worker_report& report,
                       guard_orders& out, time_point now);
-    void log_orphan(const worker_record& worker, const running_task& row,
+    void log_orphan(const worker_record& worker, const running_task& running,
                     const job_task* task);
     void stop_unwanted_starts(const worker_record& worker,
                               const worker_report& report, guard_orders& out);
     void note_progress(worker_record& worker, task_run& run,
-                       const job_step& step, const running_task& row,
+                       const job_step& step, const running_task& running,
                        time_point now);
     void log_missing_run(const worker_record& worker,
                          const worker_report& report, task_run& run,
@@ -418,7 +418,7 @@
                       duration lease_grant, time_point now) const;
     [[nodiscard]] duration lease_grant_for(const worker_report& report,
                                            time_point now,
-                                           time_point verified) const;
+                                           time_point verified_at) const;
 
     // Lost runs (scheduler_losses.cpp).
 
@@ -501,18 +501,19 @@
     void close_run(job_record& record, job_task& task, const end_proof& proof,
                    time_point now);
     void close_gang(job_record& record, const task_position& position,
-                    run_end how, time_point now);
+                    run_end outcome, time_point now);
     void count_failure(job_record& record, job_task& task, const task_run& run,
                        time_point now);
     static bool is_evidence_of_fault(const worker_record& worker,
                                      const job_record& record,
-                                     const task_run& run, run_end how);
+                                     const task_run& run, run_end outcome);
     void update_fault_score(worker_record& worker, const job_record& record,
-                            const task_run& run, run_end how, time_point now);
+                            const task_run& run, run_end outcome,
+                            time_point now);
     void finish(job_record& record, job_state state, time_point now,
-                std::vector<event_field> why);
+                std::vector<event_field> fields);
     void fail(job_record& record, const job_task& task, time_point now,
-              std::vector<event_field> why);
+              std::vector<event_field> fields);
     void finish_if_done(job_record& record, time_point now);
     void forget_advice(const job_record& record);
     void stop_all(job_record& record);
