--- a/packages/daemon/src/job_scheduler.cpp
+++ b/packages/daemon/src/job_scheduler.cpp
@@ -224,9 +224,8 @@
 
 void job_scheduler::request_advice(time_point now)
 {
-    const auto question = process_.settings.advice.empty()
-                              ? std::nullopt
-                              : core_.next_question(now);
+    const auto question =
+        process_.settings.advice.empty() ? std::nullopt : core_.next_query(now);
     if (!question)
     {
         return;
--- a/packages/daemon/src/job_settings.cpp
+++ b/packages/daemon/src/job_settings.cpp
@@ -62,7 +62,7 @@
                       std::int64_t default_value)
 {
     return std::chrono::milliseconds(reader.integer(
-        key, default_value, {.least = 1, .most = max_milliseconds}));
+        key, default_value, {.min = 1, .max = max_milliseconds}));
 }
 
 job_role read_role(object_reader& reader)
@@ -114,7 +114,7 @@
     settings.announced_address =
         reader.text("announced_address", std::optional(settings.address));
     settings.internal_port = static_cast<std::uint16_t>(reader.integer(
-        "internal_port", std::nullopt, {.least = 1, .most = max_port}));
+        "internal_port", std::nullopt, {.min = 1, .max = max_port}));
     settings.store = endpoint(reader, "store", true);
     settings.entries = read_entries(reader, settings.internal_port);
     settings.max_lease =
@@ -133,9 +133,9 @@
     settings.metrics = endpoint(reader, "metrics", false);
     settings.processors = reader.positive("processors", default_processors);
     settings.memory_mb =
-        reader.integer("memory_mb", 0, {.least = 0, .most = max_memory_mb});
+        reader.integer("memory_mb", 0, {.min = 0, .max = max_memory_mb});
     settings.descriptors =
-        reader.integer("descriptors", 0, {.least = 0, .most = max_descriptors});
+        reader.integer("descriptors", 0, {.min = 0, .max = max_descriptors});
     reader.reject_unknown();
     if (!all.empty())
     {
--- a/packages/daemon/src/job_store.cpp
+++ b/packages/daemon/src/job_store.cpp
@@ -55,7 +55,7 @@
 {
     const std::string key = job_key(definition.id);
     return {.compares = {{.key = key,
-                          .of = kv_compare::number::mod_revision,
+                          .target = kv_compare::number::mod_revision,
                           .equals = 0}},
             .puts = {{.key = key, .value = json(definition).dump()}}};
 }
@@ -69,14 +69,15 @@
 {
     kv_transaction transaction{
         .compares = {{.key = leader_key,
-                      .of = kv_compare::number::mod_revision,
+                      .target = kv_compare::number::mod_revision,
                       .equals = epoch}}};
     for (const progress_write& write : batch)
     {
         const std::string key = progress_key(write.job);
-        transaction.compares.push_back({.key = key,
-                                        .of = kv_compare::number::mod_revision,
-                                        .equals = write.expected_revision});
+        transaction.compares.push_back(
+            {.key = key,
+             .target = kv_compare::number::mod_revision,
+             .equals = write.expected_revision});
         transaction.puts.push_back({.key = key, .value = write.text});
     }
     return transaction;
--- a/packages/policy/include/springstair/detail/policy/router.hpp
+++ b/packages/policy/include/springstair/detail/policy/router.hpp
@@ -29,9 +29,9 @@
 struct route_candidate
 {
     guard_name guard;
-    double load = 0;    ///< requests per slot open to the request's kind
-    bool room = false;  ///< a slot for this kind is probably free
-    bool local = false; ///< in the entry's own data centre
+    double load = 0; ///< requests per slot open to the request's kind
+    bool has_free_slot = false; ///< a slot for this kind is probably free
+    bool local = false;         ///< in the entry's own data centre
 };
 
 /// @brief A type that picks one of several guards.
--- a/packages/scheduler/src/scheduler_leases.cpp
+++ b/packages/scheduler/src/scheduler_leases.cpp
@@ -29,7 +29,7 @@
 bool scheduler_core::is_end_given_up(const worker_record& worker,
                                      const ended_task& end)
 {
-    const job_task* const task = known(end.task).task;
+    const job_task* const task = find_task(end.task).task;
     if (task == nullptr || end.how != run_end::done)
     {
         return false;
@@ -52,13 +52,14 @@
 {
     const bool was_set = worker.lease_must_expire;
     // Ends up to this number are already applied and will be acknowledged.
-    const std::int64_t noted =
-        worker.description.executor == report.worker.executor ? worker.noted
-                                                              : 0;
+    const std::int64_t applied =
+        worker.description.executor == report.worker.executor
+            ? worker.applied_ends
+            : 0;
     const auto end =
         std::ranges::find_if(report.ended,
                              [&](const ended_task& candidate) {
-                                 return candidate.number > noted &&
+                                 return candidate.number > applied &&
                                         is_end_given_up(worker, candidate);
                              });
     worker.lease_must_expire = knows_incarnation && report.looked &&
--- a/tests/unit/crashing_task_tests.cpp
+++ b/tests/unit/crashing_task_tests.cpp
@@ -173,14 +173,14 @@
         is_blamed = true;
     }
     scheduler_harness harness;
-    harness.say("g1");
+    harness.report_from_guard("g1");
     const std::string id = harness.submit({step_of(1)}).id;
     for (int crash = 1; crash <= 3; ++crash)
     {
         for (int turn = 0; turn < 100 && !harness.runs(id + ".0.0.0"); ++turn)
         {
-            harness.say("g1");
-            harness.turn(milliseconds(100));
+            harness.report_from_guard("g1");
+            harness.advance(milliseconds(100));
         }
         REQUIRE(harness.runs(id + ".0.0.0"));
         const begun_run own{.task = id + ".0.0.0",
@@ -195,9 +195,9 @@
         report.worker.executor = "g1-" + std::to_string(crash + 1);
         report.running.clear();
         harness.started.clear();
-        harness.say("g1");
+        harness.report_from_guard("g1");
     }
-    harness.turn();
+    harness.advance();
     CHECK((harness.shown(id) == job_state::failed) == is_blamed);
 }
 
@@ -207,13 +207,13 @@
 TEST_CASE("three certain crashes blame a task that was alone in the third")
 {
     const crash_verdict third{
-        .suspicion = 5, .crashes = 3, .losses = 3, .is_sure = true};
-    CHECK_FALSE(is_given_up(third));
+        .suspicion = 5, .crashes = 3, .losses = 3, .is_confirmed = true};
+    CHECK_FALSE(is_blamed(third));
     crash_verdict alone = third;
-    alone.is_sole = true;
-    CHECK(is_given_up(alone));
+    alone.is_only_unproven = true;
+    CHECK(is_blamed(alone));
     alone.crashes = 2;
-    CHECK_FALSE(is_given_up(alone));
+    CHECK_FALSE(is_blamed(alone));
 }
 
 // Guards against failing an innocent job: several executors crashed with starts
@@ -234,14 +234,14 @@
         is_blamed = true;
     }
     scheduler_harness harness;
-    harness.say("g1");
+    harness.report_from_guard("g1");
     const std::string task = harness.submit({step_of(1)}).id + ".0.0.0";
     for (int crash = 1; crash <= crashes; ++crash)
     {
         for (int turn = 0; turn < 100 && !harness.runs(task); ++turn)
         {
-            harness.say("g1");
-            harness.turn(milliseconds(100));
+            harness.report_from_guard("g1");
+            harness.advance(milliseconds(100));
         }
         REQUIRE(harness.runs(task));
         worker_report& report = harness.worker("g1");
@@ -252,9 +252,9 @@
         report.worker.executor = "g1-" + std::to_string(crash + 1);
         report.running.clear();
         harness.started.clear();
-        harness.say("g1");
+        harness.report_from_guard("g1");
     }
-    harness.turn();
+    harness.advance();
     const std::string job = task.substr(0, task.find('.'));
     CHECK((harness.shown(job) == job_state::failed) == is_blamed);
 }
--- a/tests/unit/task_simulation_tests.cpp
+++ b/tests/unit/task_simulation_tests.cpp
@@ -484,13 +484,15 @@
             else if (const auto* start = std::get_if<send_start>(&action))
             {
                 const auto guard = index_of(start->guard);
-                send_to_guard(guard, [this, entry, guard, request = start->what]
+                send_to_guard(guard,
+                              [this, entry, guard, request = start->request]
                               { deliver_start(entry, guard, request); });
             }
             else if (const auto* stop = std::get_if<send_stop>(&action))
             {
                 const auto guard = index_of(stop->guard);
-                send_to_guard(guard, [this, entry, guard, request = stop->what]
+                send_to_guard(guard,
+                              [this, entry, guard, request = stop->request]
                               { deliver_stop(entry, guard, request); });
             }
         }
@@ -763,7 +765,7 @@
             send(entries_[entry],
                  [this, entry, index, report, generation = process.generation]
                  {
-                     entries_[entry].guards.hear(clock_.now(), report);
+                     entries_[entry].guards.on_heartbeat(clock_.now(), report);
                      task_actions actions;
                      const auto acked = entries_[entry].core->on_report(
                          clock_.now(), report, actions);
