--- a/packages/daemon/src/leader_handover.cpp
+++ b/packages/daemon/src/leader_handover.cpp
@@ -59,23 +59,23 @@
 void leader_handover::request_takeover(const handover_target& target,
                                        time_point now)
 {
-    requested_successor_ = target.to;
+    requested_successor_ = target.address;
     requested_at_ = now;
     log_event(event_id::office_offered,
-              {{"to", target.to},
+              {{"to", target.address},
                {"epoch", std::to_string(leader_election_.epoch())},
-               {"why", std::string(to_string(target.why))}});
+               {"why", std::string(to_string(target.reason))}});
     const take_over_request request{.epoch = leader_election_.epoch(),
                                     .from =
                                         announced_address(process_.settings)};
     process_.client.send(
         {.method = "POST",
-         .url = "http://" + target.to + wire::rpc_path,
+         .url = "http://" + target.address + wire::rpc_path,
          .headers = {{"content-type", "application/json"}},
          .body = make_body(rpc_request(take_over_method, request)),
          .timeout = takeover_timeout},
         process_.on_control<http_result>(
-            [this, to = target.to](const http_result& result)
+            [this, to = target.address](const http_result& result)
             {
                 if (result.how != delivery::answered)
                 {
--- a/packages/jobs/include/springstair/detail/jobs/job.hpp
+++ b/packages/jobs/include/springstair/detail/jobs/job.hpp
@@ -107,7 +107,7 @@
 struct task_name
 {
     std::string job;
-    task_position at;
+    task_position position;
 
     auto operator<=>(const task_name&) const = default; // NOLINT
 
--- a/packages/jobs/include/springstair/detail/jobs/progress.hpp
+++ b/packages/jobs/include/springstair/detail/jobs/progress.hpp
@@ -9,7 +9,7 @@
 /// @brief Stored progress of one task of a job.
 struct task_progress
 {
-    task_position at;
+    task_position position;
     bool done = false;
     std::int64_t runs = 0;     ///< number of the newest run; 0: none yet
     std::int64_t failures = 0; ///< number of failed runs
--- a/packages/jobs/src/job.cpp
+++ b/packages/jobs/src/job.cpp
@@ -102,8 +102,8 @@
 
 std::string task_name::text() const
 {
-    return job + '.' + std::to_string(at.round) + '.' +
-           std::to_string(at.step) + '.' + std::to_string(at.index);
+    return job + '.' + std::to_string(position.round) + '.' +
+           std::to_string(position.step) + '.' + std::to_string(position.index);
 }
 
 std::optional<task_name> task_name::parse(std::string_view text)
@@ -116,8 +116,8 @@
     task_name name{.job = std::string(text.substr(0, dot))};
     const char* from = text.data() + dot + 1;
     const char* const end = text.data() + text.size();
-    const std::array<std::int64_t*, 3> parts{&name.at.round, &name.at.step,
-                                             &name.at.index};
+    const std::array<std::int64_t*, 3> parts{
+        &name.position.round, &name.position.step, &name.position.index};
     for (std::size_t part = 0; part < parts.size(); ++part)
     {
         const auto [stop, error] = std::from_chars(from, end, *parts[part]);
--- a/packages/jobs/src/progress.cpp
+++ b/packages/jobs/src/progress.cpp
@@ -10,9 +10,10 @@
 // size. Members that older versions do not write or read are last.
 json encode_task(const task_progress& task)
 {
-    json row = json::array({task.at.round, task.at.step, task.at.index,
-                            task.done ? 1 : 0, task.runs, task.failures,
-                            task.guard, task.executor.id, task.checkpoint});
+    json row = json::array({task.position.round, task.position.step,
+                            task.position.index, task.done ? 1 : 0, task.runs,
+                            task.failures, task.guard, task.executor.id,
+                            task.checkpoint});
     const bool has_losses = task.losses > 0;
     const bool has_start_time = task.executor.born_ms != 0 || has_losses;
     if (task.suspicion > 0 || has_start_time)
@@ -37,18 +38,19 @@
     const bool has_suspicion = row.size() > 11;
     const bool has_start_time = row.size() > 12;
     const bool has_losses = row.size() > 13;
-    return {.at = {.round = row.at(0), .step = row.at(1), .index = row.at(2)},
-            .done = row.at(3).get<int>() != 0,
-            .runs = row.at(4),
-            .failures = row.at(5),
-            .guard = row.at(6),
-            .executor = {row.at(7).get<std::string>(),
-                         has_start_time ? row.at(12).get<std::int64_t>() : 0},
-            .checkpoint = row.at(8),
-            .suspicion = has_suspicion ? row.at(9).get<std::int64_t>() : 0,
-            .crashes = has_suspicion ? row.at(10).get<std::int64_t>() : 0,
-            .judged_run = has_suspicion ? row.at(11).get<std::int64_t>() : 0,
-            .losses = has_losses ? row.at(13).get<std::int64_t>() : 0};
+    return {
+        .position = {.round = row.at(0), .step = row.at(1), .index = row.at(2)},
+        .done = row.at(3).get<int>() != 0,
+        .runs = row.at(4),
+        .failures = row.at(5),
+        .guard = row.at(6),
+        .executor = {row.at(7).get<std::string>(),
+                     has_start_time ? row.at(12).get<std::int64_t>() : 0},
+        .checkpoint = row.at(8),
+        .suspicion = has_suspicion ? row.at(9).get<std::int64_t>() : 0,
+        .crashes = has_suspicion ? row.at(10).get<std::int64_t>() : 0,
+        .judged_run = has_suspicion ? row.at(11).get<std::int64_t>() : 0,
+        .losses = has_losses ? row.at(13).get<std::int64_t>() : 0};
 }
 
 } // namespace
--- a/packages/scheduler/include/springstair/detail/scheduler/crash_suspicion.hpp
+++ b/packages/scheduler/include/springstair/detail/scheduler/crash_suspicion.hpp
@@ -42,13 +42,13 @@
     duration cleared_after = std::chrono::seconds(3);
     /// Maximum share of the workers that are closed for suspects at once; the
     /// others remain available to all other work.
-    double closed_share = 0.2;
+    double isolated_share = 0.2;
     /// Maximum time for which a worker is reserved for a suspect, until the
     /// other runs there are proven or have ended.
     duration max_isolation_wait = std::chrono::seconds(3);
     /// A suspect that has waited this long may close any worker, whatever the
     /// share: a job may have nothing running for at most three seconds.
-    duration closed_share_timeout = std::chrono::milliseconds(1500);
+    duration isolated_share_timeout = std::chrono::milliseconds(1500);
     /// Executors of a rack that were lost within this time of one another had a
     /// common cause, and no task is it. A poll of a crashed executor fails at
     /// once.
@@ -96,7 +96,7 @@
 struct lost_run_facts
 {
     std::int64_t suspicion = 0; ///< of its task, before this loss
-    duration at_work{0};        ///< how long polls had shown it running
+    duration run_time{0};       ///< how long polls had shown it running
     crash_scope scope = crash_scope::rack;
     bool beside_suspect = false; ///< an unproven suspect ran on the worker, too
 };
@@ -115,7 +115,7 @@
 is_likely_cause(const lost_run_facts& facts,
                 const suspicion_options& options) noexcept
 {
-    return facts.at_work < options.proven_after;
+    return facts.run_time < options.proven_after;
 }
 
 /// @brief Whether a run can have caused the loss at all.
@@ -123,7 +123,7 @@
 is_unproven(const lost_run_facts& facts,
             const suspicion_options& options) noexcept
 {
-    return facts.at_work < proof_time(facts.suspicion, options);
+    return facts.run_time < proof_time(facts.suspicion, options);
 }
 
 /// @brief Whether a run belongs to a suspect and can have caused the loss.
@@ -147,7 +147,7 @@
     {
         return is_strong || suspect ? 2 : 1;
     }
-    if (facts.at_work < options.surely_proven_after)
+    if (facts.run_time < options.surely_proven_after)
     {
         return (is_strong ? 1 : 0) + (suspect ? 1 : 0);
     }
--- a/packages/scheduler/include/springstair/detail/scheduler/entry_list.hpp
+++ b/packages/scheduler/include/springstair/detail/scheduler/entry_list.hpp
@@ -66,8 +66,8 @@
 /// @brief The entry that is to take over leadership.
 struct handover_target
 {
-    std::string to;
-    handover_reason why = handover_reason::stopping;
+    std::string address;
+    handover_reason reason = handover_reason::stopping;
 
     bool operator==(const handover_target&) const = default;
 };
@@ -139,7 +139,7 @@
     struct listed_entry
     {
         entry_heartbeat heartbeat;
-        time_point at{};
+        time_point received_at{};
     };
 
     void sort(time_point now);
--- a/packages/scheduler/include/springstair/detail/scheduler/fault_detector.hpp
+++ b/packages/scheduler/include/springstair/detail/scheduler/fault_detector.hpp
@@ -23,7 +23,7 @@
     double score_at_return = 4;
     /// Weight decay per end of a run in the general failure rate: about the
     /// last five hundred count, two seconds of 62 workers.
-    double memory = 0.998;
+    double decay = 0.998;
     /// Prior of that rate: this many ends with this share of failures.
     double assumed_ends = 20;
     double assumed_share = 0.02;
@@ -53,16 +53,17 @@
     /// @brief An executor's fault score after one more run ended there.
     [[nodiscard]] double fault_score_after(double fault_score, bool failed)
     {
-        const double sound = share();
+        const double general_share = share();
         const double weight =
-            failed ? std::log(options_.faulty_share / sound)
-                   : std::log((1 - options_.faulty_share) / (1 - sound));
+            failed
+                ? std::log(options_.faulty_share / general_share)
+                : std::log((1 - options_.faulty_share) / (1 - general_share));
         // Suspected executors are left out of the general rate: a faulty one is
         // free again at once and gets more runs than others.
         if (fault_score < options_.score_at_return)
         {
-            ends_ = ends_ * options_.memory + 1;
-            failures_ = failures_ * options_.memory + (failed ? 1 : 0);
+            ends_ = ends_ * options_.decay + 1;
+            failures_ = failures_ * options_.decay + (failed ? 1 : 0);
         }
         return std::max(0.0, fault_score + weight);
     }
--- a/packages/scheduler/include/springstair/detail/scheduler/interference_model.hpp
+++ b/packages/scheduler/include/springstair/detail/scheduler/interference_model.hpp
@@ -17,7 +17,7 @@
 {
     /// Weight decay of older samples per new sample: about the last five
     /// thousand count, a minute of 45 tasks of one image.
-    double memory = 0.9998;
+    double decay = 0.9998;
     /// Assumed interference of a pair without samples: the mean of the pairs of
     /// both sites. It spreads best-effort tasks of an unknown image.
     double default_interference = 1.0;
@@ -39,11 +39,11 @@
     /// Interference below this is not handed to a successor.
     double min_interference = 1.2;
     /// Iterations of the fit per sample; it starts from the last result.
-    int rounds = 2;
+    int fit_iterations = 2;
 };
 
 /// @brief A sample of a latency-critical task.
-struct serving_figure
+struct serving_sample
 {
     std::string task;
     std::string job;
@@ -71,7 +71,7 @@
     explicit interference_model(interference_model_options options = {});
 
     /// @brief Learns from a task's sample and the best-effort use beside it.
-    void observe(const serving_figure& figure, const fill_usage& beside,
+    void observe(const serving_sample& sample, const fill_usage& beside,
                  time_point now);
 
     /// @brief Headroom that a pair would cost if best-effort tasks of that
@@ -89,10 +89,10 @@
                                          const fill_usage& beside) const;
 
 private:
-    struct past_figure
+    struct past_sample
     {
-        time_point at;
-        headroom_sample figure;
+        time_point recorded_at;
+        headroom_sample sample;
     };
 
     /// Sums and result of one latency-critical image, by index of the
@@ -118,7 +118,7 @@
     interference_model_options options_;
     std::map<std::string, std::size_t> images_;
     std::map<std::string, fit> fits_;
-    std::map<std::string, past_figure> last_;          ///< by task
+    std::map<std::string, past_sample> last_;          ///< by task
     std::map<std::string, sibling_headroom> siblings_; ///< by job
     time_point next_cleaning_{};
 };
--- a/packages/scheduler/include/springstair/detail/scheduler/scheduler_core.hpp
+++ b/packages/scheduler/include/springstair/detail/scheduler/scheduler_core.hpp
@@ -245,7 +245,7 @@
     /// flight. The caller reports its result with advised().
     std::optional<advice_query> next_query(time_point now)
     {
-        return advice_.next_query(now);
+        return tickets_.next_query(now);
     }
     /// @brief Handles the answer to the query; nothing if there was none.
     void advised(const std::optional<advice_answer>& answer, time_point now);
@@ -369,19 +369,19 @@
     [[nodiscard]] static bool
     report_contradicts_refusal(const worker_report& report,
                                const refused_run& refusal);
-    void note_ends(worker_record& worker, const worker_report& report,
-                   time_point now);
-    void note_refusals(worker_record& worker, const worker_report& report,
-                       time_point now);
-    void note_running(worker_record& worker, const worker_report& report,
-                      guard_orders& out, time_point now);
+    void apply_ends(worker_record& worker, const worker_report& report,
+                    time_point now);
+    void apply_refusals(worker_record& worker, const worker_report& report,
+                        time_point now);
+    void process_running(worker_record& worker, const worker_report& report,
+                         guard_orders& out, time_point now);
     void log_orphan(const worker_record& worker, const running_task& running,
                     const job_task* task);
     void stop_unwanted_starts(const worker_record& worker,
                               const worker_report& report, guard_orders& out);
-    void note_progress(worker_record& worker, task_run& run,
-                       const job_step& step, const running_task& running,
-                       time_point now);
+    void update_progress(worker_record& worker, task_run& run,
+                         const job_step& step, const running_task& running,
+                         time_point now);
     void log_missing_run(const worker_record& worker,
                          const worker_report& report, task_run& run,
                          const std::string& task);
@@ -461,7 +461,7 @@
                                               const job_task& task,
                                               std::int64_t run);
     std::map<task_name, std::int64_t>
-    unproven_runs(const worker_record& worker);
+    likely_causes(const worker_record& worker);
     void
     raise_unwitnessed_suspicion(const worker_record& worker,
                                 const std::map<task_name, std::int64_t>& runs,
@@ -536,8 +536,8 @@
 
     scheduler_options options_;
     queue_table table_;
-    closure_tracker data_centres_;
-    fault_detector failures_;
+    closure_tracker closures_;
+    fault_detector fault_detector_;
     /// No starts are allowed: the list of closed data centres is stale.
     bool starts_withheld_ = false;
     std::int64_t epoch_ = 0;
@@ -547,7 +547,7 @@
     /// Jobs that may have tasks to place.
     std::set<std::string> placeable_jobs_;
     std::vector<std::string> dirty_; ///< jobs to write, oldest change first
-    std::set<std::string> is_dirty_;
+    std::set<std::string> dirty_ids_;
     /// By the guard of the worker whose capacity they free, and by job.
     std::map<std::string, std::map<std::string, uncommitted_end>>
         freed_by_guard_;
@@ -555,7 +555,7 @@
     time_point last_commit_{};
     worker_map workers_;
     interference_model interference_model_;
-    ticket_cache advice_;
+    ticket_cache tickets_;
     /// Of the present placement pass.
     infeasible_queries infeasible_queries_;
     /// When the newest long-running job was accepted.
--- a/packages/scheduler/include/springstair/detail/scheduler/sibling_headroom.hpp
+++ b/packages/scheduler/include/springstair/detail/scheduler/sibling_headroom.hpp
@@ -30,30 +30,31 @@
 {
 public:
     /// @brief Records a task's newest sample.
-    void note(const std::string& task, headroom_sample figure, time_point now);
+    void record(const std::string& task, headroom_sample sample,
+                time_point now);
     /// @brief Mean sample of the other tasks; nothing if they are too few.
     [[nodiscard]] std::optional<headroom_sample>
     mean_without(const std::string& task) const;
     /// @brief When a sample was last recorded.
-    [[nodiscard]] time_point noted() const noexcept
+    [[nodiscard]] time_point last_recorded() const noexcept
     {
-        return noted_;
+        return last_recorded_;
     }
 
 private:
     struct entry
     {
-        time_point at;
-        headroom_sample figure;
+        time_point recorded_at;
+        headroom_sample sample;
     };
 
-    void add(const headroom_sample& figure, double sign);
+    void add(const headroom_sample& sample, double sign);
     void forget_old(time_point now);
 
-    std::map<std::string, entry> of_; ///< by task
-    double headroom_ = 0;             ///< sum over all samples
-    fill_usage beside_;               ///< sum over all samples
-    time_point noted_{};
+    std::map<std::string, entry> samples_; ///< by task
+    double headroom_ = 0;                  ///< sum over all samples
+    fill_usage beside_;                    ///< sum over all samples
+    time_point last_recorded_{};
     time_point next_cleaning_{};
 };
 
--- a/packages/scheduler/include/springstair/detail/scheduler/ticket_cache.hpp
+++ b/packages/scheduler/include/springstair/detail/scheduler/ticket_cache.hpp
@@ -19,10 +19,10 @@
     std::size_t max_workers = 30;
     /// Remaining validity below which a ticket is not used: a start waits for
     /// the store and must travel to its worker.
-    duration reserve = std::chrono::milliseconds(400);
+    duration min_validity = std::chrono::milliseconds(400);
     /// Backoff before an unanswered query is repeated. Workers that were
     /// rejected are not queried again: the verdict does not change.
-    duration pause = std::chrono::milliseconds(300);
+    duration retry_backoff = std::chrono::milliseconds(300);
 };
 
 /// @brief Tickets of steps whose queue has an advice service.
@@ -60,9 +60,9 @@
     };
     struct step_record
     {
-        std::map<executor_incarnation, ticket> good;
+        std::map<executor_incarnation, ticket> tickets;
         /// Incarnations with a verdict, positive or not.
-        std::set<executor_incarnation> asked;
+        std::set<executor_incarnation> decided;
         /// To be queried; empty: none.
         std::vector<executor_incarnation> pending;
         time_point since{}; ///< when pending was filled
--- a/packages/scheduler/include/springstair/detail/scheduler/wait_report.hpp
+++ b/packages/scheduler/include/springstair/detail/scheduler/wait_report.hpp
@@ -56,7 +56,7 @@
     bool is_due(const std::string& group, time_point now, duration gap);
 
 private:
-    std::map<std::string, time_point> told_;
+    std::map<std::string, time_point> last_logged_;
     /// When entries of steps logged long ago are dropped.
     time_point next_cleaning_{};
 };
--- a/packages/scheduler/include/springstair/detail/scheduler/worker_ledger.hpp
+++ b/packages/scheduler/include/springstair/detail/scheduler/worker_ledger.hpp
@@ -30,7 +30,7 @@
     resources used;                     ///< by runs that may be there
     resources lasting_used;             ///< share of long-running tasks in it
     resources reserved;                 ///< for a waiting task
-    std::int64_t fill_cpu = 0;          ///< demand of its best-effort runs
+    std::int64_t fill_cpu_millis = 0;   ///< demand of its best-effort runs
     std::int64_t fill_runs = 0;         ///< number of best-effort runs
     std::set<task_name> assigned_tasks; ///< tasks whose newest run may be there
     /// Those of them whose run is not proven yet.
@@ -82,9 +82,9 @@
     std::map<std::string, std::int64_t> runs_of_step;
     /// Reserved runs of latency-critical tasks, by image.
     std::map<std::string, std::int64_t> serving_runs;
-    std::int64_t serving_cpu = 0; ///< reserved by latency-critical tasks
+    std::int64_t serving_cpu_millis = 0; ///< reserved by latency-critical tasks
     /// Processors demanded by best-effort runs, by image.
-    std::map<std::string, std::int64_t> fill_cpu_of;
+    std::map<std::string, std::int64_t> fill_cpu_millis_by_image;
     /// Paces of images that are throttled there.
     std::map<std::string, std::int64_t> paces;
     /// When the model last learnt from its samples.
--- a/packages/scheduler/src/entry_list.cpp
+++ b/packages/scheduler/src/entry_list.cpp
@@ -59,7 +59,7 @@
 {
     const auto [found, is_new] = entries_.try_emplace(heartbeat.address);
     is_sorted_ = is_sorted_ && !is_new && found->second.heartbeat == heartbeat;
-    found->second = {.heartbeat = heartbeat, .at = now};
+    found->second = {.heartbeat = heartbeat, .received_at = now};
 }
 
 void entry_list::clear()
@@ -75,9 +75,11 @@
     {
         return;
     }
-    std::erase_if(
-        entries_, [&](const auto& heartbeat)
-        { return now - heartbeat.second.at > options_.heartbeat_timeout; });
+    std::erase_if(entries_,
+                  [&](const auto& heartbeat) {
+                      return now - heartbeat.second.received_at >
+                             options_.heartbeat_timeout;
+                  });
     order_.clear();
     for (const auto& [address, entry] : entries_)
     {
--- a/packages/scheduler/src/interference_model.cpp
+++ b/packages/scheduler/src/interference_model.cpp
@@ -56,21 +56,21 @@
     return significant;
 }
 
-void interference_model::observe(const serving_figure& figure,
+void interference_model::observe(const serving_sample& sample,
                                  const fill_usage& beside, time_point now)
 {
     forget_old(now);
-    headroom_sample sample{.headroom = figure.headroom, .beside = beside};
-    sibling_headroom& siblings = siblings_[figure.job];
-    past_figure& previous = last_[figure.task];
-    const auto others = siblings.mean_without(figure.task);
-    const bool learned = others && compare(figure.image, *others, sample);
-    if (!learned && now - previous.at <= options_.max_gap)
+    headroom_sample current{.headroom = sample.headroom, .beside = beside};
+    sibling_headroom& siblings = siblings_[sample.job];
+    past_sample& previous = last_[sample.task];
+    const auto others = siblings.mean_without(sample.task);
+    const bool learned = others && compare(sample.image, *others, current);
+    if (!learned && now - previous.recorded_at <= options_.max_gap)
     {
-        compare(figure.image, previous.figure, sample);
+        compare(sample.image, previous.sample, current);
     }
-    previous = {.at = now, .figure = sample};
-    siblings.note(figure.task, std::move(sample), now);
+    previous = {.recorded_at = now, .sample = current};
+    siblings.record(sample.task, std::move(current), now);
 }
 
 // Learns from the difference of two samples under the same load. Returns false
@@ -99,10 +99,10 @@
     resize(estimate);
     for (std::size_t row = 0; row < estimate.harms.size(); ++row)
     {
-        estimate.targets[row] *= options_.memory;
+        estimate.targets[row] *= options_.decay;
         for (double& cell : estimate.products[row])
         {
-            cell *= options_.memory;
+            cell *= options_.decay;
         }
     }
     for (const auto& [row, row_change] : changes)
@@ -169,7 +169,7 @@
 void interference_model::solve(fit& estimate) const
 {
     const std::size_t size = estimate.harms.size();
-    for (int round = 0; round < options_.rounds; ++round)
+    for (int iteration = 0; iteration < options_.fit_iterations; ++iteration)
     {
         for (std::size_t row = 0; row < size; ++row)
         {
@@ -200,9 +200,9 @@
     }
     next_cleaning_ = now + retention;
     std::erase_if(last_, [now](const auto& entry)
-                  { return now - entry.second.at > retention; });
+                  { return now - entry.second.recorded_at > retention; });
     std::erase_if(siblings_, [now](const auto& entry)
-                  { return now - entry.second.noted() > retention; });
+                  { return now - entry.second.last_recorded() > retention; });
 }
 
 double
--- a/packages/scheduler/src/job_record.cpp
+++ b/packages/scheduler/src/job_record.cpp
@@ -123,7 +123,7 @@
             continue;
         }
         progress.tasks.push_back(
-            {.at = position_of(task),
+            {.position = position_of(task),
              .done = task.done,
              .runs = task.runs,
              .failures = task.failures,
@@ -144,7 +144,7 @@
     shown = state_;
     for (const task_progress& saved : progress.tasks)
     {
-        job_task* const task = find(saved.at);
+        job_task* const task = find(saved.position);
         if (task == nullptr)
         {
             continue;
--- a/packages/scheduler/src/placement.cpp
+++ b/packages/scheduler/src/placement.cpp
@@ -47,7 +47,7 @@
 double fill_capacity(const worker_record& worker,
                      const placement_options& options)
 {
-    const auto serving = static_cast<double>(worker.serving_cpu);
+    const auto serving = static_cast<double>(worker.serving_cpu_millis);
     return static_cast<double>(worker.description.capacity.cpu_millis) -
            options.serving_use * serving -
            (static_cast<double>(worker.used.cpu_millis) - serving);
@@ -72,7 +72,7 @@
         {
             continue;
         }
-        for (const auto& [filling, cpu] : worker.fill_cpu_of)
+        for (const auto& [filling, cpu] : worker.fill_cpu_millis_by_image)
         {
             cost +=
                 query.interference.interference_coefficient(serving, filling) *
@@ -103,8 +103,8 @@
     {
         return false;
     }
-    const auto asked =
-        static_cast<double>(worker.fill_cpu + query.step.demand.cpu_millis);
+    const auto asked = static_cast<double>(worker.fill_cpu_millis +
+                                           query.step.demand.cpu_millis);
     return asked <= fill_capacity(worker, options) &&
            min_headroom_with(worker, query, options)
                    .value_or(no_interference) >= options.min_headroom;
@@ -114,8 +114,8 @@
 double fill_pressure(const worker_record& worker, const placement_query& query,
                      const placement_options& options)
 {
-    const auto asked =
-        static_cast<double>(worker.fill_cpu + query.step.demand.cpu_millis);
+    const auto asked = static_cast<double>(worker.fill_cpu_millis +
+                                           query.step.demand.cpu_millis);
     const double headroom =
         min_headroom_with(worker, query, options).value_or(no_interference);
     return asked / std::max(fill_capacity(worker, options), 1.0) + 1 / headroom;
--- a/packages/scheduler/src/scheduler_closing.cpp
+++ b/packages/scheduler/src/scheduler_closing.cpp
@@ -11,10 +11,10 @@
 void scheduler_core::set_closed(const closed_data_centres& known,
                                 time_point now)
 {
-    const closing_change change = data_centres_.take(known);
+    const closing_change change = closures_.take(known);
     for (auto& [guard, worker] : workers_)
     {
-        worker.closed = data_centres_.is_closed(worker.description.data_centre);
+        worker.closed = closures_.is_closed(worker.description.data_centre);
     }
     may_place_ = may_place_ || !change.opened.empty();
     if (!is_ready_)
@@ -35,10 +35,10 @@
 bool scheduler_core::may_start(time_point now)
 {
     const bool was_withheld =
-        std::exchange(starts_withheld_, now >= data_centres_.starts_until());
+        std::exchange(starts_withheld_, now >= closures_.starts_until());
     if (starts_withheld_ && !was_withheld)
     {
-        const duration age = now - data_centres_.known_at();
+        const duration age = now - closures_.known_at();
         log_decision(event_id::starts_withheld,
                      {{"known_age_ms", std::to_string(to_milliseconds(age))}});
     }
@@ -50,7 +50,7 @@
 // closure that this leader does not know yet may take effect.
 std::int64_t scheduler_core::starts_until_ms(const worker_record& worker) const
 {
-    const time_point until = data_centres_.starts_until();
+    const time_point until = closures_.starts_until();
     if (until == time_point::max())
     {
         return worker.starts_until_ms;
@@ -77,13 +77,12 @@
 
 void scheduler_core::log_closure(const std::string& data_centre, time_point now)
 {
-    const duration age = now - data_centres_.known_at();
-    log_decision(
-        event_id::closure_in_force,
-        {{"data_centre", data_centre},
-         {"closed", data_centres_.is_closed(data_centre) ? "yes" : "no"},
-         {"known_age_ms", std::to_string(to_milliseconds(age))},
-         {"runs", std::to_string(runs_in(data_centre))}});
+    const duration age = now - closures_.known_at();
+    log_decision(event_id::closure_in_force,
+                 {{"data_centre", data_centre},
+                  {"closed", closures_.is_closed(data_centre) ? "yes" : "no"},
+                  {"known_age_ms", std::to_string(to_milliseconds(age))},
+                  {"runs", std::to_string(runs_in(data_centre))}});
 }
 
 } // namespace springstair
--- a/packages/scheduler/src/scheduler_core.cpp
+++ b/packages/scheduler/src/scheduler_core.cpp
@@ -17,18 +17,18 @@
 } // namespace
 
 scheduler_core::scheduler_core(scheduler_options options)
-    : options_(options), data_centres_(options.closing),
-      failures_(options.failures)
+    : options_(options), closures_(options.closing),
+      fault_detector_(options.failures)
 {
 }
 
 void scheduler_core::begin_term(std::int64_t epoch, time_point now)
 {
     const queue_table table = table_;
-    const closure_tracker closures = data_centres_;
+    const closure_tracker closures = closures_;
     *this = scheduler_core(options_);
     table_ = table;
-    data_centres_ = closures;
+    closures_ = closures;
     epoch_ = epoch;
     term_started_at_ = now;
 }
@@ -67,7 +67,7 @@
     {
         finish_if_done(*record, now);
     }
-    for (const std::string& data_centre : data_centres_.closed())
+    for (const std::string& data_centre : closures_.closed())
     {
         log_closure(data_centre, now);
     }
@@ -133,7 +133,8 @@
     const auto parsed = task_name::parse(name);
     job_record* const record = parsed ? job_of(parsed->job) : nullptr;
     return {.record = record,
-            .task = record == nullptr ? nullptr : record->find(parsed->at)};
+            .task =
+                record == nullptr ? nullptr : record->find(parsed->position)};
 }
 
 // Whether a run that a worker reports is the current run of its task.
@@ -156,7 +157,7 @@
     const std::string& id = record.definition().id;
     may_place_ = true;
     placeable_jobs_.insert(id);
-    if (record.change > record.committed_change && is_dirty_.insert(id).second)
+    if (record.change > record.committed_change && dirty_ids_.insert(id).second)
     {
         record.uncommitted_since = now;
         dirty_.push_back(id);
@@ -230,17 +231,17 @@
 
 scheduler_figures scheduler_core::figures() const
 {
-    scheduler_figures now = counts_;
-    now.jobs_open = std::count_if(jobs_.begin(), jobs_.end(),
+    scheduler_figures out = counts_;
+    out.jobs_open = std::count_if(jobs_.begin(), jobs_.end(),
                                   [](const auto& entry)
                                   { return !is_final(entry.second->state()); });
-    now.workers = static_cast<std::int64_t>(workers_.size());
-    for (const std::string& data_centre : data_centres_.closed())
+    out.workers = static_cast<std::int64_t>(workers_.size());
+    for (const std::string& data_centre : closures_.closed())
     {
-        ++now.closed_data_centres;
-        now.runs_in_closed += runs_in(data_centre);
+        ++out.closed_data_centres;
+        out.runs_in_closed += runs_in(data_centre);
     }
-    return now;
+    return out;
 }
 
 void scheduler_core::log_decision(event_id id, std::vector<event_field> fields)
--- a/packages/scheduler/src/scheduler_ends.cpp
+++ b/packages/scheduler/src/scheduler_ends.cpp
@@ -184,14 +184,14 @@
     }
     const bool failed = outcome == run_end::failed;
     worker.fault_score =
-        failures_.fault_score_after(worker.fault_score, failed);
+        fault_detector_.fault_score_after(worker.fault_score, failed);
     worker.failed_job = failed ? record.definition().id : worker.failed_job;
     if (worker.fault_score == 0)
     {
         worker.ejections = 0;
         worker.failed_job.clear();
     }
-    if (!failures_.is_faulty(worker.fault_score))
+    if (!fault_detector_.is_faulty(worker.fault_score))
     {
         return;
     }
@@ -201,14 +201,14 @@
             (std::int64_t{1} << std::min<std::int64_t>(worker.ejections, 4)));
     worker.ejected_until = now + ejection;
     ++worker.ejections;
-    log_decision(
-        event_id::worker_ejected,
-        {{"guard", worker.guard},
-         {"life", worker.description.executor.text()},
-         {"for_ms", std::to_string(to_milliseconds(ejection))},
-         {"fleet_fails_percent",
-          std::to_string(static_cast<int>(full_percent * failures_.share()))}});
-    worker.fault_score = failures_.fault_score_at_return();
+    log_decision(event_id::worker_ejected,
+                 {{"guard", worker.guard},
+                  {"life", worker.description.executor.text()},
+                  {"for_ms", std::to_string(to_milliseconds(ejection))},
+                  {"fleet_fails_percent",
+                   std::to_string(static_cast<int>(full_percent *
+                                                   fault_detector_.share()))}});
+    worker.fault_score = fault_detector_.fault_score_at_return();
 }
 
 void scheduler_core::finish(job_record& record, job_state state, time_point now,
@@ -239,8 +239,8 @@
     {
         for (std::int64_t step = 0; step < steps; ++step)
         {
-            advice_.forget(step_group(record.definition().id,
-                                      {.round = round, .step = step}));
+            tickets_.forget(step_group(record.definition().id,
+                                       {.round = round, .step = step}));
         }
     }
 }
--- a/packages/scheduler/src/scheduler_learning.cpp
+++ b/packages/scheduler/src/scheduler_learning.cpp
@@ -20,7 +20,7 @@
     }
     worker.last_sampled_at = now;
     fill_usage fill_use;
-    std::vector<serving_figure> figures;
+    std::vector<serving_sample> samples;
     for (const running_task& running : report.running)
     {
         const auto name = task_name::parse(running.task);
@@ -29,7 +29,7 @@
         {
             continue;
         }
-        const job_step& step = record->step_at(name->at);
+        const job_step& step = record->step_at(name->position);
         if (step.fills)
         {
             fill_use[step.image] +=
@@ -39,7 +39,7 @@
         }
         else if (step.latency_target_ms > 0 && running.load > 0)
         {
-            figures.push_back(
+            samples.push_back(
                 {.task = running.task,
                  .job = name->job,
                  .image = step.image,
@@ -48,14 +48,14 @@
         }
     }
     worker.headroom_alone.clear();
-    for (const serving_figure& figure : figures)
+    for (const serving_sample& sample : samples)
     {
-        interference_model_.observe(figure, fill_use, now);
+        interference_model_.observe(sample, fill_use, now);
         const double alone =
-            figure.headroom +
-            interference_model_.interference_of(figure.image, fill_use);
+            sample.headroom +
+            interference_model_.interference_of(sample.image, fill_use);
         const auto [found, is_new] =
-            worker.headroom_alone.try_emplace(figure.image, alone);
+            worker.headroom_alone.try_emplace(sample.image, alone);
         found->second = std::min(found->second, alone);
     }
     worker.best_effort_use = std::move(fill_use);
--- a/packages/scheduler/src/scheduler_losses.cpp
+++ b/packages/scheduler/src/scheduler_losses.cpp
@@ -31,7 +31,7 @@
         std::ranges::find(report.former, worker.description.executor,
                           &past_incarnation::executor) != report.former.end();
     auto suspects = is_witnessed ? std::map<task_name, std::int64_t>{}
-                                 : unproven_runs(worker);
+                                 : likely_causes(worker);
     const runs_after_restart runs =
         after_restart(worker.assigned_tasks, report);
     for (const task_name& name : runs.adopted)
@@ -59,7 +59,7 @@
     runs_after_restart out;
     for (const task_name& name : runs)
     {
-        const task_run& run = *job_of(name.job)->find(name.at)->run;
+        const task_run& run = *job_of(name.job)->find(name.position)->run;
         const std::string text = name.text();
         const bool is_same_executor =
             run.executor.id == report.worker.executor.id;
@@ -101,7 +101,7 @@
     for (const task_name& name : runs.in_doubt)
     {
         rebind_run(name, next, now);
-        task_run& run = *job_of(name.job)->find(name.at)->run;
+        task_run& run = *job_of(name.job)->find(name.position)->run;
         order_stop(run, name.text(), outbox_[worker.guard]);
     }
 }
@@ -111,7 +111,7 @@
                                 time_point now)
 {
     job_record& record = *job_of(name.job);
-    task_run& run = *record.find(name.at)->run;
+    task_run& run = *record.find(name.position)->run;
     run.executor = executor;
     run.seen = false;
     run.last_progress_at = now;
@@ -129,13 +129,13 @@
 
 // Run numbers, by task, of the runs that may have been starting at the crash.
 std::map<task_name, std::int64_t>
-scheduler_core::unproven_runs(const worker_record& worker)
+scheduler_core::likely_causes(const worker_record& worker)
 {
     std::map<task_name, std::int64_t> runs;
     for (const task_name& name : worker.assigned_tasks)
     {
-        const task_run& run = *job_of(name.job)->find(name.at)->run;
-        if (is_likely_cause({.at_work = observed_run_time(run)},
+        const task_run& run = *job_of(name.job)->find(name.position)->run;
+        if (is_likely_cause({.run_time = observed_run_time(run)},
                             options_.suspicion))
         {
             runs.emplace(name, run.number);
@@ -156,7 +156,7 @@
     for (const auto& [name, run] : runs)
     {
         job_record& record = *job_of(name.job);
-        const job_task& task = *record.find(name.at);
+        const job_task& task = *record.find(name.position);
         if (is_loss_counted(record, task, run))
         {
             continue;
@@ -228,7 +228,7 @@
     std::set<task_name> seen_running;
     for (const task_name& name : worker.assigned_tasks)
     {
-        const task_run& run = *job_of(name.job)->find(name.at)->run;
+        const task_run& run = *job_of(name.job)->find(name.position)->run;
         if (run.seen || lists_running(report, name.text(), run.number))
         {
             seen_running.insert(name);
@@ -271,7 +271,7 @@
     std::set<task_name> other_incarnation;
     for (const task_name& name : tasks)
     {
-        task_run& run = *job_of(name.job)->find(name.at)->run;
+        task_run& run = *job_of(name.job)->find(name.position)->run;
         run.ordered = true;
         if (!run.executor.may_be(worker.description.executor))
         {
@@ -306,7 +306,7 @@
     {
         for (const task_name& name : names)
         {
-            const task_run& run = *job_of(name.job)->find(name.at)->run;
+            const task_run& run = *job_of(name.job)->find(name.position)->run;
             const bool is_witnessed =
                 std::ranges::find(report.former, run.executor,
                                   &past_incarnation::executor) !=
@@ -324,12 +324,12 @@
                                time_point now)
 {
     job_record& record = *job_of(name.job);
-    task_run& run = *record.find(name.at)->run;
+    task_run& run = *record.find(name.position)->run;
     run.last_progress_at = now;
     run.ordered_at = now;
     run.stopping = is_final(record.state());
-    reserve(worker, record.step_at(name.at), name);
-    register_suspect(worker, *record.find(name.at), name);
+    reserve(worker, record.step_at(name.position), name);
+    register_suspect(worker, *record.find(name.position), name);
 }
 
 // Until a suspect is proven, other tasks avoid its worker where possible;
@@ -359,7 +359,7 @@
     for (const task_name& name : lost)
     {
         job_record& record = *job_of(name.job);
-        job_task& task = *record.find(name.at);
+        job_task& task = *record.find(name.position);
         const task_run& run = *task.run;
         log_decision(event_id::run_lost,
                      {{"task", name.text()},
@@ -415,7 +415,7 @@
             continue;
         }
         lost_run_facts facts{.suspicion = task->suspicion,
-                             .at_work =
+                             .run_time =
                                  std::chrono::milliseconds(begun.at_work_ms),
                              .scope = scope};
         const bool is_suspect = is_unproven_suspect(facts, options_.suspicion);
@@ -448,7 +448,7 @@
         const job_task* const task = find_task(begun.task).task;
         const lost_run_facts facts{
             .suspicion = task == nullptr ? 0 : task->suspicion,
-            .at_work = std::chrono::milliseconds(begun.at_work_ms)};
+            .run_time = std::chrono::milliseconds(begun.at_work_ms)};
         neighbours.unproven += is_unproven(facts, options_.suspicion) ? 1 : 0;
         neighbours.suspects +=
             is_unproven_suspect(facts, options_.suspicion) ? 1 : 0;
@@ -461,7 +461,7 @@
                              time_point now)
 {
     job_record& record = *job_of(name.job);
-    job_task& task = *record.find(name.at);
+    job_task& task = *record.find(name.position);
     task.suspicion += count.added;
     task.crashes += count.is_confirmed ? 1 : 0;
     ++task.losses;
@@ -506,14 +506,14 @@
                                                job_task& task,
                                                const task_name& name)
 {
-    const duration at_work = observed_run_time(*task.run);
-    if (at_work >= proof_time(task.suspicion, options_.suspicion) &&
+    const duration run_time = observed_run_time(*task.run);
+    if (run_time >= proof_time(task.suspicion, options_.suspicion) &&
         worker.unproven.contains(name))
     {
         may_place_ = may_place_ || worker.isolated_suspect == name;
         end_isolation(worker, name);
     }
-    if (at_work >= options_.suspicion.cleared_after)
+    if (run_time >= options_.suspicion.cleared_after)
     {
         task.suspicion = 0;
         task.crashes = 0;
--- a/packages/scheduler/src/scheduler_moves.cpp
+++ b/packages/scheduler/src/scheduler_moves.cpp
@@ -42,8 +42,8 @@
                                     const std::string& image)
 {
     job_record& record = *job_of(name.job);
-    const job_step& step = record.step_at(name.at);
-    const task_run& run = *record.find(name.at)->run;
+    const job_step& step = record.step_at(name.position);
+    const task_run& run = *record.find(name.position)->run;
     const queue_row* const queue = table_.queue(record.definition().queue);
     return step.fills && step.checkpoints && step.image == image && run.seen &&
            !run.stopping && queue != nullptr && !queue->advice;
@@ -54,11 +54,11 @@
                                       time_point now)
 {
     const job_record& record = *job_of(name.job);
-    const std::string group = step_group(name.job, name.at);
+    const std::string group = step_group(name.job, name.position);
     const std::set<std::string> current_guard{worker.guard};
     const worker_record* const other = choose_worker(
         workers_,
-        {.step = record.step_at(name.at),
+        {.step = record.step_at(name.position),
          .service = table_.queue(record.definition().queue)->service,
          .group = group,
          .avoided = current_guard,
@@ -72,7 +72,7 @@
                               const worker_record& worker, std::int64_t pace,
                               guard_orders& out, time_point now)
 {
-    job_task& task = *job_of(name.job)->find(name.at);
+    job_task& task = *job_of(name.job)->find(name.position);
     order_stop(*task.run, name.text(), out);
     task.departed = departed_worker{.guard = worker.guard,
                                     .until = now + options_.return_backoff};
@@ -140,8 +140,8 @@
     for (const task_name& name : worker.assigned_tasks)
     {
         job_record& record = *job_of(name.job);
-        const job_step& step = record.step_at(name.at);
-        if (step.lasting && record.find(name.at)->run->stopping)
+        const job_step& step = record.step_at(name.position);
+        if (step.lasting && record.find(name.position)->run->stopping)
         {
             capacity += reserved_by(step);
         }
@@ -154,8 +154,8 @@
 bool scheduler_core::is_preemptible(const task_name& name)
 {
     job_record& record = *job_of(name.job);
-    const job_step& step = record.step_at(name.at);
-    const task_run& run = *record.find(name.at)->run;
+    const job_step& step = record.step_at(name.position);
+    const task_run& run = *record.find(name.position)->run;
     const queue_row* const queue = table_.queue(record.definition().queue);
     if (!step.lasting || step.gang || !run.seen || run.stopping ||
         queue == nullptr || queue->advice)
@@ -163,7 +163,8 @@
         return false;
     }
     const auto missing = std::ranges::count_if(
-        record.tasks_of(name.at.round, name.at.step), [](const job_task& task)
+        record.tasks_of(name.position.round, name.position.step),
+        [](const job_task& task)
         { return !task.run || !task.run->seen || task.run->stopping; });
     return step.most_missing == 0 || missing < step.most_missing;
 }
@@ -183,9 +184,9 @@
     for (const task_name& name : worker.assigned_tasks)
     {
         job_record& record = *job_of(name.job);
-        task_run& run = *record.find(name.at)->run;
+        task_run& run = *record.find(name.position)->run;
         if (run.seen && !run.stopping &&
-            (is_due || record.step_at(name.at).lasting))
+            (is_due || record.step_at(name.position).lasting))
         {
             order_stop(run, name.text(), out);
         }
--- a/packages/scheduler/src/scheduler_placing.cpp
+++ b/packages/scheduler/src/scheduler_placing.cpp
@@ -162,14 +162,14 @@
     {
         executors.push_back(worker->description.executor);
     }
-    advice_.request_tickets(group, executors, now);
-    return advice_.tickets(group, now);
+    tickets_.request_tickets(group, executors, now);
+    return tickets_.tickets(group, now);
 }
 
 void scheduler_core::advised(const std::optional<advice_answer>& answer,
                              time_point now)
 {
-    advice_.on_answer(answer, now);
+    tickets_.on_answer(answer, now);
     may_place_ = true;
 }
 
@@ -294,10 +294,10 @@
     }
     const suspicion_options& options = options_.suspicion;
     const auto max_isolated = std::max<std::size_t>(
-        1, static_cast<std::size_t>(options.closed_share *
+        1, static_cast<std::size_t>(options.isolated_share *
                                     static_cast<double>(workers_.size())));
     if (isolated_workers_ >= max_isolated &&
-        query.now - ready_since < options.closed_share_timeout)
+        query.now - ready_since < options.isolated_share_timeout)
     {
         return nullptr;
     }
@@ -321,7 +321,7 @@
     job_record* const record = job_of(worker.reserved_for->job);
     return now < worker.reserved_until && worker.answering &&
            record != nullptr && !is_final(record->state()) &&
-           record->find(worker.reserved_for->at)->is_waiting();
+           record->find(worker.reserved_for->position)->is_waiting();
 }
 
 // Reserves workers for tasks that no worker can take now. Otherwise the tasks
--- a/packages/scheduler/src/scheduler_reports.cpp
+++ b/packages/scheduler/src/scheduler_reports.cpp
@@ -52,7 +52,7 @@
         on_executor_restart(worker, report, now);
         worker.description = report.worker;
         worker.witness_incarnation = report.incarnation;
-        worker.closed = data_centres_.is_closed(worker.description.data_centre);
+        worker.closed = closures_.is_closed(worker.description.data_centre);
         adopt_inherited(worker, report, now);
         judge_crashes(worker, report, now);
     }
@@ -68,12 +68,12 @@
     {
         if (!worker.lease_must_expire)
         {
-            note_ends(worker, report, now);
+            apply_ends(worker, report, now);
         }
-        note_refusals(worker, report, now);
+        apply_refusals(worker, report, now);
         if (report.whole)
         {
-            note_running(worker, report, answer.orders, now);
+            process_running(worker, report, answer.orders, now);
             stop_unwanted_starts(worker, report, answer.orders);
             learn_interference(worker, report, now);
             answer.harms = interference_at(worker);
@@ -138,8 +138,8 @@
     return worker;
 }
 
-void scheduler_core::note_ends(worker_record& worker,
-                               const worker_report& report, time_point now)
+void scheduler_core::apply_ends(worker_record& worker,
+                                const worker_report& report, time_point now)
 {
     for (const ended_task& end : report.ended)
     {
@@ -198,8 +198,8 @@
                report.starting.end();
 }
 
-void scheduler_core::note_refusals(worker_record& worker,
-                                   const worker_report& report, time_point now)
+void scheduler_core::apply_refusals(worker_record& worker,
+                                    const worker_report& report, time_point now)
 {
     for (const refused_run& refusal : report.refused)
     {
@@ -218,7 +218,7 @@
                       {"reason", refusal.reason}});
         if (refusal.reason == no_ticket_reason)
         {
-            advice_.on_refused(
+            tickets_.on_refused(
                 step_group(record->definition().id, record->position_of(*task)),
                 worker.description.executor);
         }
@@ -227,9 +227,9 @@
     }
 }
 
-void scheduler_core::note_running(worker_record& worker,
-                                  const worker_report& report,
-                                  guard_orders& out, time_point now)
+void scheduler_core::process_running(worker_record& worker,
+                                     const worker_report& report,
+                                     guard_orders& out, time_point now)
 {
     for (const running_task& running : report.running)
     {
@@ -247,8 +247,8 @@
         {
             task->checkpoint = running.checkpoint;
         }
-        note_progress(worker, *task->run, record->step_at(position), running,
-                      now);
+        update_progress(worker, *task->run, record->step_at(position), running,
+                        now);
         task->run->last_seen =
             std::max(task->run->last_seen,
                      now - std::chrono::milliseconds(report.lists_age_ms));
@@ -313,9 +313,10 @@
 
 // Records progress. A run without progress is stopped, and its task runs
 // elsewhere.
-void scheduler_core::note_progress(worker_record& worker, task_run& run,
-                                   const job_step& step,
-                                   const running_task& running, time_point now)
+void scheduler_core::update_progress(worker_record& worker, task_run& run,
+                                     const job_step& step,
+                                     const running_task& running,
+                                     time_point now)
 {
     run.seen = true;
     run.repeats = 0;
@@ -348,7 +349,7 @@
                                    now - run.last_progress_at))}});
     if (const auto name = task_name::parse(running.task))
     {
-        job_of(name->job)->find(name->at)->avoided.insert(worker.guard);
+        job_of(name->job)->find(name->position)->avoided.insert(worker.guard);
     }
 }
 
@@ -368,7 +369,7 @@
     for (const task_name& name : worker.assigned_tasks)
     {
         job_record& record = *job_of(name.job);
-        job_task& task = *record.find(name.at);
+        job_task& task = *record.find(name.position);
         task_run& run = *task.run;
         const std::string text = name.text();
         const bool due =
--- a/packages/scheduler/src/scheduler_writing.cpp
+++ b/packages/scheduler/src/scheduler_writing.cpp
@@ -179,7 +179,7 @@
     for (const std::string& id : jobs)
     {
         job_record& record = *job_of(id);
-        is_dirty_.erase(id);
+        dirty_ids_.erase(id);
         record.urgent_commit = false;
         record.sent = record.state();
         record.required_changes.clear();
--- a/packages/scheduler/src/sibling_headroom.cpp
+++ b/packages/scheduler/src/sibling_headroom.cpp
@@ -8,40 +8,41 @@
 
 // An older sample belongs to a different load: the load swings over about ten
 // seconds, and samples arrive twice a second.
-constexpr duration max_figure_age = std::chrono::milliseconds(700);
+constexpr duration max_sample_age = std::chrono::milliseconds(700);
 // The mean of fewer siblings reflects these tasks more than the common load.
 constexpr std::size_t min_others = 2;
 
 } // namespace
 
-void sibling_headroom::note(const std::string& task, headroom_sample figure,
-                            time_point now)
+void sibling_headroom::record(const std::string& task, headroom_sample sample,
+                              time_point now)
 {
-    noted_ = now;
+    last_recorded_ = now;
     forget_old(now);
-    const auto [found, is_new] = of_.try_emplace(task);
+    const auto [found, is_new] = samples_.try_emplace(task);
     if (!is_new)
     {
-        add(found->second.figure, -1);
+        add(found->second.sample, -1);
     }
-    found->second = {.at = now, .figure = std::move(figure)};
-    add(found->second.figure, 1);
+    found->second = {.recorded_at = now, .sample = std::move(sample)};
+    add(found->second.sample, 1);
 }
 
 std::optional<headroom_sample>
 sibling_headroom::mean_without(const std::string& task) const
 {
-    const auto own = of_.find(task);
-    const std::size_t others = of_.size() - (own == of_.end() ? 0 : 1);
+    const auto own = samples_.find(task);
+    const std::size_t others =
+        samples_.size() - (own == samples_.end() ? 0 : 1);
     if (others < min_others)
     {
         return std::nullopt;
     }
     headroom_sample mean{.headroom = headroom_, .beside = beside_};
-    if (own != of_.end())
+    if (own != samples_.end())
     {
-        mean.headroom -= own->second.figure.headroom;
-        for (const auto& [filling, use] : own->second.figure.beside)
+        mean.headroom -= own->second.sample.headroom;
+        for (const auto& [filling, use] : own->second.sample.beside)
         {
             mean.beside[filling] -= use;
         }
@@ -55,10 +56,10 @@
     return mean;
 }
 
-void sibling_headroom::add(const headroom_sample& figure, double sign)
+void sibling_headroom::add(const headroom_sample& sample, double sign)
 {
-    headroom_ += sign * figure.headroom;
-    for (const auto& [filling, use] : figure.beside)
+    headroom_ += sign * sample.headroom;
+    for (const auto& [filling, use] : sample.beside)
     {
         beside_[filling] += sign * use;
     }
@@ -70,18 +71,18 @@
     {
         return;
     }
-    next_cleaning_ = now + max_figure_age / 2;
-    for (auto entry = of_.begin(); entry != of_.end();)
+    next_cleaning_ = now + max_sample_age / 2;
+    for (auto entry = samples_.begin(); entry != samples_.end();)
     {
-        if (now - entry->second.at <= max_figure_age)
+        if (now - entry->second.recorded_at <= max_sample_age)
         {
             ++entry;
             continue;
         }
-        add(entry->second.figure, -1);
-        entry = of_.erase(entry);
+        add(entry->second.sample, -1);
+        entry = samples_.erase(entry);
     }
-    if (of_.empty())
+    if (samples_.empty())
     {
         headroom_ = 0; // discards accumulated rounding errors
         beside_.clear();
--- a/packages/scheduler/src/ticket_cache.cpp
+++ b/packages/scheduler/src/ticket_cache.cpp
@@ -13,9 +13,9 @@
     {
         return valid;
     }
-    for (const auto& [executor, ticket] : found->second.good)
+    for (const auto& [executor, ticket] : found->second.tickets)
     {
-        if (now + options_.reserve < ticket.until)
+        if (now + options_.min_validity < ticket.until)
         {
             valid.emplace(executor, ticket.text);
         }
@@ -37,11 +37,12 @@
     record.since = now;
     for (const executor_incarnation& executor : executors)
     {
-        const auto ticket = record.good.find(executor);
-        const bool is_valid = ticket != record.good.end() &&
-                              now + options_.reserve < ticket->second.until;
+        const auto ticket = record.tickets.find(executor);
+        const bool is_valid =
+            ticket != record.tickets.end() &&
+            now + options_.min_validity < ticket->second.until;
         const bool was_denied =
-            ticket == record.good.end() && record.asked.contains(executor);
+            ticket == record.tickets.end() && record.decided.contains(executor);
         if (!is_valid && !was_denied &&
             record.pending.size() < options_.max_workers)
         {
@@ -89,7 +90,7 @@
         return; // forgotten in the meantime
     }
     step_record& record = found->second;
-    record.not_before = answer ? time_point{} : now + options_.pause;
+    record.not_before = answer ? time_point{} : now + options_.retry_backoff;
     if (!answer)
     {
         return;
@@ -98,12 +99,12 @@
         sent_at_ + std::chrono::milliseconds(answer->valid_ms);
     for (const executor_incarnation& executor : query.executors)
     {
-        record.asked.insert(executor);
-        record.good.erase(executor);
+        record.decided.insert(executor);
+        record.tickets.erase(executor);
     }
     for (const auto& [executor, text] : answer->tickets)
     {
-        record.good[executor] = {.text = text, .until = until};
+        record.tickets[executor] = {.text = text, .until = until};
     }
 }
 
@@ -113,8 +114,8 @@
     const auto found = steps_.find(step);
     if (found != steps_.end())
     {
-        found->second.good.erase(executor);
-        found->second.asked.erase(executor);
+        found->second.tickets.erase(executor);
+        found->second.decided.erase(executor);
     }
 }
 
--- a/packages/scheduler/src/wait_report.cpp
+++ b/packages/scheduler/src/wait_report.cpp
@@ -104,10 +104,10 @@
     if (now >= next_cleaning_)
     {
         next_cleaning_ = now + gap;
-        std::erase_if(told_, [&](const auto& entry)
+        std::erase_if(last_logged_, [&](const auto& entry)
                       { return now - entry.second >= gap; });
     }
-    const auto [found, is_new] = told_.try_emplace(group, now);
+    const auto [found, is_new] = last_logged_.try_emplace(group, now);
     const bool due = is_new || now - found->second >= gap;
     if (due)
     {
--- a/packages/scheduler/src/worker_ledger.cpp
+++ b/packages/scheduler/src/worker_ledger.cpp
@@ -58,16 +58,17 @@
 void update_counts(worker_record& worker, const job_step& step,
                    const task_name& task, int sign)
 {
-    add(worker.runs_of_step, step_group(task.job, task.at), sign);
+    add(worker.runs_of_step, step_group(task.job, task.position), sign);
     if (step.fills)
     {
-        worker.fill_cpu += sign * step.demand.cpu_millis;
+        worker.fill_cpu_millis += sign * step.demand.cpu_millis;
         worker.fill_runs += sign;
-        add(worker.fill_cpu_of, step.image, sign * step.demand.cpu_millis);
+        add(worker.fill_cpu_millis_by_image, step.image,
+            sign * step.demand.cpu_millis);
     }
     if (step.latency_target_ms > 0)
     {
-        worker.serving_cpu += sign * step.demand.cpu_millis;
+        worker.serving_cpu_millis += sign * step.demand.cpu_millis;
         add(worker.serving_runs, step.image, sign);
     }
 }
--- a/tests/unit/adapter_tests.cpp
+++ b/tests/unit/adapter_tests.cpp
@@ -539,13 +539,13 @@
 {
     const job_progress kept{
         .state = job_state::running,
-        .tasks = {{.at = {.step = 1, .index = 2},
+        .tasks = {{.position = {.step = 1, .index = 2},
                    .runs = 3,
                    .failures = 1,
                    .guard = "g",
                    .executor = "l",
                    .checkpoint = "c"},
-                  {.at = {.round = 1}, .done = true, .runs = 1}}};
+                  {.position = {.round = 1}, .done = true, .runs = 1}}};
     CHECK(decode_progress(encode(kept)) == kept);
     CHECK_THROWS_AS(decode_progress("{}"), document_error);
 }
--- a/tests/unit/entry_list_tests.cpp
+++ b/tests/unit/entry_list_tests.cpp
@@ -106,8 +106,8 @@
     std::set<std::string> asked;
     while (const auto next = list.next_handover(draining, now))
     {
-        asked.insert(next->to);
-        list.note_declined(next->to, now);
+        asked.insert(next->address);
+        list.note_declined(next->address, now);
     }
     // Without max_declined, a leader offered leadership to 95 of 184 entries
     // within 1.5 s of a store outage.
--- a/tests/unit/freed_capacity_tests.cpp
+++ b/tests/unit/freed_capacity_tests.cpp
@@ -64,7 +64,8 @@
             {
                 const job& definition = harness_.accepted.at(id);
                 used[one.guard] +=
-                    definition.steps[static_cast<std::size_t>(one.at.step)]
+                    definition
+                        .steps[static_cast<std::size_t>(one.position.step)]
                         .demand;
             }
         }
--- a/tests/unit/interference_model_tests.cpp
+++ b/tests/unit/interference_model_tests.cpp
@@ -12,8 +12,8 @@
 namespace
 {
 
-// A headroom figure of the only task of its job.
-serving_figure figure_of(const std::string& task, double headroom)
+// A headroom sample of the only task of its job.
+serving_sample sample_of(const std::string& task, double headroom)
 {
     return {.task = task, .job = task, .image = "s", .headroom = headroom};
 }
@@ -41,7 +41,7 @@
         // The task's own load varies slowly.
         const double alone = 3.5 + std::sin(count / 6.0);
         const double cost = beside.contains("b") ? 5 * beside.at("b") : 0.0;
-        model.observe(figure_of("task", alone - cost + noise(random)), beside,
+        model.observe(sample_of("task", alone - cost + noise(random)), beside,
                       now);
     }
     CHECK(model.interference_coefficient("s", "b") > 4);
@@ -127,7 +127,7 @@
     interference_model model;
     const time_point now{std::chrono::hours(1)};
     CHECK(model.interference_coefficient("s", "f") == 1); // assumed
-    model.observe(figure_of("task", 2), {}, now);
+    model.observe(sample_of("task", 2), {}, now);
     CHECK(model.interference_coefficient("s", "f") == 1);
     CHECK(model.known().empty());
 }
@@ -139,14 +139,14 @@
     for (int count = 0; count < 20; ++count)
     {
         now += std::chrono::seconds(2);
-        model.observe(figure_of("task", count % 2 == 0 ? 3 : 1),
+        model.observe(sample_of("task", count % 2 == 0 ? 3 : 1),
                       {{"f", count % 2 == 0 ? 0.0 : 0.3}}, now);
     }
     CHECK(model.interference_coefficient("s", "f") == 1);
     for (int count = 0; count < 20; ++count)
     {
         now += std::chrono::milliseconds(500);
-        model.observe(figure_of("other", 0.1),
+        model.observe(sample_of("other", 0.1),
                       {{"f", count % 2 == 0 ? 0.0 : 0.3}}, now);
     }
     CHECK(model.interference_coefficient("s", "f") == 1);
@@ -159,7 +159,7 @@
     for (int count = 0; count < 50; ++count)
     {
         now += std::chrono::milliseconds(500);
-        model.observe(figure_of("task", count % 2 == 0 ? 3 : 1),
+        model.observe(sample_of("task", count % 2 == 0 ? 3 : 1),
                       {{"f" + std::to_string(count), 0.3}}, now);
     }
     CHECK(model.interference_coefficient("s", "f49") == 1); // assumed
--- a/tests/unit/job_simulation_guards.cpp
+++ b/tests/unit/job_simulation_guards.cpp
@@ -338,7 +338,7 @@
 {
     const auto name = *task_name::parse(task);
     const job_step& definition =
-        jobs_.at(name.job).steps[static_cast<std::size_t>(name.at.step)];
+        jobs_.at(name.job).steps[static_cast<std::size_t>(name.position.step)];
     runs_.push_back({.task = task,
                      .run = run,
                      .executor = executor.incarnation.text(),
@@ -382,7 +382,7 @@
 {
     const job& of = jobs_.at(name.job);
     for (const std::size_t before :
-         of.steps[static_cast<std::size_t>(name.at.step)].after)
+         of.steps[static_cast<std::size_t>(name.position.step)].after)
     {
         for (std::int64_t index = 0; index < of.steps[before].count; ++index)
         {
