--- a/packages/jobs/include/springstair/detail/jobs/executor_incarnation.hpp
+++ b/packages/jobs/include/springstair/detail/jobs/executor_incarnation.hpp
@@ -11,10 +11,10 @@
 
 /// @brief One incarnation of an executor.
 ///
-/// An executor may restart with the same id. It then has no runs and no memory,
+/// An executor may restart with the same id. It then has no runs and no state,
 /// and its counters start again: the numbers of its ends and heartbeats, its
 /// clock, the highest epoch that it has seen. Calls name an executor by its id
-/// alone, so a call meant for one incarnation can reach the next; only an
+/// alone, so a call meant for one incarnation can reach the next. Only an
 /// executor's description of itself and its lists of runs show which
 /// incarnation answers.
 struct executor_incarnation
--- a/packages/jobs/include/springstair/detail/jobs/job.hpp
+++ b/packages/jobs/include/springstair/detail/jobs/job.hpp
@@ -11,14 +11,14 @@
 namespace springstair
 {
 
-/// @brief One step of a job: a number of equal tasks.
+/// @brief One step of a job: a number of identical tasks.
 struct job_step
 {
     std::int64_t count = 0;
     resources demand; ///< of each task
     /// The caller's estimate of a task's run time.
     std::int64_t estimate_ms = 0;
-    std::vector<std::size_t> after;   ///< steps that must be done before
+    std::vector<std::size_t> after;   ///< indices of steps to be done first
     bool gang = false;                ///< the tasks must run at the same time
     bool same_rack = false;           ///< a gang that runs slower across racks
     std::string label;                ///< a worker must have it; empty: none
@@ -31,8 +31,8 @@
     std::int64_t latency_target_ms = 0;
     /// Best-effort: uses processors left over by others, reserves none.
     bool fills = false;
-    /// Maximum number of its long-running tasks that may be missing when one is
-    /// preempted; 0: no bound.
+    /// Maximum number of its long-running tasks that may be missing, including
+    /// the one that is being preempted; 0: no bound.
     std::int64_t most_missing = 0;
     bool checkpoints = false; ///< a stopped run can be resumed
 
--- a/packages/jobs/include/springstair/detail/jobs/queue_table.hpp
+++ b/packages/jobs/include/springstair/detail/jobs/queue_table.hpp
@@ -9,8 +9,8 @@
 namespace springstair
 {
 
-/// @brief Response times of the service that decides which workers may run a
-/// queue's steps.
+/// @brief Timings of the service that decides which workers may run a queue's
+/// steps.
 struct advice_terms
 {
     std::int64_t decide_ms = 0; ///< time for one query
@@ -24,11 +24,11 @@
 struct queue_row
 {
     std::string name;
-    std::string host;          ///< host of the callers' requests
-    std::string path_prefix;   ///< prefix of their path
-    std::string service;       ///< the pool of workers that runs it
-    std::int64_t priority = 0; ///< 0 is the most urgent
-    std::int64_t most_attempts = 1;
+    std::string host;               ///< host of the callers' requests
+    std::string path_prefix;        ///< prefix of their path
+    std::string service;            ///< the pool of workers that runs it
+    std::int64_t priority = 0;      ///< 0 is the most urgent
+    std::int64_t most_attempts = 1; ///< failures of a task that fail its job
     /// Latency objective: stretch times a job's critical path, plus target_ms.
     double stretch = 1;
     std::int64_t target_ms = 0;  ///< see stretch
--- a/packages/jobs/include/springstair/detail/jobs/worker_messages.hpp
+++ b/packages/jobs/include/springstair/detail/jobs/worker_messages.hpp
@@ -14,7 +14,7 @@
 // Description of a worker
 // ---------------------------------------------------------------------------
 
-/// @brief One incarnation of the executor beside a guard.
+/// @brief One incarnation of the executor of a guard.
 struct worker_description
 {
     executor_incarnation executor; ///< empty: none is known
@@ -29,7 +29,8 @@
     bool operator==(const worker_description&) const = default;
 };
 
-/// @brief Progress of a task that is done, or of a long-running task at work.
+/// @brief Progress of a task that is done, or of a long-running task that is
+/// running normally.
 inline constexpr std::int64_t full_percent = 100;
 
 /// @brief A run that a worker executes.
@@ -89,7 +90,7 @@
 };
 
 // ---------------------------------------------------------------------------
-// Guard to scheduler
+// Guard to leader
 // ---------------------------------------------------------------------------
 
 /// @brief A run that had begun, or may have, when the incarnation of its
@@ -143,8 +144,8 @@
 
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(guard_admission, epoch, number)
 
-/// @brief A guard's report. Its lists are complete: what is missing from a list
-/// is not there.
+/// @brief A guard's report. If looked and whole are set, its lists are
+/// complete: a run or an end that is not listed is not at the worker.
 struct worker_report
 {
     std::string guard;
@@ -176,7 +177,8 @@
     std::vector<running_task> running;
     std::vector<ended_task> ended;
     std::vector<refused_run> refused;
-    std::map<std::string, std::int64_t> paces; ///< of images that are throttled
+    /// Pace of each throttled image, in percent of full speed.
+    std::map<std::string, std::int64_t> paces;
     std::vector<std::string> starting; ///< ordered, not yet seen running
     /// Running, but never described to the guard.
     std::vector<std::string> unknown;
@@ -188,7 +190,7 @@
 };
 
 // ---------------------------------------------------------------------------
-// Scheduler to guard
+// Leader to guard
 // ---------------------------------------------------------------------------
 
 /// @brief Starts a run once; also describes a run that is there already.
@@ -232,9 +234,9 @@
     std::vector<start_order> starts;
     std::vector<stop_order> stops;
     std::int64_t acknowledged = 0; ///< ends up to this number are committed
-    /// Starts are void from this time on, by the clock of the guard's VM:
-    /// orders delayed by a partition arrive when it ends, and by then the
-    /// leader has given up the runs it last knew of there. 0: no bound.
+    /// Starts are void from this time on, by the clock of the guard's VM; 0: no
+    /// bound. Orders delayed by a partition arrive when it ends; by then the
+    /// leader may have declared the runs there lost.
     std::int64_t starts_until_ms = 0;
     /// The worker's data centre is closed: no start of any order begins.
     bool closed = false;
