--- a/packages/scheduler/include/springstair/detail/scheduler/crash_suspicion.hpp
+++ b/packages/scheduler/include/springstair/detail/scheduler/crash_suspicion.hpp
@@ -18,15 +18,15 @@
 /// After one crash, a suspect is placed where the fewest other runs are
 /// unproven. After two, it is isolated: nothing else is started on its worker
 /// until it is proven. A third crash then identifies it, and tasks that only
-/// ran beside it continue. Isolation from the first crash on cost 0.02 of the
+/// ran beside it continue. Isolation after the first crash cost 0.02 of the
 /// total value of all jobs on days with spontaneous crashes (32 pairs of days,
 /// 11 workers).
 ///
 /// A task that crashes executors is blamed after three crashes if it was
 /// isolated at the third, otherwise after four or five. A crash is confirmed
-/// only if the run had surely begun and the guard beside the executor outlived
-/// it; other losses only raise the suspicion. An expired lease or a leader
-/// change is no evidence against a task.
+/// only if the run had certainly begun and the executor's guard outlived it;
+/// other losses only raise the suspicion. An expired lease or a leader change
+/// is no evidence against a task.
 
 /// @brief Bounds of suspicion and of the isolation of suspects.
 struct suspicion_options
@@ -38,16 +38,19 @@
     /// only after a longer run time is not detected.
     duration surely_proven_after = std::chrono::milliseconds(1000);
     /// A run that has been running for this long clears its task: spontaneous
-    /// executor crashes must not add up over the life of a long-running task.
+    /// executor crashes must not add up over the run time of a long-running
+    /// task.
     duration cleared_after = std::chrono::seconds(3);
-    /// Maximum share of the workers that are closed for suspects at once; the
-    /// others remain available to all other work.
+    /// Maximum share of the workers that are isolated with suspects or reserved
+    /// for them at once, but at least one worker; the others remain available
+    /// to all other work.
     double isolated_share = 0.2;
     /// Maximum time for which a worker is reserved for a suspect, until the
     /// other runs there are proven or have ended.
     duration max_isolation_wait = std::chrono::seconds(3);
-    /// A suspect that has waited this long may close any worker, whatever the
-    /// share: a job may have nothing running for at most three seconds.
+    /// A suspect that has waited this long may reserve a worker even if the
+    /// share is exceeded: a job may have nothing running for at most three
+    /// seconds.
     duration isolated_share_timeout = std::chrono::milliseconds(1500);
     /// Executors of a rack that were lost within this time of one another had a
     /// common cause, and no task is it. A poll of a crashed executor fails at
--- a/packages/scheduler/include/springstair/detail/scheduler/end_proof.hpp
+++ b/packages/scheduler/include/springstair/detail/scheduler/end_proof.hpp
@@ -25,7 +25,7 @@
         return {end.how, end.checkpoint, {}};
     }
     /// @brief The guard refuses it: the worker did not begin it. If a duplicate
-    /// of the start may be in flight, the worker was told never to begin it,
+    /// of the start may be in flight, the worker was ordered never to begin it,
     /// and a later poll did not show it. Not valid if the same report shows the
     /// run or a duplicate of its order.
     static end_proof refused_by_worker()
--- a/packages/scheduler/include/springstair/detail/scheduler/entry_list.hpp
+++ b/packages/scheduler/include/springstair/detail/scheduler/entry_list.hpp
@@ -37,8 +37,8 @@
     duration store_outage_tolerance = std::chrono::milliseconds(400);
     /// Time for which an entry that could not take over is not asked again.
     duration decline_backoff = std::chrono::seconds(2);
-    /// Maximum number of entries asked within that time: if the store serves
-    /// nobody, each of them would claim leadership in vain.
+    /// Maximum number of entries asked within that time: if the store serves no
+    /// entry, each of them would claim leadership without success.
     std::size_t max_declined = 4;
 };
 
@@ -75,9 +75,9 @@
 /// @brief When an entry claims a vacant leadership, by its rank among the
 /// successors, and whether it watches the leader's key closely.
 ///
-/// All entries see at the same moment that the leader's key is gone. When all
-/// of them claimed at once, 184 took a lease for one election, and a small VM
-/// was as likely as any to win. So the first four have a turn each, and the
+/// All entries see at the same moment that the leader's key is deleted. When
+/// all of them claimed at once, 184 took a lease for one election, and a small
+/// VM was as likely as any to win. So the first four have a turn each, and the
 /// others follow in groups of doubling size: the loss of many of the largest
 /// VMs costs a fraction of a second, and no more entries claim at once than a
 /// group has.
@@ -94,9 +94,8 @@
     bool is_successor = true;
     duration delay{0};
 
-    /// @param has_rank whether a leader has ever told this entry its rank; if
-    /// not, it claims at once: after the loss of all entries nobody knows a
-    /// better one
+    /// @param has_rank whether any leader has sent this entry its rank; if not,
+    /// it claims at once: after the loss of all entries no ranks are known
     /// @param rank its rank; nothing if the store did not serve it
     static claim_schedule of(bool has_rank, std::optional<std::int64_t> rank);
 
--- a/packages/scheduler/include/springstair/detail/scheduler/fault_detector.hpp
+++ b/packages/scheduler/include/springstair/detail/scheduler/fault_detector.hpp
@@ -39,8 +39,8 @@
 /// A sequential test: each end of a run adds to an executor's fault score the
 /// logarithm of how much likelier it is on a faulty executor than in general;
 /// the score does not fall below zero. Counting failures in a row instead gave
-/// a false alarm in one of 8,000 runs at a 5% failure rate, and kept executors
-/// ejected that had long been healthy again.
+/// a false alarm in one of 8,000 runs at a 5% failure rate, and kept
+/// executors ejected long after they were healthy again.
 class fault_detector
 {
 public:
@@ -58,8 +58,8 @@
             failed
                 ? std::log(options_.faulty_share / general_share)
                 : std::log((1 - options_.faulty_share) / (1 - general_share));
-        // Suspected executors are left out of the general rate: a faulty one is
-        // free again at once and gets more runs than others.
+        // Executors with a high score are left out of the general rate: a
+        // faulty one fails its runs quickly and so gets more runs than others.
         if (fault_score < options_.score_at_return)
         {
             ends_ = ends_ * options_.decay + 1;
--- a/packages/scheduler/include/springstair/detail/scheduler/interference_model.hpp
+++ b/packages/scheduler/include/springstair/detail/scheduler/interference_model.hpp
@@ -95,8 +95,8 @@
         headroom_sample sample;
     };
 
-    /// Sums and result of one latency-critical image, by index of the
-    /// best-effort image.
+    /// Normal equations of the least-squares fit of one latency-critical image,
+    /// and their solution; by index of the best-effort image.
     struct fit
     {
         std::vector<std::vector<double>> products;
--- a/packages/scheduler/include/springstair/detail/scheduler/job_order.hpp
+++ b/packages/scheduler/include/springstair/detail/scheduler/job_order.hpp
@@ -28,7 +28,7 @@
     too_late
 };
 
-/// @brief Sort key of a waiting job; the lowest goes first.
+/// @brief Sort key of a waiting job; the lowest is served first.
 struct job_rank
 {
     std::int64_t priority = 0; ///< of its queue; 0 is the most urgent
@@ -36,7 +36,7 @@
     /// Number of the order_options::objective_span.
     std::int64_t objective_span_index = 0;
     /// Negative processor demand per task of a long-running job: the largest
-    /// goes first, since it fits on the fewest workers. 0 for others.
+    /// is first, since it fits on the fewest workers. 0 for others.
     std::int64_t negative_size = 0;
     time_point objective;   ///< when it should have ended
     std::int64_t order = 0; ///< number in order of acceptance
@@ -46,9 +46,9 @@
 
 /// @brief Sort key of a job: by priority, then prospect (objective can be met,
 /// late, too late to have any value), then the span of its objective. Within a
-/// span, long-running jobs with the largest tasks go first, then the earliest
+/// span, long-running jobs with the largest tasks are first, then the earliest
 /// objective.
-/// @param queue of the job, or null if the table has none: it goes last
+/// @param queue of the job, or null if the table has none: it is last
 job_rank rank_of(const job_record& record, const queue_row* queue,
                  time_point now, const order_options& options);
 
--- a/packages/scheduler/include/springstair/detail/scheduler/job_record.hpp
+++ b/packages/scheduler/include/springstair/detail/scheduler/job_record.hpp
@@ -20,16 +20,22 @@
     executor_incarnation executor; ///< incarnation that it was placed on
     std::string ticket;         ///< of the advice service; empty: none needed
     std::int64_t placed_in = 0; ///< the job's change that recorded it
-    bool ordered = false;       ///< a start was sent in this term
+    /// A start or stop was sent in this term, or a previous leader placed the
+    /// run: no first start is sent any more.
+    bool ordered = false;
     /// Guard process that the start was first sent to; see start_order.
     std::string told_incarnation;
     bool seen = false;      ///< a report showed it running
     time_point last_seen{}; ///< by the newest report that showed it
     /// When its start was sent, or this leader adopted it.
     time_point ordered_at{};
-    bool stopping = false; ///< it is to end; the stop is repeated until it does
-    std::int64_t percent = -1;     ///< progress in the newest report
-    time_point last_progress_at{}; ///< when that progress last changed
+    bool stopping = false;     ///< the stop is repeated until it ends
+    std::int64_t percent = -1; ///< progress in the newest report
+    /// Start of the timeouts of stuck and missing runs. Set at the placement,
+    /// by each order and repetition, at adoption by a new leader or executor
+    /// incarnation, when percent changes, and by each report of a long-running
+    /// task at full progress.
+    time_point last_progress_at{};
     /// Repetitions of the start order since a report last showed the run.
     std::int64_t repeats = 0;
     bool over_target = false; ///< its tail latency, by the newest report
@@ -60,9 +66,14 @@
     std::optional<task_run> run;
     std::string checkpoint;
     std::set<std::string> avoided; ///< guards where it failed or got stuck
-    std::optional<departed_worker> departed; ///< by its newest relocation
-    time_point not_before{};  ///< earliest next start; backoff after a refusal
-    time_point ready_since{}; ///< since when it may be placed
+    /// By its newest relocation, or its newest crash as a suspect.
+    std::optional<departed_worker> departed;
+    /// Earliest next start: backoff after a refusal, or of a strong suspect.
+    time_point not_before{};
+    /// When its job was accepted, its step opened or its last run (or that of
+    /// another member of its gang) ended, whichever was last. The due time of
+    /// its round is not considered.
+    time_point ready_since{};
 
     /// @brief Whether it is not done and has no run.
     [[nodiscard]] bool is_waiting() const noexcept
@@ -139,7 +150,8 @@
     std::int64_t order = 0;               ///< number in order of acceptance
     time_point accepted{}; ///< when it was accepted, on the leader's clock
     std::optional<time_point> first_start; ///< when a task was first placed
-    bool begun = false; ///< a report showed some task running
+    /// A task was seen running, or was placed in an earlier term.
+    bool begun = false;
     /// Longest chain of dependent steps, by the caller's estimates.
     std::int64_t critical_path_ms = 0;
 
--- a/packages/scheduler/include/springstair/detail/scheduler/placement.hpp
+++ b/packages/scheduler/include/springstair/detail/scheduler/placement.hpp
@@ -77,7 +77,7 @@
 bool accepts_runs(const worker_record& worker, const std::string& service,
                   time_point now, const placement_options& options);
 
-/// @brief Whether a worker may run a task, apart from its free capacity.
+/// @brief Whether a worker may run a task, regardless of its free capacity.
 bool may_run(const worker_record& worker, const placement_query& query,
              const placement_options& options);
 
--- a/packages/scheduler/include/springstair/detail/scheduler/scheduler_core.hpp
+++ b/packages/scheduler/include/springstair/detail/scheduler/scheduler_core.hpp
@@ -41,8 +41,9 @@
     duration lease_horizon = std::chrono::seconds(10);
     /// Time after the last verification of leadership for which a non-final
     /// state is shown from memory. After a longer pause or partition a
-    /// successor may have shown a later state, and callers would see the job go
-    /// back. The lease of the leader's key, 2 s, less its renewal interval.
+    /// successor may have shown a later state, and callers would see the state
+    /// of the job revert. The lease of the leader's key, 2 s, less its renewal
+    /// interval.
     duration max_read_age = std::chrono::milliseconds(1500);
     /// A worker's clock may run slower by this share of a lease (platform).
     double clock_drift = 0.02;
@@ -58,8 +59,9 @@
     /// Maximum number of jobs per write: each needs a condition and a put of
     /// the store's 32 entries, and the leader's own condition takes one.
     std::size_t jobs_per_commit = 15;
-    /// Interval between repetitions of a start or stop without a visible
-    /// effect: two reports of a guard.
+    /// Minimum time before the start or stop of a run that its worker does not
+    /// list is repeated: two reports of a guard. Stops of listed runs are
+    /// repeated in each answer to a report.
     duration order_retry_interval = std::chrono::milliseconds(1000);
     /// Backoff of a refused task: the ledger was wrong, and a report corrects
     /// it in the meantime.
@@ -68,14 +70,15 @@
     /// capacity change. Other inputs, worker samples and clocks, change slowly.
     duration placement_interval = std::chrono::milliseconds(100);
     /// Time for which a faulty executor is first ejected. Doubles with each
-    /// ejection until it is healthy, up to the maximum.
+    /// ejection, up to the maximum; reset when its fault score is zero.
     duration min_ejection = std::chrono::seconds(2);
     duration max_ejection = std::chrono::seconds(10);
     /// A run without progress for this long is stuck and restarted elsewhere.
     duration stuck_after = std::chrono::milliseconds(2000);
     /// The same for best-effort runs, which may be starved for longer.
     duration stuck_fill_after = std::chrono::milliseconds(5000);
-    /// Runs on a leaving worker are stopped when this much time remains.
+    /// Runs on a leaving worker are stopped when less time than this remains,
+    /// long-running ones at once.
     duration leave_margin = std::chrono::milliseconds(1500);
     /// Interval between samples of a worker: each sample averages the preceding
     /// half second.
@@ -96,15 +99,15 @@
     /// reservation searches all workers; more would slow down a pass with
     /// thousands of workers.
     std::size_t max_reservations = 32;
-    /// The same as a share of all workers: the others remain available to short
-    /// work, which starts within two seconds.
+    /// The same as a share of all workers, plus one worker: the others remain
+    /// available to short work, which starts within two seconds.
     double reserved_share = 0.1;
     /// A best-effort run that is throttled below this pace, in percent, is
     /// relocated to a worker that tolerates it, if it can resume from a
     /// checkpoint.
     std::int64_t relocate_below_pace = 50;
     /// Minimum time before a relocated task returns: the cause, a load that
-    /// varies over some ten seconds, is unlikely to be gone earlier.
+    /// varies over some ten seconds, is unlikely to end earlier.
     duration return_backoff = std::chrono::milliseconds(4000);
     /// Time for which a step that only some workers may run waits, with all of
     /// them full of long-running runs, before one of those is preempted; half
@@ -127,7 +130,8 @@
     /// availability of a long-running job: one line per second for every five
     /// that are not served.
     duration min_log_interval = std::chrono::seconds(5);
-    /// Interference below this is not reported to guards.
+    /// Interference below this is not reported to guards; unit as in
+    /// pair_interference::harm.
     double min_reported_interference = 0.8;
 };
 
@@ -137,7 +141,7 @@
     std::string job;
     std::string text;
     std::int64_t expected_revision = 0; ///< of the stored record; 0: none
-    std::int64_t change = 0;
+    std::int64_t change = 0; ///< newest change of the job that text contains
     job_state state = job_state::pending;
 
     bool operator==(const progress_write&) const = default;
@@ -158,8 +162,9 @@
 {
     std::string queue;
     job_state state = job_state::succeeded;
-    duration age{0};      ///< since its acceptance
-    duration to_start{0}; ///< from acceptance to its first start
+    duration age{0}; ///< since its acceptance
+    /// From its acceptance to its first placement; without one, to its end.
+    duration to_start{0};
 };
 
 /// @brief Orders for one guard, and the address to send them to.
@@ -170,7 +175,8 @@
     guard_orders orders;
 };
 
-/// @brief Figures of the scheduler, for the metrics.
+/// @brief Figures of the scheduler, for the metrics. starts (runs placed),
+/// refused, lost and failed_runs count runs since the start of the term.
 struct scheduler_figures
 {
     std::int64_t starts = 0;
@@ -250,12 +256,14 @@
     /// @brief Handles the answer to the query; nothing if there was none.
     void advised(const std::optional<advice_answer>& answer, time_point now);
 
-    /// @brief Takes the orders that are due.
+    /// @brief Returns and clears the orders that are due. Those for guards that
+    /// have not reported in this term are dropped.
     std::vector<addressed_orders> take_orders();
-    /// @brief Takes the decisions made since the last call.
+    /// @brief Returns and clears the decisions made since the last call.
     std::vector<decision> take_decisions();
 
-    /// @brief Takes the jobs that ended since the last call.
+    /// @brief Returns and clears the list of jobs that ended since the last
+    /// call.
     std::vector<finished_job> take_finished();
 
     /// @brief The state of a job that callers may see; nothing if the job is
@@ -432,7 +440,7 @@
         bool is_gang = false;          ///< members of a gang are not isolated
     };
 
-    // Runs that were not proven when their executor crashed.
+    // Counts of the runs that were not proven when their executor crashed.
     struct unproven_neighbours
     {
         std::int64_t unproven = 0;
@@ -562,7 +570,7 @@
     time_point last_lasting_{};
     time_point next_preemption_at_{}; ///< earliest next preemption attempt
     std::size_t reservations_ = 0;    ///< workers that this pass reserves
-    /// Reachable workers that are closed for suspects.
+    /// Workers that answer and are isolated with a suspect or reserved for one.
     std::size_t isolated_workers_ = 0;
     /// Jobs or free capacity changed since the last pass.
     bool may_place_ = true;
--- a/packages/scheduler/include/springstair/detail/scheduler/sibling_headroom.hpp
+++ b/packages/scheduler/include/springstair/detail/scheduler/sibling_headroom.hpp
@@ -25,7 +25,7 @@
 /// @brief The newest headroom samples of one job's latency-critical tasks.
 ///
 /// Users load all tasks of a job alike, so differences between their tail
-/// latencies at one moment are due to what runs beside them.
+/// latencies at one moment are due to the best-effort work beside them.
 class sibling_headroom
 {
 public:
--- a/packages/scheduler/include/springstair/detail/scheduler/ticket_cache.hpp
+++ b/packages/scheduler/include/springstair/detail/scheduler/ticket_cache.hpp
@@ -43,7 +43,7 @@
     /// @brief Returns the query that has waited longest, now in flight; nothing
     /// while one is in flight or none waits.
     std::optional<advice_query> next_query(time_point now);
-    /// @brief Takes the answer to the query in flight; nothing if there was
+    /// @brief Handles the answer to the query in flight; nothing if there was
     /// none.
     void on_answer(const std::optional<advice_answer>& answer, time_point now);
     /// @brief A worker refused its ticket: it may be queried again.
--- a/packages/scheduler/include/springstair/detail/scheduler/wait_report.hpp
+++ b/packages/scheduler/include/springstair/detail/scheduler/wait_report.hpp
@@ -15,16 +15,18 @@
 enum class wait_cause : std::uint8_t
 {
     no_worker, ///< no worker of the service accepts runs now
-    closed,    ///< those that might are in closed data centres
+    closed,    ///< none accepts runs; some are in a closed data centre
     label,     ///< none that accepts runs has the label
     size,      ///< its demand exceeds the capacity of each of those
     lasting,   ///< long-running tasks leave too little capacity
     room,      ///< capacity is free only once shorter runs have ended
     bound,     ///< where it fits, its step is at its bound per worker
     ticket,    ///< where it fits, it has no ticket
-    harm,      ///< where it fits, latency-critical tasks do not tolerate it
-    gang,      ///< one member fits, but not all at the same time
-    trials     ///< it must be isolated, and its reserved worker is not ready
+    /// Some worker passes the tests above. Usually interference; also a
+    /// reservation, or too few processors left over for a best-effort run.
+    harm,
+    gang,  ///< one member fits, but not all at the same time
+    trials ///< it must be isolated, and its reserved worker is not ready
 };
 
 /// @brief The name of a cause, as shown in logs and metrics.
--- a/packages/scheduler/include/springstair/detail/scheduler/worker_ledger.hpp
+++ b/packages/scheduler/include/springstair/detail/scheduler/worker_ledger.hpp
@@ -51,8 +51,8 @@
     std::string witness_incarnation;
     /// When the executor's current incarnation was first reported.
     time_point incarnation_since{};
-    /// When polls of its executor began to fail, or its guard became
-    /// unresponsive.
+    /// When polls of its executor began to fail; if they succeeded, when the
+    /// newest report was received. An unresponsive guard leaves it unchanged.
     time_point lost_at{};
     time_point previously_lost_at{};   ///< same, of the past incarnation
     std::string incarnation;           ///< of its guard
@@ -68,26 +68,28 @@
     std::int64_t clock_ahead_ms = 0;
     time_point reported{}; ///< when its last report was received
     /// Starts for it are void from this time on, by its guard's clock. The
-    /// leader does not give up its runs earlier.
+    /// leader does not declare its runs lost by an expired grant earlier.
     std::int64_t starts_until_ms = 0;
     time_point lease_ends{};       ///< its lease has certainly expired by then
     std::int64_t applied_ends = 0; ///< ends up to this number are applied
     std::int64_t acknowledged = 0; ///< ends up to this number are committed
     std::deque<applied_end> uncommitted_ends;
     double fault_score = 0; ///< evidence that it is faulty; see fault_detector
-    std::string failed_job; ///< the last job that failed here
+    /// Job of the last failed run that was counted as evidence here. Cleared
+    /// when the end of a run brings the fault score to 0.
+    std::string failed_job;
     time_point ejected_until{};
-    std::int64_t ejections = 0;
+    std::int64_t ejections = 0; ///< since its fault score was last zero
     /// Runs by job, round and step.
     std::map<std::string, std::int64_t> runs_of_step;
-    /// Reserved runs of latency-critical tasks, by image.
+    /// Number of runs of latency-critical tasks, by image.
     std::map<std::string, std::int64_t> serving_runs;
     std::int64_t serving_cpu_millis = 0; ///< reserved by latency-critical tasks
-    /// Processors demanded by best-effort runs, by image.
+    /// Processors demanded by best-effort runs, in thousandths, by image.
     std::map<std::string, std::int64_t> fill_cpu_millis_by_image;
-    /// Paces of images that are throttled there.
+    /// Paces of images that are throttled there, in percent of full speed.
     std::map<std::string, std::int64_t> paces;
-    /// When the model last learnt from its samples.
+    /// When the interference model last used its samples.
     time_point last_sampled_at{};
     /// Lowest headroom (latency target divided by tail latency) that
     /// latency-critical tasks of an image would have without best-effort work,
@@ -98,7 +100,8 @@
 
     /// @brief Capacity that no run reserves.
     [[nodiscard]] resources free_capacity() const noexcept;
-    /// @brief Free capacity for tasks other than the one with a reservation.
+    /// @brief Free capacity that is not reserved for a waiting task.
+    /// Long-running tasks may use the reserved capacity, too; see can_take().
     [[nodiscard]] resources unreserved_capacity() const noexcept;
     /// @brief Free capacity once all runs but the long-running ones have ended.
     [[nodiscard]] resources eventual_capacity() const noexcept;
@@ -116,8 +119,8 @@
 void release(worker_record& worker, const job_step& step,
              const task_name& task);
 
-/// @brief Ends the isolation of a task whose run is proven or gone: its worker
-/// accepts other runs again.
+/// @brief Ends the isolation of a task whose run is proven or has ended: its
+/// worker accepts other runs again.
 void end_isolation(worker_record& worker, const task_name& task);
 
 /// @brief The key that groups the runs of one step of one round.
--- a/packages/scheduler/src/placement.cpp
+++ b/packages/scheduler/src/placement.cpp
@@ -12,11 +12,11 @@
 // Score penalty of a worker that the task should avoid: exceeds any other
 // difference in score.
 constexpr double avoided_penalty = 1000;
-// A best-effort run that costs a serving task less headroom than this is
+// Interference that costs a latency-critical task less headroom than this is
 // ignored.
 constexpr double negligible_cost = 0.03;
-// Headroom assumed if best-effort work interferes with no serving task: above
-// any measurable headroom.
+// Headroom assumed if best-effort work interferes with no latency-critical
+// task: above any measurable headroom.
 constexpr double no_interference = 10;
 
 bool has_fill_capacity(const worker_record& worker,
@@ -42,8 +42,8 @@
                       : static_cast<double>(part) / static_cast<double>(whole);
 }
 
-// Processors available to all best-effort runs: the capacity without what
-// serving tasks use on average and what other runs reserve.
+// Processors available to all best-effort runs, in thousandths: the capacity
+// without what latency-critical tasks use on average and other runs reserve.
 double fill_capacity(const worker_record& worker,
                      const placement_options& options)
 {
@@ -53,8 +53,8 @@
            (static_cast<double>(worker.used.cpu_millis) - serving);
 }
 
-// The lowest headroom, with one more best-effort run, of the serving tasks that
-// it interferes with; nothing if it interferes with none.
+// The lowest headroom, with one more best-effort run, of the latency-critical
+// tasks that it interferes with; nothing if it interferes with none.
 std::optional<double> min_headroom_with(const worker_record& worker,
                                         const placement_query& query,
                                         const placement_options& options)
@@ -121,7 +121,8 @@
     return asked / std::max(fill_capacity(worker, options), 1.0) + 1 / headroom;
 }
 
-// The share of the worker that would be reserved, in its tightest dimension.
+// The larger of the shares of processors and memory that would be reserved.
+// Accelerators are not considered.
 double fullness(const resources& used, const resources& asked,
                 const resources& capacity)
 {
@@ -131,7 +132,7 @@
 }
 
 // Lower is better. Best-effort runs prefer the least competition and
-// interference, other runs the most free capacity in the tightest dimension.
+// interference, other runs the lowest fullness().
 double score(const worker_record& worker, const placement_query& query,
              const placement_options& options)
 {
--- a/packages/scheduler/src/scheduler_closing.cpp
+++ b/packages/scheduler/src/scheduler_closing.cpp
@@ -46,8 +46,8 @@
 }
 
 // The latest time, by the guard's own clock, at which it may begin a run
-// ordered now: neither after this scheduler gives its runs up, nor after a
-// closure that this leader does not know yet may take effect.
+// ordered now. Until then the worker's lease grant does not expire, and no
+// closure that this leader does not know yet takes effect.
 std::int64_t scheduler_core::starts_until_ms(const worker_record& worker) const
 {
     const time_point until = closures_.starts_until();
--- a/packages/scheduler/src/scheduler_learning.cpp
+++ b/packages/scheduler/src/scheduler_learning.cpp
@@ -1,5 +1,5 @@
-// Learns interference from worker reports and selects what guards receive of
-// it.
+// Learns interference from worker reports and selects the pairs to report to
+// guards.
 
 #include <springstair/scheduler.hpp>
 
@@ -8,8 +8,8 @@
 namespace springstair
 {
 
-// Each report shows the tail latency of serving tasks and the processor use of
-// best-effort runs at the same time.
+// Each report shows the tail latency of latency-critical tasks and the
+// processor use of best-effort runs at the same time.
 void scheduler_core::learn_interference(worker_record& worker,
                                         const worker_report& report,
                                         time_point now)
--- a/packages/scheduler/src/scheduler_leases.cpp
+++ b/packages/scheduler/src/scheduler_leases.cpp
@@ -41,11 +41,11 @@
 }
 
 // A run is given up when, by its guard's reports, every lease there must have
-// expired. The executor's next incarnation may have taken a start under a
-// longer lease, which a disconnected guard cannot report. If its success were
-// acknowledged within that lease, it would count in addition to the replacement
-// run. So the worker gets no lease grant until that lease expires; no other run
-// of ours is on it.
+// expired. But its start may have reached the executor's next incarnation under
+// a longer lease, which a disconnected guard cannot report. If that run's
+// success were acknowledged within that lease, it would count in addition to
+// the replacement run. So the worker gets no lease grant until that lease has
+// expired; this leader has no other run there.
 void scheduler_core::check_lease_must_expire(worker_record& worker,
                                              const worker_report& report,
                                              bool knows_incarnation)
--- a/packages/scheduler/src/scheduler_losses.cpp
+++ b/packages/scheduler/src/scheduler_losses.cpp
@@ -8,7 +8,8 @@
 {
 
 // Handles a new incarnation of the executor: the runs of the past one are lost,
-// except those that the same executor took in its new incarnation.
+// except those whose start has reached, or may still reach, the new incarnation
+// of the same executor.
 void scheduler_core::on_executor_restart(worker_record& worker,
                                          const worker_report& report,
                                          time_point now)
@@ -88,7 +89,7 @@
 // Calls name their executor by its id alone, so a start can reach the next
 // incarnation. A run listed there is that start. A run whose start may still
 // arrive is first stopped there: if it were declared lost at once, it could
-// begin later beside the next run of its task.
+// begin later, at the same time as the next run of its task.
 void scheduler_core::follow_restart(worker_record& worker,
                                     const runs_after_restart& runs,
                                     const executor_incarnation& next,
@@ -127,7 +128,8 @@
     return is_final(record.state()) || task.done || run <= task.judged_run;
 }
 
-// Run numbers, by task, of the runs that may have been starting at the crash.
+// Run numbers, by task, of the likely causes of a crash: the runs that were not
+// shown running for suspicion_options::proven_after.
 std::map<task_name, std::int64_t>
 scheduler_core::likely_causes(const worker_record& worker)
 {
@@ -146,7 +148,7 @@
 
 // Raises suspicion when the guard that could report which runs had begun was
 // lost with its executor, or was stopped then. Each of these runs may be the
-// cause. The loss counts like that of a whole rack, never as a sure crash.
+// cause. The loss counts like that of a whole rack, never as a confirmed crash.
 // Without this, a task whose first two crashes were not observed was started
 // six times.
 void scheduler_core::raise_unwitnessed_suspicion(
@@ -183,9 +185,9 @@
                : worker.previously_lost_at;
 }
 
-// Whether at least half of the executors of the rack were lost at the same
-// time. Executors unavailable for other reasons do not count: when they did, a
-// few tasks that crash executors hid one another.
+// Whether at least half, and at least two, of the executors of the rack were
+// lost at the same time. Executors unavailable for other reasons do not count:
+// when they did, a few tasks that crash executors hid one another.
 bool scheduler_core::is_rack_failure(const worker_record& worker,
                                      time_point now) const
 {
@@ -218,7 +220,7 @@
     return lost > 1 && 2 * lost >= total;
 }
 
-// Every lease that the guard asked for has expired: runs that were seen there
+// Every lease that the guard requested has expired: runs that were seen there
 // are lost. A run that was ordered but not seen may still wait in the guard for
 // the worker to answer. It is void only once the lease grant for it has
 // expired; a guard gets no grant for a worker whose lease has expired.
@@ -255,8 +257,8 @@
 }
 
 // Takes over the runs that a previous leader placed. Runs of the current
-// incarnation enter the ledger; those of another are lost, unless the current
-// one has taken them or still may.
+// incarnation are entered in the ledger. Those of another are lost, unless
+// their start has reached, or may still reach, the current one.
 void scheduler_core::adopt_inherited(worker_record& worker,
                                      const worker_report& report,
                                      time_point now)
@@ -491,7 +493,7 @@
                    .is_only_unproven = count.is_only_unproven || count.is_gang,
                    .is_confirmed = count.is_confirmed}))
     {
-        // Going on would cost other jobs more than this job is worth.
+        // Further starts would cost other jobs more than this job's value.
         fail(record, task, now,
              {{"why", "it crashes the executors that start it"},
               {"crashes", std::to_string(task.crashes)},
@@ -500,8 +502,8 @@
     mark_changed(record, now);
 }
 
-// A run that has lived long enough is proven and ends its isolation; after
-// longer it clears the suspicion of its task.
+// A run that was shown running long enough is proven, which ends its isolation;
+// after a longer time it clears the suspicion of its task.
 void scheduler_core::clear_suspicion_if_proven(worker_record& worker,
                                                job_task& task,
                                                const task_name& name)
--- a/packages/scheduler/src/scheduler_moves.cpp
+++ b/packages/scheduler/src/scheduler_moves.cpp
@@ -30,7 +30,7 @@
             }
             if (!has_other_worker(name, worker, now))
             {
-                break; // its siblings find no worker either
+                break; // assumes the same for the other runs of this image
             }
             ++relocated;
             relocate(name, worker, pace, out, now);
@@ -84,8 +84,9 @@
 }
 
 // Preempts for a step that may run on few workers only. Long-running runs can
-// fill these workers while others have free capacity. Where shorter runs will
-// not free enough in time, one long-running run after the other is relocated.
+// fill these workers while others have free capacity. If the end of all shorter
+// runs, and of those being stopped, would not free enough on any of them, one
+// long-running run is relocated per attempt.
 void scheduler_core::preempt_lasting(const placement_query& query,
                                      const job_record& record,
                                      const job_task& task)
@@ -149,8 +150,8 @@
     return capacity;
 }
 
-// Whether a long-running run may be stopped to run elsewhere: its step must not
-// miss more tasks than allowed.
+// Whether a long-running run may be relocated: with it, no more tasks of its
+// step may be missing than allowed.
 bool scheduler_core::is_preemptible(const task_name& name)
 {
     job_record& record = *job_of(name.job);
--- a/packages/scheduler/src/scheduler_placing.cpp
+++ b/packages/scheduler/src/scheduler_placing.cpp
@@ -234,7 +234,7 @@
             preempt_lasting(query, record, task);
             reserve_workers(
                 query, std::ranges::count_if(tasks, &job_task::is_waiting));
-            return true; // its siblings ask for the same
+            return true; // the other tasks of the step have the same demand
         }
         if (!fits_one_commit(record.definition().id, step_definition, {worker}))
         {
@@ -257,7 +257,7 @@
 
 // Starts a suspect on a worker where nothing else is started until it is
 // proven. A crash identifies it only if the other runs there are proven. So a
-// worker is reserved for it and takes no new runs until they are.
+// worker is reserved for it and accepts no new runs until they are.
 bool scheduler_core::place_isolated(placement_query query, job_record& record,
                                     job_task& task, const ticket_map& tickets)
 {
@@ -324,9 +324,8 @@
            record->find(worker.reserved_for->position)->is_waiting();
 }
 
-// Reserves workers for tasks that no worker can take now. Otherwise the tasks
-// behind them would take each piece of freed capacity before it is large
-// enough.
+// Reserves workers for tasks that no worker can run now. Otherwise the tasks
+// after them would use each piece of freed capacity before enough is free.
 void scheduler_core::reserve_workers(const placement_query& query,
                                      std::int64_t tasks)
 {
@@ -463,8 +462,7 @@
 }
 
 // Chooses one worker per member on a copy of the ledger; empty if not all fit.
-// A gang that wants a single rack is tried on each rack first, then on all
-// workers.
+// A gang with same_rack set is tried on each rack first, then on all workers.
 std::vector<worker_record*>
 scheduler_core::gang_workers(job_record& record, const queue_row& queue,
                              const task_position& first,
--- a/packages/scheduler/src/scheduler_reports.cpp
+++ b/packages/scheduler/src/scheduler_reports.cpp
@@ -35,7 +35,7 @@
     worker.address = report.address;
     worker.reported = now;
     // An incarnation that the guard has not polled itself may be a past one,
-    // and only a whole report shows which runs a new one has taken.
+    // and only a whole report shows which runs a new one has accepted.
     const bool knows_incarnation =
         !report.worker.executor.empty() &&
         ((report.looked && report.whole) ||
@@ -289,8 +289,8 @@
 }
 
 // A duplicate of a start order can arrive after its run was refused. The answer
-// stops it in the guard before its worker takes it. The run number covers every
-// run that the task has had: none of them may begin there any more.
+// stops it in the guard before it is sent to the worker. The run number covers
+// every run that the task has had: none of them may begin there any more.
 void scheduler_core::stop_unwanted_starts(const worker_record& worker,
                                           const worker_report& report,
                                           guard_orders& out)
@@ -311,8 +311,9 @@
     }
 }
 
-// Records progress. A run without progress is stopped, and its task runs
-// elsewhere.
+// Records progress. A run without progress is stopped, and its task avoids this
+// worker from then on. Runs of gangs and throttled best-effort runs are not
+// stopped.
 void scheduler_core::update_progress(worker_record& worker, task_run& run,
                                      const job_step& step,
                                      const running_task& running,
@@ -354,8 +355,8 @@
 }
 
 // Repeats the start of committed runs that the worker does not show: the start
-// was lost, or a previous leader failed before it sent one. The worker takes
-// each run once.
+// was lost, or a previous leader failed before it sent one. The worker
+// begins each run at most once.
 void scheduler_core::repeat_missing(worker_record& worker,
                                     const worker_report& report,
                                     guard_orders& out, time_point now)
--- a/packages/scheduler/src/scheduler_writing.cpp
+++ b/packages/scheduler/src/scheduler_writing.cpp
@@ -139,7 +139,7 @@
            now - record.uncommitted_since >= options_.end_batch_delay;
 }
 
-// The jobs of the next write, in the order in which they became dirty.
+// The jobs of the next write. Those that became dirty first are selected first.
 std::set<std::string> scheduler_core::jobs_to_write(time_point now)
 {
     std::set<std::string> jobs;
--- a/packages/scheduler/src/wait_report.cpp
+++ b/packages/scheduler/src/wait_report.cpp
@@ -8,8 +8,10 @@
 namespace
 {
 
-// The first placement check that a worker fails for a task. Interference is the
-// cause if it passes all others.
+// The first check that a worker fails for a task. If it passes all of them, the
+// cause is taken to be interference. It may also be a reservation for another
+// task, or too few processors left over for a best-effort run: neither is
+// checked here.
 wait_cause first_failed_check(const worker_record& worker,
                               const placement_query& query)
 {
