--- a/tests/unit/interference_model_tests.cpp
+++ b/tests/unit/interference_model_tests.cpp
@@ -89,19 +89,19 @@
 {
     sibling_headroom siblings;
     time_point now{std::chrono::hours(1)};
-    siblings.note("a", {.headroom = 1, .beside = {{"f", 0.4}}}, now);
-    siblings.note("b", {.headroom = 2, .beside = {{"f", 0.2}}}, now);
+    siblings.record("a", {.headroom = 1, .beside = {{"f", 0.4}}}, now);
+    siblings.record("b", {.headroom = 2, .beside = {{"f", 0.2}}}, now);
     CHECK_FALSE(siblings.mean_without("a").has_value()); // one other is too few
-    siblings.note("c", {.headroom = 4}, now);
+    siblings.record("c", {.headroom = 4}, now);
     const auto mean = siblings.mean_without("a");
     REQUIRE(mean.has_value());
     CHECK(mean->headroom == doctest::Approx(3));
     CHECK(mean->beside.at("f") == doctest::Approx(0.1));
     now += std::chrono::milliseconds(500);
-    siblings.note("b", {.headroom = 3}, now);
-    siblings.note("c", {.headroom = 3}, now);
+    siblings.record("b", {.headroom = 3}, now);
+    siblings.record("c", {.headroom = 3}, now);
     now += std::chrono::milliseconds(500);
-    siblings.note("d", {.headroom = 6}, now);
+    siblings.record("d", {.headroom = 6}, now);
     const auto later =
         siblings.mean_without("a"); // excludes the stale figure of "a"
     REQUIRE(later.has_value());
