--- a/tests/unit/blocked_step_tests.cpp
+++ b/tests/unit/blocked_step_tests.cpp
@@ -23,7 +23,7 @@
         job_step step = step_of(4);
         step.lasting = true;
         step.most_missing = most_missing;
-        lasting = harness.submit({step}).id;
+        long_running_job = harness.submit({step}).id;
         harness.advance();
         harness.report_from_guard("g2");
         job_step wanted = step_of(1, 2000);
@@ -50,7 +50,7 @@
     }
 
     scheduler_harness harness;
-    std::string lasting;
+    std::string long_running_job;
     std::string blocked; ///< the task that may only run on the first worker
     int stopped = 0;
     std::size_t max_stops = 0; ///< most stop orders between two reports
@@ -83,7 +83,7 @@
     for (int index = 0; index < 4; ++index)
     {
         const std::string task =
-            fixture.lasting + ".0.0." + std::to_string(index);
+            fixture.long_running_job + ".0.0." + std::to_string(index);
         elsewhere += fixture.harness.guard_of.at(task) == "g2" ? 1 : 0;
     }
     CHECK(elsewhere == 2);
--- a/tests/unit/closed_data_centre_tests.cpp
+++ b/tests/unit/closed_data_centre_tests.cpp
@@ -209,7 +209,7 @@
     // The store is unavailable from here on; guards still report.
     const time_point last_contact = fleet.now;
     fleet.submit({step_of(6)});
-    bool all_void = false;
+    bool all_expired = false;
     while (fleet.now - last_contact < bound)
     {
         for (auto& [guard, report] : fleet.reports)
@@ -224,10 +224,10 @@
         }
         const std::size_t before = fleet.started.size();
         fleet.advance();
-        all_void = fleet.now - last_contact > seconds(4);
-        CHECK((!all_void || fleet.started.size() == before));
+        all_expired = fleet.now - last_contact > seconds(4);
+        CHECK((!all_expired || fleet.started.size() == before));
     }
-    CHECK(all_void);
+    CHECK(all_expired);
 }
 
 TEST_CASE("a leader that does not know the closures yet places nothing")
@@ -242,7 +242,7 @@
     harness.core.set_closed({.as_of = harness.now}, harness.now);
     harness.report_from_guard("g1");
     harness.advance();
-    CHECK(harness.runs(definition.id + ".0.0.0"));
+    CHECK(harness.has_started(definition.id + ".0.0.0"));
 }
 
 TEST_CASE("a guard starts nothing in a closed data centre")
--- a/tests/unit/crashing_task_tests.cpp
+++ b/tests/unit/crashing_task_tests.cpp
@@ -177,12 +177,13 @@
     const std::string id = harness.submit({step_of(1)}).id;
     for (int crash = 1; crash <= 3; ++crash)
     {
-        for (int turn = 0; turn < 100 && !harness.runs(id + ".0.0.0"); ++turn)
+        for (int turn = 0; turn < 100 && !harness.has_started(id + ".0.0.0");
+             ++turn)
         {
             harness.report_from_guard("g1");
             harness.advance(milliseconds(100));
         }
-        REQUIRE(harness.runs(id + ".0.0.0"));
+        REQUIRE(harness.has_started(id + ".0.0.0"));
         const begun_run own{.task = id + ".0.0.0",
                             .run = harness.started[id + ".0.0.0"].run,
                             .is_sure = is_sure || crash < 3};
@@ -238,12 +239,12 @@
     const std::string task = harness.submit({step_of(1)}).id + ".0.0.0";
     for (int crash = 1; crash <= crashes; ++crash)
     {
-        for (int turn = 0; turn < 100 && !harness.runs(task); ++turn)
+        for (int turn = 0; turn < 100 && !harness.has_started(task); ++turn)
         {
             harness.report_from_guard("g1");
             harness.advance(milliseconds(100));
         }
-        REQUIRE(harness.runs(task));
+        REQUIRE(harness.has_started(task));
         worker_report& report = harness.worker("g1");
         report.former = {{.executor = report.worker.executor,
                           .begun = {{.task = task,
--- a/tests/unit/freed_capacity_tests.cpp
+++ b/tests/unit/freed_capacity_tests.cpp
@@ -143,7 +143,7 @@
         }
         for (const addressed_orders& one : harness_.core.take_orders())
         {
-            harness_.take(one.orders, one.guard);
+            harness_.receive_orders(one.orders, one.guard);
         }
     }
 
@@ -188,7 +188,7 @@
     const std::string first = harness.submit({step_of(2, half_worker)}).id;
     harness.advance();
     harness.advance();
-    REQUIRE(harness.runs(first + ".0.0.0"));
+    REQUIRE(harness.has_started(first + ".0.0.0"));
     worker_report& report = harness.worker("g1");
     std::erase_if(report.running, [&](const running_task& row)
                   { return row.task == first + ".0.0.0"; });
--- a/tests/unit/large_task_tests.cpp
+++ b/tests/unit/large_task_tests.cpp
@@ -47,7 +47,7 @@
     {
         const auto first = std::find_if(open_.begin(), open_.end(),
                                         [&](const std::string& task)
-                                        { return harness_.runs(task); });
+                                        { return harness_.has_started(task); });
         if (first != open_.end())
         {
             harness_.end(*first, run_end::done);
@@ -78,7 +78,7 @@
         harness.report_from_guard("g2");
         harness.advance(milliseconds(250));
     }
-    CHECK(harness.runs(large.id + ".0.0.0"));
+    CHECK(harness.has_started(large.id + ".0.0.0"));
 }
 
 TEST_CASE("of waiting long-running tasks the largest are placed first")
@@ -91,9 +91,9 @@
         harness.report_from_guard(guard);
     }
     harness.advance();
-    CHECK(harness.runs(large.id + ".0.0.0"));
-    CHECK(harness.runs(large.id + ".0.0.1"));
-    CHECK(harness.runs(small.id + ".0.0.7"));
+    CHECK(harness.has_started(large.id + ".0.0.0"));
+    CHECK(harness.has_started(large.id + ".0.0.1"));
+    CHECK(harness.has_started(small.id + ".0.0.7"));
 }
 
 TEST_CASE(
@@ -108,11 +108,11 @@
     harness.advance(milliseconds(50));
     const job large = harness.submit({lasting_step(2, 4000)});
     harness.advance(milliseconds(60));
-    CHECK_FALSE(harness.runs(small.id + ".0.0.0"));
+    CHECK_FALSE(harness.has_started(small.id + ".0.0.0"));
     harness.advance(milliseconds(60));
-    CHECK(harness.runs(large.id + ".0.0.0"));
-    CHECK(harness.runs(large.id + ".0.0.1"));
-    CHECK(harness.runs(small.id + ".0.0.7"));
+    CHECK(harness.has_started(large.id + ".0.0.0"));
+    CHECK(harness.has_started(large.id + ".0.0.1"));
+    CHECK(harness.has_started(small.id + ".0.0.7"));
 }
 
 TEST_CASE("the batching of long-running jobs has a maximum wait")
@@ -126,5 +126,5 @@
         harness.submit({lasting_step(1, 200)});
     }
     harness.advance(milliseconds(20));
-    CHECK(harness.runs(first.id + ".0.0.0"));
+    CHECK(harness.has_started(first.id + ".0.0.0"));
 }
--- a/tests/unit/late_message_tests.cpp
+++ b/tests/unit/late_message_tests.cpp
@@ -45,7 +45,7 @@
     harness.report_from_guard("g1");
     const job definition = harness.submit({step_of(1)});
     harness.advance();
-    REQUIRE(harness.runs(definition.id + ".0.0.0"));
+    REQUIRE(harness.has_started(definition.id + ".0.0.0"));
     harness.report_from_guard("g1");
     const worker_record before = harness.core.workers().at("g1");
     stale.sequence += 5;
--- a/tests/unit/orphan_run_tests.cpp
+++ b/tests/unit/orphan_run_tests.cpp
@@ -46,7 +46,7 @@
     const job definition = harness.submit({step_of(1)});
     const std::string task = definition.id + ".0.0.0";
     harness.advance();
-    REQUIRE(harness.runs(task));
+    REQUIRE(harness.has_started(task));
     SUBCASE("its order was refused")
     {
         // The guard refused it, the job was cancelled, and then the run began.
--- a/tests/unit/restarted_executor_tests.cpp
+++ b/tests/unit/restarted_executor_tests.cpp
@@ -72,7 +72,7 @@
         harness.submit({step_of(1)});
         harness.advance();
         harness.advance();
-        REQUIRE(harness.runs(task));
+        REQUIRE(harness.has_started(task));
         harness.worker("g2");
         harness.report_from_guard("g2");
         row = harness.worker("g1").running.at(0);
@@ -102,7 +102,7 @@
     {
         fixture.harness.worker("g1").running = {fixture.row};
         fixture.deliver_report();
-        CHECK_FALSE(fixture.harness.runs(fixture.task));
+        CHECK_FALSE(fixture.harness.has_started(fixture.task));
         fixture.harness.started[fixture.task] = {.task = fixture.task,
                                                  .run = 1};
         fixture.harness.end(fixture.task, run_end::done);
@@ -133,14 +133,14 @@
     }
     fixture.deliver_report();
     CHECK(fixture.harness.stops[fixture.task] == 1);
-    CHECK_FALSE(fixture.harness.runs(fixture.task));
+    CHECK_FALSE(fixture.harness.has_started(fixture.task));
     report.starting.clear();
     report.refused = {{.task = fixture.task, .run = 1, .reason = "stopped"}};
     fixture.deliver_report();
     fixture.harness.advance(seconds(1));
     fixture.harness.report_from_guard("g2");
     fixture.harness.advance();
-    REQUIRE(fixture.harness.runs(fixture.task));
+    REQUIRE(fixture.harness.has_started(fixture.task));
     CHECK(fixture.harness.started.at(fixture.task).run == 2);
 }
 
@@ -148,7 +148,7 @@
 {
     restarted_worker fixture;
     fixture.deliver_report();
-    REQUIRE(fixture.harness.runs(fixture.task));
+    REQUIRE(fixture.harness.has_started(fixture.task));
     CHECK(fixture.harness.started.at(fixture.task).run == 2);
     CHECK(fixture.harness.stopped.empty());
 }
@@ -159,7 +159,7 @@
     fixture.harness.take_over();
     fixture.deliver_report();
     CHECK(fixture.harness.stops[fixture.task] == 1);
-    CHECK_FALSE(fixture.harness.runs(fixture.task));
+    CHECK_FALSE(fixture.harness.has_started(fixture.task));
 }
 
 // Records and guards of an older version do not contain start times.
@@ -171,7 +171,7 @@
     fixture.deliver_report();
     fixture.harness.worker("g1").worker.executor = {"i-1", 2};
     fixture.deliver_report();
-    CHECK_FALSE(fixture.harness.runs(fixture.task));
+    CHECK_FALSE(fixture.harness.has_started(fixture.task));
     CHECK(fixture.harness.stopped.empty());
 }
 
@@ -454,7 +454,8 @@
     for (int index = 0; index < 4; ++index)
     {
         const std::string other = next + ".0.0." + std::to_string(index);
-        CHECK((!harness.runs(other) || harness.guard_of.at(other) == "g2"));
+        CHECK((!harness.has_started(other) ||
+               harness.guard_of.at(other) == "g2"));
     }
     back.lease_ms = 0;
     harness.report_from_guard("g1");
--- a/tests/unit/run_exclusivity_tests.cpp
+++ b/tests/unit/run_exclusivity_tests.cpp
@@ -200,7 +200,7 @@
     const job definition = harness.submit({step_of(1)});
     const std::string task = definition.id + ".0.0.0";
     harness.advance();
-    REQUIRE(harness.runs(task));
+    REQUIRE(harness.has_started(task));
     guard.receive_start(task);
     guard.carry_out_due();
     guard.run_without_faults(seconds(1));
@@ -244,7 +244,7 @@
     const job definition = harness.submit({step_of(1)});
     const std::string task = definition.id + ".0.0.0";
     harness.advance();
-    REQUIRE(harness.runs(task));
+    REQUIRE(harness.has_started(task));
     harness.advance(milliseconds(200));
     guard.receive_start(task);
     const time_point until = harness.now + seconds(12);
@@ -276,7 +276,7 @@
     const job definition = harness.submit({step_of(1)});
     const std::string task = definition.id + ".0.0.0";
     harness.advance();
-    REQUIRE(harness.runs(task));
+    REQUIRE(harness.has_started(task));
     worker_report& report = harness.worker("g1");
     report.refused = {{.task = task, .run = 1, .reason = "no_room"}};
     SUBCASE("it runs")
@@ -308,7 +308,7 @@
     const job definition = harness.submit({step_of(1)});
     const std::string task = definition.id + ".0.0.0";
     harness.advance();
-    REQUIRE(harness.runs(task));
+    REQUIRE(harness.has_started(task));
     worker_report& report = harness.worker("g1");
     report.running.clear();
     report.refused = {{.task = task, .run = 1, .reason = "no_room"}};
--- a/tests/unit/scheduler_harness.hpp
+++ b/tests/unit/scheduler_harness.hpp
@@ -141,7 +141,7 @@
             ++report.sequence;
             answer = core.report(report, now, verified);
         }
-        take(answer.orders, guard);
+        receive_orders(answer.orders, guard);
         return answer;
     }
 
@@ -168,11 +168,11 @@
         }
         for (const addressed_orders& one : core.take_orders())
         {
-            take(one.orders, one.guard);
+            receive_orders(one.orders, one.guard);
         }
     }
 
-    void take(const guard_orders& orders, const std::string& guard)
+    void receive_orders(const guard_orders& orders, const std::string& guard)
     {
         for (const start_order& one : orders.starts)
         {
@@ -205,7 +205,7 @@
         return core.shown(id, now, verified);
     }
 
-    bool runs(const std::string& task) const
+    bool has_started(const std::string& task) const
     {
         return started.contains(task);
     }
--- a/tests/unit/scheduler_tests.cpp
+++ b/tests/unit/scheduler_tests.cpp
@@ -35,7 +35,7 @@
     const job definition = harness.submit({step_of(1)});
     harness.advance();
     const std::string task = definition.id + ".0.0.0";
-    REQUIRE(harness.runs(task));
+    REQUIRE(harness.has_started(task));
     harness.end(task, run_end::done);
     CHECK(harness.report_from_guard("g1").orders.acknowledged == 0);
     CHECK(harness.shown(definition.id) != job_state::succeeded);
@@ -52,16 +52,16 @@
     second.after = {0};
     const job definition = harness.submit({step_of(2), second});
     harness.advance();
-    CHECK(harness.runs(definition.id + ".0.0.1"));
-    CHECK_FALSE(harness.runs(definition.id + ".0.1.0"));
+    CHECK(harness.has_started(definition.id + ".0.0.1"));
+    CHECK_FALSE(harness.has_started(definition.id + ".0.1.0"));
     harness.end(definition.id + ".0.0.0", run_end::done);
     harness.report_from_guard("g1");
     harness.advance();
-    CHECK_FALSE(harness.runs(definition.id + ".0.1.0"));
+    CHECK_FALSE(harness.has_started(definition.id + ".0.1.0"));
     harness.end(definition.id + ".0.0.1", run_end::done);
     harness.report_from_guard("g1");
     harness.advance();
-    CHECK(harness.runs(definition.id + ".0.1.0"));
+    CHECK(harness.has_started(definition.id + ".0.1.0"));
 }
 
 TEST_CASE("failures count towards the max attempts, other ends do not")
@@ -193,15 +193,15 @@
     const job_step fill = best_effort_step(2);
     const job definition = harness.submit({fill});
     harness.advance();
-    CHECK_FALSE(harness.runs(definition.id + ".0.0.0"));
+    CHECK_FALSE(harness.has_started(definition.id + ".0.0.0"));
     for (int count = 0; count < 4; ++count)
     {
         harness.advance(milliseconds(450));
         harness.report_from_guard("g1");
     }
-    CHECK(harness.runs(definition.id + ".0.0.0"));
+    CHECK(harness.has_started(definition.id + ".0.0.0"));
     // Once a task of the job runs, the next one waits for a tolerant worker.
-    CHECK_FALSE(harness.runs(definition.id + ".0.0.1"));
+    CHECK_FALSE(harness.has_started(definition.id + ".0.0.1"));
 }
 
 TEST_CASE("the wait of a step begins when the steps before it are done")
@@ -223,14 +223,14 @@
     harness.end(definition.id + ".0.0.0", run_end::done);
     harness.report_from_guard("g1");
     harness.advance(milliseconds(100));
-    CHECK_FALSE(
-        harness.runs(definition.id + ".0.1.0")); // it was released just now
+    CHECK_FALSE(harness.has_started(definition.id +
+                                    ".0.1.0")); // it was released just now
     for (int count = 0; count < 4; ++count)
     {
         harness.advance(milliseconds(450));
         harness.report_from_guard("g1");
     }
-    CHECK(harness.runs(definition.id + ".0.1.0"));
+    CHECK(harness.has_started(definition.id + ".0.1.0"));
 }
 
 TEST_CASE("a best-effort task is not placed where its image is throttled")
@@ -240,11 +240,11 @@
     harness.report_from_guard("g1");
     const job definition = harness.submit({best_effort_step(1)});
     harness.advance();
-    CHECK_FALSE(harness.runs(definition.id + ".0.0.0"));
+    CHECK_FALSE(harness.has_started(definition.id + ".0.0.0"));
     harness.worker("g1").paces = {{"f", 75}};
     harness.report_from_guard("g1");
     harness.advance(milliseconds(100)); // the next placement pass
-    CHECK(harness.runs(definition.id + ".0.0.0"));
+    CHECK(harness.has_started(definition.id + ".0.0.0"));
 }
 
 TEST_CASE("a relocated best-effort task does not return at once")
@@ -283,10 +283,10 @@
     spread_step.most_per_worker = 1;
     const job spread = harness.submit({spread_step});
     harness.advance();
-    CHECK_FALSE(harness.runs(elsewhere.id + ".0.0.0"));
+    CHECK_FALSE(harness.has_started(elsewhere.id + ".0.0.0"));
     CHECK(harness.guard_of.at(big.id + ".0.0.0") == "g2");
-    CHECK(harness.runs(spread.id + ".0.0.1"));
-    CHECK_FALSE(harness.runs(spread.id + ".0.0.2"));
+    CHECK(harness.has_started(spread.id + ".0.0.1"));
+    CHECK_FALSE(harness.has_started(spread.id + ".0.0.2"));
     CHECK(harness.guard_of.at(spread.id + ".0.0.0") !=
           harness.guard_of.at(spread.id + ".0.0.1"));
 }
@@ -337,9 +337,9 @@
     const job brief = harness.submit({step_of(1, 4000)});
     harness.report_from_guard("g1");
     harness.advance();
-    CHECK(harness.runs(brief.id + ".0.0.0"));
-    CHECK_FALSE(harness.runs(patient.id + ".0.0.0"));
-    CHECK_FALSE(harness.runs(slow.id + ".0.0.0"));
+    CHECK(harness.has_started(brief.id + ".0.0.0"));
+    CHECK_FALSE(harness.has_started(patient.id + ".0.0.0"));
+    CHECK_FALSE(harness.has_started(slow.id + ".0.0.0"));
 }
 
 TEST_CASE("a gang starts completely or not at all, and ends together")
@@ -394,11 +394,11 @@
     CHECK(harness.started.empty());
     harness.unix_ms = 1'000'500;
     harness.advance();
-    CHECK(harness.runs("timed.0.0.0"));
-    CHECK_FALSE(harness.runs("timed.1.0.0"));
+    CHECK(harness.has_started("timed.0.0.0"));
+    CHECK_FALSE(harness.has_started("timed.1.0.0"));
     harness.unix_ms = 1'001'500;
     harness.advance();
-    CHECK(harness.runs("timed.1.0.0"));
+    CHECK(harness.has_started("timed.1.0.0"));
 }
 
 TEST_CASE("a guard that is cut off keeps its tasks until its lease expires")
@@ -500,7 +500,7 @@
                       second.now, 0);
     second.core.begin(second.now);
     const time_point since = second.now;
-    while (!second.runs(task))
+    while (!second.has_started(task))
     {
         second.report_from_guard("g2");
         second.advance(milliseconds(100));
@@ -696,11 +696,11 @@
     const job next = harness.submit({step_of(1)});
     harness.report_from_guard("g1");
     harness.advance();
-    CHECK_FALSE(harness.runs(next.id + ".0.0.0"));
+    CHECK_FALSE(harness.has_started(next.id + ".0.0.0"));
     harness.now += seconds(3);
     harness.report_from_guard("g1");
     harness.advance();
-    CHECK(harness.runs(next.id + ".0.0.0"));
+    CHECK(harness.has_started(next.id + ".0.0.0"));
 }
 
 TEST_CASE("a run without progress is stopped; its task then avoids that worker")
@@ -762,5 +762,5 @@
     harness.report_from_guard("g1");
     const job definition = harness.submit({step_of(1)});
     harness.advance();
-    CHECK(harness.runs(definition.id + ".0.0.0"));
+    CHECK(harness.has_started(definition.id + ".0.0.0"));
 }
