--- a/bench/slopes.cpp
+++ b/bench/slopes.cpp
@@ -1,6 +1,7 @@
-// Measures how the cost of a role grows with what it knows of: processor
-// time per heartbeat, request, table edit and task step, bytes on the wire,
-// memory per guard, class and task. Prints one line a point.
+// Measures how the cost of a role grows with the number of guards, workspaces
+// and tasks: processor time per heartbeat, request, table edit and task step,
+// bytes on the wire, memory per guard, workspace and task. Prints one line per
+// point.
 
 #include <springstair/entry.hpp>
 #include <springstair/guard.hpp>
@@ -28,12 +29,12 @@
            static_cast<double>(now.tv_nsec) / 1e9;
 }
 
-double micros_each(int times, const std::function<void(int)>& what)
+double micros_each(int times, const std::function<void(int)>& operation)
 {
     const double begin = processor_seconds();
     for (int index = 0; index < times; ++index)
     {
-        what(index);
+        operation(index);
     }
     return micro * (processor_seconds() - begin) / times;
 }
@@ -43,11 +44,11 @@
     return static_cast<double>(mallinfo2().uordblks);
 }
 
-void print(const std::string& what, double at, double value,
+void print(const std::string& label, double point, double value,
            const std::string& unit)
 {
-    std::cout << std::left << std::setw(46) << what << std::right
-              << std::setw(9) << at << std::setw(12) << std::fixed
+    std::cout << std::left << std::setw(46) << label << std::right
+              << std::setw(9) << point << std::setw(12) << std::fixed
               << std::setprecision(2) << value << " " << unit << "\n";
     std::cout.unsetf(std::ios::floatfield);
 }
@@ -197,7 +198,7 @@
                               core.on_attempt(
                                   now, {.attempt = name,
                                         .entry = "e",
-                                        .of = {team, "fast"},
+                                        .request_class = {team, "fast"},
                                         .incarnation = "1",
                                         .remaining = std::chrono::seconds(9)});
                               core.on_executor(now, name,
@@ -212,21 +213,21 @@
     for (const int tasks : {100, 460, 2000})
     {
         const double before = heap_bytes();
-        task_book book;
+        shard_tasks shard;
         for (int index = 0; index < tasks; ++index)
         {
             const std::string id = "t1-" + std::to_string(1000000 + index);
             task_transition step;
             step.task = id;
             step.spec = task_spec{.id = id, .of = {"team-1", "batch"}};
-            book.apply(step);
+            shard.apply(step);
         }
         print("shard: memory per task, by tasks", tasks,
               (heap_bytes() - before) / tasks, "bytes");
         print("shard: snapshot, by tasks", tasks,
-              static_cast<double>(book.to_document().dump().size()), "bytes");
+              static_cast<double>(shard.to_document().dump().size()), "bytes");
         print("shard: snapshot written, by tasks", tasks,
-              micros_each(5, [&](int) { book.to_document().dump(); }), "us");
+              micros_each(5, [&](int) { shard.to_document().dump(); }), "us");
     }
     task_transition step;
     step.what = task_transition::step::place;
@@ -242,52 +243,55 @@
           static_cast<double>(json(step).dump().size()), "bytes");
 }
 
-constexpr int filling_images = 18;
-constexpr resources worker_room{.cpu_millis = 32000, .memory_mb = 128000};
+constexpr int best_effort_images = 18;
+constexpr resources worker_capacity{.cpu_millis = 32000, .memory_mb = 128000};
 
-// A worker with nothing at work.
-worker_report worker_of(int index, int sequence)
+// The report of an idle worker.
+worker_report idle_report_of(int index, int sequence)
 {
     const std::string name = "guard-" + std::to_string(index);
-    worker_report report{
-        .guard = name,
-        .address = "10.0.0.1:7720",
-        .incarnation = "i",
-        .sequence = sequence,
-        .worker = {.life = name, .service = "s", .capacity = worker_room},
-        .looked = true,
-        .answering = true};
+    worker_report report{.guard = name,
+                         .address = "10.0.0.1:7720",
+                         .incarnation = "i",
+                         .sequence = sequence,
+                         .worker = {.executor = name,
+                                    .service = "s",
+                                    .capacity = worker_capacity},
+                         .looked = true,
+                         .answering = true};
     return report;
 }
 
-job filling_job(int index, std::int64_t tasks)
+job best_effort_job(int index, std::int64_t tasks)
 {
-    return {.id = "fill-" + std::to_string(index),
-            .queue = "heavy",
-            .payload = "p",
-            .steps = {{.count = tasks,
-                       .demand = {.cpu_millis = 3500, .memory_mb = 6400},
-                       .estimate_ms = 1700,
-                       .image = "f" + std::to_string(index % filling_images),
-                       .fills = true}}};
+    return {
+        .id = "fill-" + std::to_string(index),
+        .queue = "heavy",
+        .payload = "p",
+        .steps = {{.count = tasks,
+                   .demand = {.cpu_millis = 3500, .memory_mb = 6400},
+                   .estimate_ms = 1700,
+                   .image = "f" + std::to_string(index % best_effort_images),
+                   .fills = true}}};
 }
 
 void report_all(scheduler_core& core, int workers, int sequence, time_point now)
 {
     for (int index = 0; index < workers; ++index)
     {
-        core.report(worker_of(index, sequence), now, now);
+        core.report(idle_report_of(index, sequence), now, now);
     }
 }
 
-// Passes over waiting fills that find nothing: the usual case under load.
+// Placement passes over waiting best-effort tasks. Passes that find no capacity
+// are the common case under load.
 void measure_placing()
 {
     for (const int workers : {30, 100, 300})
     {
         time_point now{std::chrono::hours(1)};
         scheduler_core core;
-        core.take_office(1, now);
+        core.begin_term(1, now);
         core.set_table(
             {.version = 1, .queues = {{.name = "heavy", .service = "s"}}});
         core.begin(now);
@@ -299,14 +303,13 @@
                         {
                             for (int index = 0; index < jobs; ++index)
                             {
-                                core.accept(filling_job(index, 8), now);
+                                core.accept(best_effort_job(index, 8), now);
                             }
                             core.tick(now, 0);
                         });
         const auto placed = static_cast<double>(core.figures().starts);
-        print("holder: a task placed, by workers", workers, first / placed,
-              "us");
-        print("holder: a pass that places nothing", workers,
+        print("leader: task placed, by workers", workers, first / placed, "us");
+        print("leader: pass that places nothing", workers,
               micros_each(50,
                           [&](int)
                           {
--- a/packages/cli/commands.cpp
+++ b/packages/cli/commands.cpp
@@ -16,8 +16,8 @@
 namespace
 {
 
-constexpr duration in_force_within = std::chrono::seconds(6);
-constexpr duration look_again = std::chrono::milliseconds(100);
+constexpr duration in_force_timeout = std::chrono::seconds(6);
+constexpr duration status_poll_interval = std::chrono::milliseconds(100);
 
 struct usage_error
 {
@@ -33,7 +33,7 @@
     return value.is_string() ? value.get<std::string>() : value.dump();
 }
 
-// Prints objects as a table whose columns are the given members.
+// Prints objects as a table with the given members as columns.
 void print_rows(const json& rows, const std::vector<std::string>& columns)
 {
     std::map<std::string, std::size_t> widths;
@@ -67,20 +67,20 @@
     }
 }
 
-int show(session& with, const answer& got,
+int show(session& api, const answer& response,
          const std::function<void(const json&)>& print)
 {
-    if (code_of(got) != exit_good)
+    if (exit_code_of(response) != exit_ok)
     {
-        return complain(got);
+        return report_error(response);
     }
-    if (with.call().as_json)
+    if (api.call().as_json)
     {
-        std::cout << got.body.dump(4) << "\n";
-        return exit_good;
+        std::cout << response.body.dump(4) << "\n";
+        return exit_ok;
     }
-    print(got.body);
-    return exit_good;
+    print(response.body);
+    return exit_ok;
 }
 
 // ---------------------------------------------------------------------------
@@ -107,7 +107,7 @@
     return value.is_discarded() ? json(text) : value;
 }
 
-// Whether every process that is alive has the revision, and how many have.
+// How many responsive processes have the revision, and how many there are.
 std::pair<int, int> count_in_force(const json& status, std::int64_t revision)
 {
     int have = 0;
@@ -127,14 +127,14 @@
     return {have, all};
 }
 
-int await_in_force(session& with, std::int64_t revision)
+int await_in_force(session& api, std::int64_t revision)
 {
-    const time_point until = boot_clock::now() + in_force_within;
+    const time_point until = boot_clock::now() + in_force_timeout;
     std::pair<int, int> count{0, 0};
     while (boot_clock::now() < until)
     {
-        const answer status = with.ask("GET", "/v1/status");
-        if (code_of(status) == exit_good)
+        const answer status = api.ask("GET", "/v1/status");
+        if (exit_code_of(status) == exit_ok)
         {
             count = count_in_force(status.body, revision);
             if (count.first == count.second)
@@ -142,36 +142,36 @@
                 break;
             }
         }
-        std::this_thread::sleep_for(look_again);
+        std::this_thread::sleep_for(status_poll_interval);
     }
-    if (!with.call().as_json)
+    if (!api.call().as_json)
     {
         std::cout << "in force at " << count.first << " of " << count.second
                   << " processes\n";
     }
-    return exit_good;
+    return exit_ok;
 }
 
-int send_edits(session& with, const json& edits)
+int send_edits(session& api, const json& edits)
 {
-    const answer got = with.ask("PATCH", "/v1/table", edits);
-    if (code_of(got) != exit_good)
+    const answer response = api.ask("PATCH", "/v1/table", edits);
+    if (exit_code_of(response) != exit_ok)
     {
-        return complain(got);
+        return report_error(response);
     }
-    const std::int64_t revision = got.body.at("revision");
-    if (with.call().as_json)
+    const std::int64_t revision = response.body.at("revision");
+    if (api.call().as_json)
     {
-        std::cout << got.body.dump() << "\n";
+        std::cout << response.body.dump() << "\n";
     }
     else
     {
         std::cout << "saved as revision " << revision << std::endl;
     }
-    return with.call().wait ? await_in_force(with, revision) : exit_good;
+    return api.call().wait ? await_in_force(api, revision) : exit_ok;
 }
 
-json edit_of(session& with, const std::string& row, const std::string& column,
+json edit_of(session& api, const std::string& row, const std::string& column,
              const json& value)
 {
     json edit{{"row", row}, {"value", value}};
@@ -179,14 +179,14 @@
     {
         edit["column"] = column;
     }
-    if (with.call().expects)
+    if (api.call().expects)
     {
-        edit["expects"] = read_value(*with.call().expects);
+        edit["expects"] = read_value(*api.call().expects);
     }
     return json::array({edit});
 }
 
-int import_table(session& with, const std::string& path)
+int import_table(session& api, const std::string& path)
 {
     std::ifstream file(path);
     std::stringstream text;
@@ -196,10 +196,10 @@
     {
         throw usage_error{path + " is not an exported table"};
     }
-    const answer present = with.ask("GET", "/v1/table");
-    if (code_of(present) != exit_good)
+    const answer present = api.ask("GET", "/v1/table");
+    if (exit_code_of(present) != exit_ok)
     {
-        return complain(present);
+        return report_error(present);
     }
     json edits = json::array();
     const json& before = present.body.at("rows");
@@ -223,86 +223,87 @@
     if (edits.empty())
     {
         std::cout << "nothing to change\n";
-        return exit_good;
+        return exit_ok;
     }
-    return send_edits(with, edits);
+    return send_edits(api, edits);
 }
 
-int export_table(session& with, const std::string& path)
+int export_table(session& api, const std::string& path)
 {
-    const answer got = with.ask("GET", "/v1/table");
-    if (code_of(got) != exit_good)
+    const answer response = api.ask("GET", "/v1/table");
+    if (exit_code_of(response) != exit_ok)
     {
-        return complain(got);
+        return report_error(response);
     }
     std::ofstream file(path);
-    file << json{{"rows", got.body.at("rows")}}.dump(4) << "\n";
+    file << json{{"rows", response.body.at("rows")}}.dump(4) << "\n";
     if (!file.flush())
     {
         throw usage_error{path + " cannot be written"};
     }
-    return exit_good;
+    return exit_ok;
 }
 
-void need(const std::vector<std::string>& words, std::size_t count)
+void require_arguments(const std::vector<std::string>& arguments,
+                       std::size_t count)
 {
-    if (words.size() != count)
+    if (arguments.size() != count)
     {
-        throw usage_error{"wrong number of words; see --help"};
+        throw usage_error{"wrong number of arguments; see --help"};
     }
 }
 
-int table_command(session& with)
+int table_command(session& api)
 {
-    const std::vector<std::string>& words = with.call().words;
-    const std::string verb = words.size() > 1 ? words[1] : "";
+    const std::vector<std::string>& arguments = api.call().arguments;
+    const std::string verb = arguments.size() > 1 ? arguments[1] : "";
     if (verb == "show")
     {
-        return show(with, with.ask("GET", "/v1/table"), print_table);
+        return show(api, api.ask("GET", "/v1/table"), print_table);
     }
     if (verb == "get")
     {
-        need(words, 4);
-        return show(with, with.ask("GET", "/v1/table"),
+        require_arguments(arguments, 4);
+        return show(api, api.ask("GET", "/v1/table"),
                     [&](const json& document)
                     {
-                        const json row =
-                            document.at("rows").value(words[2], json::object());
-                        std::cout << cell_text(row.value(words[3], json()))
+                        const json row = document.at("rows").value(
+                            arguments[2], json::object());
+                        std::cout << cell_text(row.value(arguments[3], json()))
                                   << "\n";
                     });
     }
     if (verb == "set")
     {
-        need(words, 5);
-        return send_edits(
-            with, edit_of(with, words[2], words[3], read_value(words[4])));
+        require_arguments(arguments, 5);
+        return send_edits(api, edit_of(api, arguments[2], arguments[3],
+                                       read_value(arguments[4])));
     }
     if (verb == "add-row")
     {
-        need(words, 4);
-        json edits = edit_of(with, words[2], "", read_value(words[3]));
-        edits[0]["expects"] = nullptr; // a row that is there is a conflict
-        return send_edits(with, edits);
+        require_arguments(arguments, 4);
+        json edits = edit_of(api, arguments[2], "", read_value(arguments[3]));
+        edits[0]["expects"] = nullptr; // an existing row is a conflict
+        return send_edits(api, edits);
     }
     if (verb == "remove-row")
     {
-        need(words, 3);
-        return send_edits(with, edit_of(with, words[2], "", nullptr));
+        require_arguments(arguments, 3);
+        return send_edits(api, edit_of(api, arguments[2], "", nullptr));
     }
     if (verb == "import")
     {
-        need(words, 3);
-        return import_table(with, words[2]);
+        require_arguments(arguments, 3);
+        return import_table(api, arguments[2]);
     }
     if (verb == "export")
     {
-        need(words, 3);
-        return export_table(with, words[2]);
+        require_arguments(arguments, 3);
+        return export_table(api, arguments[2]);
     }
     if (verb == "history")
     {
-        return show(with, with.ask("GET", "/v1/table/history"),
+        return show(api, api.ask("GET", "/v1/table/history"),
                     [](const json& body)
                     {
                         for (const json& one : body.at("history"))
@@ -312,7 +313,7 @@
                         }
                     });
     }
-    throw usage_error{"unknown: table " + verb};
+    throw usage_error{"unknown command: table " + verb};
 }
 
 // ---------------------------------------------------------------------------
@@ -334,10 +335,10 @@
                 "running", "queued", "tasks"});
 }
 
-int task_command(session& with)
+int task_command(session& api)
 {
-    const std::vector<std::string>& words = with.call().words;
-    const std::string verb = words.size() > 1 ? words[1] : "";
+    const std::vector<std::string>& arguments = api.call().arguments;
+    const std::string verb = arguments.size() > 1 ? arguments[1] : "";
     const auto print = [](const json& task)
     {
         print_rows(json::array({task}),
@@ -345,27 +346,27 @@
     };
     if (verb == "submit")
     {
-        need(words, 3);
-        return show(with, with.ask("POST", "/v1/tasks", read_value(words[2])),
+        require_arguments(arguments, 3);
+        return show(api, api.ask("POST", "/v1/tasks", read_value(arguments[2])),
                     print);
     }
     if (verb == "show")
     {
-        need(words, 3);
-        return show(with, with.ask("GET", "/v1/tasks/" + words[2]), print);
+        require_arguments(arguments, 3);
+        return show(api, api.ask("GET", "/v1/tasks/" + arguments[2]), print);
     }
     if (verb == "cancel")
     {
-        need(words, 3);
-        return show(with, with.ask("DELETE", "/v1/tasks/" + words[2]), print);
+        require_arguments(arguments, 3);
+        return show(api, api.ask("DELETE", "/v1/tasks/" + arguments[2]), print);
     }
     if (verb == "list")
     {
-        const std::string& whose = with.call().workspace;
+        const std::string& whose = api.call().workspace;
         const std::string path = whose.empty()
                                      ? "/v1/tasks"
                                      : "/v1/operator/tasks?workspace=" + whose;
-        return show(with, with.ask("GET", path),
+        return show(api, api.ask("GET", path),
                     [](const json& body)
                     {
                         print_rows(body.at("tasks"),
@@ -374,28 +375,28 @@
                         if (!body.at("complete").get<bool>())
                         {
                             std::cerr << "an entry did not answer: the list "
-                                         "is not whole\n";
+                                         "is incomplete\n";
                         }
                     });
     }
-    throw usage_error{"unknown: task " + verb};
+    throw usage_error{"unknown command: task " + verb};
 }
 
 // ---------------------------------------------------------------------------
 // Jobs
 // ---------------------------------------------------------------------------
 
-// Reads logs only: it works while nothing else does.
+// Reads log files only, so it works while all processes are down.
 std::optional<std::vector<log_line>>
-read_logs(const std::vector<std::string>& words, std::size_t first)
+read_logs(const std::vector<std::string>& arguments, std::size_t first)
 {
     std::vector<log_line> lines;
-    for (std::size_t index = first; index < words.size(); ++index)
+    for (std::size_t index = first; index < arguments.size(); ++index)
     {
-        std::ifstream file(words[index]);
+        std::ifstream file(arguments[index]);
         if (!file)
         {
-            std::cerr << words[index] << ": cannot be read\n";
+            std::cerr << arguments[index] << ": cannot be read\n";
             return std::nullopt;
         }
         const auto of_file = read_log(file);
@@ -412,81 +413,81 @@
     }
 }
 
-int explain_job(const std::vector<std::string>& words, bool as_json)
+int explain_job(const std::vector<std::string>& arguments, bool as_json)
 {
-    auto lines = read_logs(words, 3);
+    auto lines = read_logs(arguments, 3);
     if (!lines)
     {
         return exit_failed;
     }
-    const auto story = story_of(words[2], std::move(*lines));
-    if (story.empty())
+    const auto timeline = timeline_of(arguments[2], std::move(*lines));
+    if (timeline.empty())
     {
-        std::cerr << "no line of these logs tells of job " << words[2] << "\n";
+        std::cerr << "no log event refers to job " << arguments[2] << "\n";
         return exit_failed;
     }
-    print_lines(story, as_json);
-    return exit_good;
+    print_lines(timeline, as_json);
+    return exit_ok;
 }
 
-int show_closures(const std::vector<std::string>& words, bool as_json)
+int show_closures(const std::vector<std::string>& arguments, bool as_json)
 {
-    const auto lines = read_logs(words, 2);
+    const auto lines = read_logs(arguments, 2);
     if (!lines)
     {
         return exit_failed;
     }
     print_lines(closures_in(*lines), as_json);
-    return exit_good;
+    return exit_ok;
 }
 
-int job_command(const std::vector<std::string>& words, bool as_json)
+int job_command(const std::vector<std::string>& arguments, bool as_json)
 {
-    const std::string verb = words.size() < 2 ? "" : words[1];
-    if (verb == "explain" && words.size() >= 4)
+    const std::string verb = arguments.size() < 2 ? "" : arguments[1];
+    if (verb == "explain" && arguments.size() >= 4)
     {
-        return explain_job(words, as_json);
+        return explain_job(arguments, as_json);
     }
-    if (verb == "closures" && words.size() >= 3)
+    if (verb == "closures" && arguments.size() >= 3)
     {
-        return show_closures(words, as_json);
+        return show_closures(arguments, as_json);
     }
     throw usage_error{"job explain ID LOG... or job closures LOG...; see "
                       "--help"};
 }
 
-int dispatch(session& with)
+int dispatch(session& api)
 {
-    const std::vector<std::string>& words = with.call().words;
-    const std::string noun = words.empty() ? "" : words[0];
+    const std::vector<std::string>& arguments = api.call().arguments;
+    const std::string noun = arguments.empty() ? "" : arguments[0];
     if (noun == "job")
     {
-        return job_command(words, with.call().as_json);
+        return job_command(arguments, api.call().as_json);
     }
-    if (with.call().entries.empty())
+    if (api.call().entries.empty())
     {
         throw usage_error{"--entries or SPRINGSTAIR_ENTRIES is required"};
     }
     if (noun == "table")
     {
-        return table_command(with);
+        return table_command(api);
     }
     if (noun == "task")
     {
-        return task_command(with);
+        return task_command(api);
     }
     if (noun == "status")
     {
-        return show(with, with.ask("GET", "/v1/status"), print_status);
+        return show(api, api.ask("GET", "/v1/status"), print_status);
     }
     if (noun == "drain")
     {
-        need(words, 2);
-        return show(with,
-                    with.ask("POST", "/v1/drain", json{{"guard", words[1]}}),
-                    [&](const json&) { std::cout << words[1] << " drains\n"; });
+        require_arguments(arguments, 2);
+        return show(
+            api, api.ask("POST", "/v1/drain", json{{"guard", arguments[1]}}),
+            [&](const json&) { std::cout << arguments[1] << " drains\n"; });
     }
-    throw usage_error{"unknown: " + noun};
+    throw usage_error{"unknown command: " + noun};
 }
 
 } // namespace
@@ -499,12 +500,12 @@
            "job explain ID LOG..., job closures LOG...";
 }
 
-std::vector<std::string> split(const std::string& text, char at)
+std::vector<std::string> split(const std::string& text, char separator)
 {
     std::vector<std::string> parts;
     std::stringstream in(text);
     std::string part;
-    while (std::getline(in, part, at))
+    while (std::getline(in, part, separator))
     {
         if (!part.empty())
         {
@@ -518,8 +519,8 @@
 {
     try
     {
-        session with(call);
-        return dispatch(with);
+        session api(call);
+        return dispatch(api);
     }
     catch (const usage_error& error)
     {
@@ -528,8 +529,7 @@
     }
     catch (const json::exception& error)
     {
-        std::cerr << "an answer has not the shape expected: " << error.what()
-                  << "\n";
+        std::cerr << "unexpected format of an answer: " << error.what() << "\n";
         return exit_failed;
     }
 }
--- a/packages/cli/main.cpp
+++ b/packages/cli/main.cpp
@@ -1,4 +1,4 @@
-// springstair: the operators' command line.
+// springstair: the command line for operators.
 
 #include "commands.hpp"
 
@@ -58,7 +58,7 @@
         POPT_AUTOHELP POPT_TABLEEND};
     const poptContext context = poptGetContext(
         "springstair", count, arguments, options,
-        POPT_CONTEXT_POSIXMEHARDER); // a value may begin with a dash
+        POPT_CONTEXT_POSIXMEHARDER); // a value may start with a dash
     poptSetOtherOptionHelp(context, usage());
     const int result = poptGetNextOpt(context);
     if (result < -1)
@@ -70,7 +70,7 @@
     if (line.version != 0)
     {
         std::cout << "springstair " << springstair::version() << "\n";
-        return exit_good;
+        return exit_ok;
     }
     invocation call{
         .entries = split(text_or(line.entries, "SPRINGSTAIR_ENTRIES"), ','),
@@ -82,7 +82,7 @@
         .wait = line.no_wait == 0};
     while (const char* word = poptGetArg(context))
     {
-        call.words.emplace_back(word);
+        call.arguments.emplace_back(word);
     }
     poptFreeContext(context);
     return run_command(call);
--- a/packages/core/include/springstair/core.hpp
+++ b/packages/core/include/springstair/core.hpp
@@ -1,10 +1,10 @@
 #pragma once
 /// @file
-/// Values, time, errors, events and metrics that every package shares.
+/// Types shared by all packages: names, time, errors, events and metrics.
 
 #include <springstair/detail/core/errors.hpp>
 #include <springstair/detail/core/events.hpp>
-#include <springstair/detail/core/log_budget.hpp>
+#include <springstair/detail/core/log_rate_limiter.hpp>
 #include <springstair/detail/core/mailbox.hpp>
 #include <springstair/detail/core/metrics.hpp>
 #include <springstair/detail/core/names.hpp>
--- a/packages/daemon/src/entry_requests.cpp
+++ b/packages/daemon/src/entry_requests.cpp
@@ -1,4 +1,4 @@
-// Callers' requests: from HTTP to the state machine and back.
+// Callers' requests: translates between HTTP and the state machine.
 
 #include "entry_control.hpp"
 
@@ -13,7 +13,7 @@
 
 constexpr std::string_view request_path = "/v1/request";
 constexpr std::int64_t default_deadline_ms = 10'000;
-constexpr std::int64_t longest_deadline_ms = 600'000;
+constexpr std::int64_t max_deadline_ms = 600'000;
 constexpr duration answer_margin = std::chrono::milliseconds(250);
 
 std::optional<std::int64_t> deadline_of(const http_request& request)
@@ -29,7 +29,7 @@
     {
         return std::nullopt;
     }
-    return std::min<std::int64_t>(std::stoll(text), longest_deadline_ms);
+    return std::min<std::int64_t>(std::stoll(text), max_deadline_ms);
 }
 
 std::optional<bool> repeatable_of(const http_request& request)
@@ -57,10 +57,10 @@
         const auto found = headers.find(name);
         return found == headers.end() ? std::string() : found->second;
     };
-    // An answer that does not name the attempt is not an answer to it.
-    const bool own = ended.result.how == delivery::answered &&
-                     value(wire::attempt) == ended.attempt.value;
-    if (!own)
+    // A response that does not name the attempt does not answer it.
+    const bool is_own_answer = ended.result.how == delivery::answered &&
+                               value(wire::attempt) == ended.attempt.value;
+    if (!is_own_answer)
     {
         result.how = ending::unknown;
         return result;
@@ -101,8 +101,10 @@
         return;
     }
     const time_point now = clock_.now();
-    const class_name of{.workspace = workspace, .work_class = work_class};
-    if (drain_since_ && now - *drain_since_ > process_.from.entry.drain_grace)
+    const class_name request_class{.workspace = workspace,
+                                   .work_class = work_class};
+    if (drain_since_ &&
+        now - *drain_since_ > process_.own_settings.entry.drain_grace)
     {
         arrival.responder->respond(
             to_response({.reason = refusal::draining,
@@ -112,21 +114,21 @@
     const request_number number = next_number_++;
     const caller_request request{
         .number = number,
-        .of = of,
+        .of = request_class,
         .deadline = now + std::chrono::milliseconds(*deadline_ms),
         .repeatable = repeatable_of(arrival.request)};
     open_[number] = {.request = std::move(arrival.request),
                      .responder = arrival.responder,
-                     .of = of,
+                     .request_class = request_class,
                      .arrived = now};
     carry_out(requests_.on_request(now, request));
 }
 
 void entry_control::on(attempt_ended& ended)
 {
-    answer_ = &ended.result;
+    current_result_ = &ended.result;
     carry_out(requests_.on_attempt(clock_.now(), classify(ended)));
-    answer_ = nullptr;
+    current_result_ = nullptr;
 }
 
 void entry_control::carry_out(const request_actions& actions)
@@ -140,18 +142,18 @@
 void entry_control::act(const send_attempt& send)
 {
     open_request& open = open_.at(send.number);
-    if (++open.sent > 1)
+    if (++open.attempts > 1)
     {
-        process_.numbers.count("retries", open.of,
+        process_.numbers.count("retries", open.request_class,
                                send.may_wait ? "retry" : "busy");
     }
     header_map headers = end_to_end_headers(open.request.headers);
-    headers[wire::fleet_key] = process_.from.common.fleet_key;
+    headers[wire::fleet_key] = process_.own_settings.common.fleet_key;
     headers[wire::attempt] = send.attempt.value;
-    headers[wire::entry] = process_.from.common.name;
+    headers[wire::entry] = process_.own_settings.common.name;
     headers[wire::incarnation] = send.incarnation;
-    headers[wire::workspace] = open.of.workspace;
-    headers[wire::work_class] = open.of.work_class;
+    headers[wire::workspace] = open.request_class.workspace;
+    headers[wire::work_class] = open.request_class.work_class;
     headers[wire::repeatable] = send.repeatable ? "true" : "false";
     headers[wire::may_wait] = send.may_wait ? "true" : "false";
     headers[wire::deadline_ms] =
@@ -167,8 +169,8 @@
          .headers = std::move(headers),
          .body = open.request.body,
          .timeout = send.remaining + answer_margin,
-         .exactly_one_connection = !send.repeatable,
-         .most_open = most_requests_open},
+         .dedicated_connection = !send.repeatable,
+         .max_open_calls = max_requests_open},
         [&process = process_, name = send.attempt](http_result result) {
             process.events.post(attempt_ended{name, std::move(result)});
         });
@@ -177,24 +179,24 @@
 void entry_control::act(const forward_answer& forward)
 {
     const auto found = open_.find(forward.number);
-    http_response response = answer_->response;
+    http_response response = current_result_->response;
     response.headers = end_to_end_headers(response.headers);
-    process_.numbers.observe("request", found->second.of,
+    process_.numbers.observe("request", found->second.request_class,
                              clock_.now() - found->second.arrived);
     found->second.responder->respond(std::move(response));
     open_.erase(found);
 }
 
-void entry_control::act(const answer_problem& problem)
+void entry_control::act(const answer_problem& answer)
 {
-    const auto found = open_.find(problem.number);
-    process_.numbers.count("refused", problem.of,
-                           to_string(problem.what.reason));
-    found->second.responder->respond(to_response(problem.what));
+    const auto found = open_.find(answer.number);
+    process_.numbers.count("refused", answer.request_class,
+                           to_string(answer.problem.reason));
+    found->second.responder->respond(to_response(answer.problem));
     open_.erase(found);
 }
 
-void entry_control::act(const note_guard& note)
+void entry_control::act(const log_guard& note)
 {
     log_event(note.event, {{"guard", note.guard.value}});
     process_.numbers.set("guards_ejected",
--- a/packages/daemon/src/entry_tasks.cpp
+++ b/packages/daemon/src/entry_tasks.cpp
@@ -1,4 +1,4 @@
-// Tasks: callers' submissions, reads and cancels, and commands to guards.
+// Tasks: callers' submissions, queries and cancellations, and calls to guards.
 
 #include "entry_control.hpp"
 
@@ -11,15 +11,15 @@
 namespace
 {
 
-constexpr int good = 200;
+constexpr int ok = 200;
 constexpr int accepted = 202;
-constexpr int partial = 206;
+constexpr int partial_content = 206;
 constexpr std::string_view tasks_path = "/v1/tasks";
 constexpr duration call_deadline = std::chrono::seconds(5);
 constexpr duration forward_timeout = std::chrono::seconds(6);
 constexpr duration list_timeout = std::chrono::seconds(1);
-constexpr std::int64_t most_cpu_millis = 10'000'000;
-constexpr std::int64_t longest_run_ms = std::int64_t{30} * 24 * 3600 * 1000;
+constexpr std::int64_t max_cpu_millis = 10'000'000;
+constexpr std::int64_t max_run_ms = std::int64_t{30} * 24 * 3600 * 1000;
 
 json to_answer(const task_record& record)
 {
@@ -41,19 +41,19 @@
     return answer;
 }
 
-// Reads a submission. @throw document_error with every finding
+// Parses a submission. Throws document_error with every finding.
 task_spec parse_submission(const json& body, const std::string& workspace)
 {
     findings wrong;
     object_reader reader(body, "", wrong);
     task_spec spec;
     spec.of = {.workspace = workspace, .work_class = reader.text("class")};
-    spec.needs.cpu_millis = reader.integer(
-        "cpu_millis", std::nullopt, {.least = 1, .most = most_cpu_millis});
+    spec.needs.cpu_millis = reader.integer("cpu_millis", std::nullopt,
+                                           {.min = 1, .max = max_cpu_millis});
     spec.needs.memory_mb =
-        reader.integer("memory_mb", std::nullopt, {.least = 1});
+        reader.integer("memory_mb", std::nullopt, {.min = 1});
     spec.needs.accelerators = reader.integer("accelerators", 0);
-    spec.run_ms = reader.integer("run_ms", 0, {.most = longest_run_ms});
+    spec.run_ms = reader.integer("run_ms", 0, {.max = max_run_ms});
     spec.urgent = reader.boolean("urgent", false);
     spec.payload = reader.text("payload", std::string());
     reader.reject_unknown();
@@ -132,7 +132,7 @@
     }
     if (!cancel)
     {
-        arrival.responder->respond(json_response(good, to_answer(*record)));
+        arrival.responder->respond(json_response(ok, to_answer(*record)));
         return;
     }
     const task_call call = next_number_++;
@@ -143,7 +143,8 @@
     carry_out(actions);
 }
 
-// Hands a call to the entry that holds the task's shard; once only.
+// Forwards a call to the owner of the task's shard. Returns false if the task
+// name is invalid or another entry has forwarded the call already.
 bool entry_control::forward_task_call(http_arrival& arrival,
                                       const std::string& workspace,
                                       const std::string& task)
@@ -153,17 +154,18 @@
     {
         return false;
     }
-    for (const auto& [name, said] : requests_.entries().summaries())
+    for (const auto& [name, peer_summary] : requests_.entries().summaries())
     {
-        if (std::find(said.shards.begin(), said.shards.end(), *shard) ==
-            said.shards.end())
+        if (std::find(peer_summary.shards.begin(), peer_summary.shards.end(),
+                      *shard) == peer_summary.shards.end())
         {
             continue;
         }
         process_.client.send(
             {.method = arrival.request.method,
-             .url = "http://" + said.address + arrival.request.path,
-             .headers = {{wire::fleet_key, process_.from.common.fleet_key},
+             .url = "http://" + peer_summary.address + arrival.request.path,
+             .headers = {{wire::fleet_key,
+                          process_.own_settings.common.fleet_key},
                          {wire::workspace, workspace}},
              .body = {},
              .timeout = forward_timeout},
@@ -177,7 +179,7 @@
     arrival.responder->respond(
         to_response({.reason = refusal::starting,
                      .retry_after = std::chrono::seconds(1),
-                     .detail = "the task's shard changes hands"}));
+                     .detail = "no known entry owns the task's shard"}));
     return true;
 }
 
@@ -200,26 +202,28 @@
 void entry_control::on_list(http_arrival& arrival, const std::string& workspace)
 {
     const std::uint64_t number = next_number_++;
-    task_list& list = lists_[number];
+    task_list& list = task_lists_[number];
     list.responder = arrival.responder;
     for (const task_record& record : tasks_.records_of(workspace))
     {
         list.tasks.push_back(to_answer(record));
     }
-    const bool handed_on = arrival.request.headers.contains(wire::fleet_key);
-    if (!handed_on)
+    const bool forwarded = arrival.request.headers.contains(wire::fleet_key);
+    if (!forwarded)
     {
-        for (const auto& [name, said] : requests_.entries().summaries())
+        for (const auto& [name, peer_summary] : requests_.entries().summaries())
         {
-            if (said.shards.empty())
+            if (peer_summary.shards.empty())
             {
                 continue;
             }
-            ++list.missing;
+            ++list.outstanding;
             process_.client.send(
                 {.method = "GET",
-                 .url = "http://" + said.address + std::string(tasks_path),
-                 .headers = {{wire::fleet_key, process_.from.common.fleet_key},
+                 .url =
+                     "http://" + peer_summary.address + std::string(tasks_path),
+                 .headers = {{wire::fleet_key,
+                              process_.own_settings.common.fleet_key},
                              {wire::workspace, workspace}},
                  .body = {},
                  .timeout = list_timeout},
@@ -234,13 +238,13 @@
 
 void entry_control::on(list_part_ended& ended)
 {
-    const auto found = lists_.find(ended.list);
-    if (found == lists_.end())
+    const auto found = task_lists_.find(ended.list);
+    if (found == task_lists_.end())
     {
         return;
     }
     task_list& list = found->second;
-    --list.missing;
+    --list.outstanding;
     const json part =
         ended.result.how == delivery::answered
             ? json::parse(*ended.result.response.body, nullptr, false)
@@ -261,19 +265,19 @@
 
 void entry_control::finish_list(std::uint64_t number)
 {
-    const task_list& list = lists_.at(number);
-    if (list.missing > 0)
+    const task_list& list = task_lists_.at(number);
+    if (list.outstanding > 0)
     {
         return;
     }
     list.responder->respond(
-        json_response(list.complete ? good : partial,
+        json_response(list.complete ? ok : partial_content,
                       {{"tasks", list.tasks}, {"complete", list.complete}}));
-    lists_.erase(number);
+    task_lists_.erase(number);
 }
 
 // ---------------------------------------------------------------------------
-// Actions of the state machine
+// Actions of the task state machine
 // ---------------------------------------------------------------------------
 
 void entry_control::carry_out(const task_actions& actions)
@@ -290,14 +294,14 @@
     }
     if (answer.record)
     {
-        const bool waits = !is_final(answer.record->state);
-        found->second->respond(
-            json_response(waits ? accepted : good, to_answer(*answer.record)));
+        const bool in_progress = !is_final(answer.record->state);
+        found->second->respond(json_response(in_progress ? accepted : ok,
+                                             to_answer(*answer.record)));
     }
     else
     {
         found->second->respond(
-            to_response(answer.wrong.value_or(problem_report{})));
+            to_response(answer.problem.value_or(problem_report{})));
     }
     task_calls_.erase(found);
 }
@@ -305,29 +309,29 @@
 void entry_control::act(const send_start& start)
 {
     process_.client.send(
-        make_rpc_call(start.address, process_.from.common.fleet_key,
-                      wire::start_task_method, start.what),
-        [&process = process_, what = start.what](http_result result) {
-            process.events.post(start_ended{what, std::move(result)});
+        make_rpc_call(start.address, process_.own_settings.common.fleet_key,
+                      wire::start_task_method, start.request),
+        [&process = process_, request = start.request](http_result result) {
+            process.events.post(start_ended{request, std::move(result)});
         });
 }
 
 void entry_control::act(const send_stop& stop)
 {
     process_.client.send(
-        make_rpc_call(stop.address, process_.from.common.fleet_key,
-                      wire::stop_task_method, stop.what),
-        [&process = process_, what = stop.what](http_result result) {
-            process.events.post(stop_ended{what, std::move(result)});
+        make_rpc_call(stop.address, process_.own_settings.common.fleet_key,
+                      wire::stop_task_method, stop.request),
+        [&process = process_, request = stop.request](http_result result) {
+            process.events.post(stop_ended{request, std::move(result)});
         });
 }
 
-void entry_control::act(const note_shard& note)
+void entry_control::act(const log_shard& note)
 {
     log_event(note.event, {{"shard", std::to_string(note.shard)}});
 }
 
-void entry_control::act(const note_ended& note)
+void entry_control::act(const log_task_end& note)
 {
     log_event(event_id::task_ended,
               {{"task", note.record.spec.id},
@@ -340,7 +344,7 @@
 {
     if (const auto reply = rpc_answer_of<task_reply>(ended.result))
     {
-        tasks_.on_start_reply(ended.what, *reply);
+        tasks_.on_start_reply(ended.start, *reply);
     }
 }
 
@@ -348,7 +352,7 @@
 {
     if (const auto reply = rpc_answer_of<task_reply>(ended.result))
     {
-        tasks_.on_stop_reply(ended.what, *reply);
+        tasks_.on_stop_reply(ended.stop, *reply);
     }
 }
 
--- a/packages/daemon/src/guard_control.hpp
+++ b/packages/daemon/src/guard_control.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// The control part of a guard: binds its state machines to the network.
+// The control part of a guard: connects its state machines to the network.
 
 #include "role_support.hpp"
 
@@ -13,21 +13,21 @@
 namespace springstair
 {
 
-/// The executor is done with an attempt.
+/// The call of an attempt to the executor ended.
 struct executor_ended
 {
     attempt_name attempt;
     http_result result;
 };
 
-/// The worker's list came, or not.
+/// The query for the worker's list ended; no list if it failed.
 struct worker_listed
 {
-    time_point asked;
+    time_point requested_at;
     std::optional<worker_list> list;
 };
 
-/// An entry answered a heartbeat, or not.
+/// A heartbeat to an entry ended, answered or not.
 struct heartbeat_ended
 {
     std::string address;
@@ -37,10 +37,10 @@
 using guard_event =
     std::variant<http_arrival, executor_ended, worker_listed, heartbeat_ended>;
 
-/// What the parts of a guard share.
+/// State shared by the parts of a guard.
 struct guard_process
 {
-    const settings& from;
+    const settings& own_settings;
     const std::atomic<bool>& drain;
     supervisor parts;
     mailbox<guard_event> events;
@@ -48,7 +48,7 @@
     http_client client;
 
     guard_process(const settings& all, const std::atomic<bool>& drain_flag)
-        : from(all), drain(drain_flag)
+        : own_settings(all), drain(drain_flag)
     {
     }
 };
@@ -58,7 +58,7 @@
 public:
     explicit guard_control(guard_process& process);
 
-    /// Serves events until the parts are to return.
+    /// Processes events until the supervisor stops the parts.
     void run();
 
 private:
@@ -66,15 +66,15 @@
     {
         http_request request;
         std::shared_ptr<http_responder> responder;
-        class_name of;
+        class_name request_class;
         time_point arrived;
     };
 
     struct known_entry
     {
-        bool asked = false; ///< a heartbeat is on its way
+        bool heartbeat_in_flight = false;
         std::string name;
-        time_point answered{};
+        time_point answered_at{};
     };
 
     guard_options core_options() const;
@@ -86,11 +86,12 @@
     void carry_out(const guard_actions& actions);
     void act(const run_attempt& run);
     void act(const reply_answer& reply);
-    void act(const reply_problem& problem);
-    void reply(http_responder& responder, const http_request& to,
-               const attempt_name& attempt, const problem_report& what);
-    void mark(http_response& response, const http_request& to,
-              const attempt_name& attempt, const char* ending);
+    void act(const reply_problem& answer);
+    void reply(http_responder& responder, const http_request& request,
+               const attempt_name& attempt, const problem_report& problem);
+    void add_attempt_headers(http_response& response,
+                             const http_request& request,
+                             const attempt_name& attempt, const char* ending);
 
     // Tasks.
     json start_task_rpc(const json& message);
@@ -103,9 +104,9 @@
     guard_report report(time_point now, const std::string& entry) const;
     void send_heartbeats(time_point now);
     void on(heartbeat_ended& ended);
-    void take_table(const json& document);
+    void apply_table(const json& document);
 
-    // Time.
+    // Periodic work.
     void begin_drain();
     void tick();
 
@@ -113,16 +114,17 @@
     daemon_clock clock_;
     std::string incarnation_;
     guard_core core_;
-    task_keeper keeper_;
+    attempt_tracker tracker_;
     worker_client worker_;
     rpc_dispatcher rpc_;
     std::map<attempt_name, open_attempt> open_;
-    const http_result* answer_ = nullptr;
+    const http_result* current_result_ = nullptr; ///< during its event only
     std::map<std::string, known_entry> entries_;
     time_point next_heartbeat_{};
     time_point next_poll_{};
     bool polling_ = false;
-    bool told_ = false; ///< an entry has heard that this guard leaves
+    /// An entry has answered a heartbeat since the drain began.
+    bool leave_acknowledged_ = false;
     std::optional<time_point> stop_since_;
 };
 
--- a/packages/daemon/src/job_entry_role.cpp
+++ b/packages/daemon/src/job_entry_role.cpp
@@ -1,10 +1,10 @@
-// The parts of an entry of the job system.
+// An entry of the job system.
 
-#include "holder_contact.hpp"
-#include "job_desk.hpp"
-#include "job_holder.hpp"
-#include "office_handover.hpp"
-#include "office_keeper.hpp"
+#include "job_request_handler.hpp"
+#include "job_scheduler.hpp"
+#include "leader_election.hpp"
+#include "leader_handover.hpp"
+#include "leader_heartbeat.hpp"
 #include "operator_watch.hpp"
 
 #include <thread>
@@ -18,70 +18,76 @@
 
 constexpr int ready_status = 200;
 constexpr int unready_status = 503;
-// Work arrives through the mailbox at once; this is for timers only.
+// Resolution of timers only: the mailbox delivers work without delay.
 constexpr duration timer_step = std::chrono::milliseconds(10);
-// An entry that the store has not answered for so long sends callers to
-// others: two missed checks of the balancer come on top.
-constexpr duration store_patience = std::chrono::milliseconds(1500);
-// The holder watches the operator's entries for 0.7 s at a time; its word on
-// them is as fresh as that.
-constexpr duration fresh_word = std::chrono::milliseconds(1500);
-// An entry hears of a change that its own watch misses from the holder: at the
-// latest after a second in which watches are deaf, a watch and a heartbeat.
-constexpr duration told_within = std::chrono::milliseconds(4000);
-// After a planned stop began, the balancer takes up to two checks, a second
+// An entry that neither the store nor the leader has answered for longer than
+// this plus 5 s (see is_ready) is not ready. The load balancer then needs two
+// failed checks to send callers to other entries.
+constexpr duration store_outage_tolerance = std::chrono::milliseconds(1500);
+// Maximum age of the leader's information on the operator's changes: its watch
+// returns after 0.7 s.
+constexpr duration leader_info_max_age = std::chrono::milliseconds(1500);
+// Time within which the leader reports a change that an entry's own watch
+// misses: a second in which watches report nothing, plus a watch and a
+// heartbeat.
+constexpr duration notified_within = std::chrono::milliseconds(4000);
+// After draining begins, the load balancer needs up to two checks, a second
 // apart, to send new connections elsewhere.
 constexpr duration balancer_notice = std::chrono::milliseconds(2600);
-// An entry that is asked to take the office has it after some tens of
-// milliseconds; two may be asked.
-constexpr duration successor_within = std::chrono::milliseconds(1000);
-// Before the grace ends, the process has to be gone.
+// A requested successor is elected after some tens of milliseconds; there is
+// time to request two.
+constexpr duration handover_timeout = std::chrono::milliseconds(1000);
+// The process exits this long before the grace period ends.
 constexpr duration grace_margin = std::chrono::milliseconds(700);
 
 class job_entry_control
 {
 public:
-    explicit job_entry_control(job_process& process)
-        : process_(process), store_(process.client, process.from.store),
-          office_(process, store_, office_callbacks()),
-          handover_(process, store_, office_),
-          contact_(process, store_, office_), holder_(process, store_, office_),
-          desk_(process, store_, office_, holder_, contact_),
+    explicit job_entry_control(process_context& process)
+        : process_(process), store_(process.client, process.settings.store),
+          leader_election_(process, store_, leader_election_callbacks()),
+          handover_(process, store_, leader_election_),
+          leader_heartbeat_(process, store_, leader_election_),
+          job_scheduler_(process, store_, leader_election_),
+          job_request_handler_(process, store_, leader_election_,
+                               job_scheduler_, leader_heartbeat_),
           operator_(process, store_,
                     {.table =
                          [this](const queue_table& table)
                      {
-                         holder_.set_table(table);
-                         desk_.set_table(table);
+                         job_scheduler_.set_table(table);
+                         job_request_handler_.set_table(table);
                      },
                      .closed =
-                         [this](const closed_data_centres& known)
+                         [this](const closed_data_centres& closed)
                      {
-                         holder_.set_closed(known);
+                         job_scheduler_.set_closed(closed);
                      }})
     {
         rpc_.add("report",
                  [this](const json& message) {
-                     return json(holder_.report(message.get<worker_report>()));
+                     return json(
+                         job_scheduler_.report(message.get<worker_report>()));
                  });
         rpc_.add("show", [this](const json& message)
-                 { return desk_.show_for_peer(message); });
+                 { return job_request_handler_.show_for_peer(message); });
         rpc_.add("accepted",
                  [this](const json& message)
                  {
-                     holder_.job_was_accepted(message.get<job>());
+                     job_scheduler_.job_was_accepted(message.get<job>());
                      return json::object();
                  });
         rpc_.add("cancelled",
                  [this](const json& message)
                  {
-                     holder_.job_was_cancelled(message.value("id", ""));
+                     job_scheduler_.job_was_cancelled(message.value("id", ""));
                      return json::object();
                  });
         rpc_.add(take_over_method,
                  [this](const json& message)
                  {
-                     office_.take_over(message.get<take_over_request>());
+                     leader_election_.take_over(
+                         message.get<take_over_request>());
                      return json::object();
                  });
         rpc_.add(took_over_method,
@@ -91,141 +97,150 @@
                      return json::object();
                  });
         rpc_.add("count", [this](const json& message)
-                 { return desk_.count_for_peer(message); });
-        rpc_.add(entry_heartbeat_method,
-                 [this](const json& message) {
-                     return json(answer_entry(message.get<entry_heartbeat>()));
-                 });
+                 { return job_request_handler_.count_for_peer(message); });
+        rpc_.add(
+            entry_heartbeat_method, [this](const json& message)
+            { return json(answer_heartbeat(message.get<entry_heartbeat>())); });
     }
 
     void run()
     {
         const http_server callers(
-            server_at(process_.from.callers, process_.from),
+            server_options(process_.settings.callers, process_.settings),
             process_.on_request([this](const http_arrival& arrival)
-                                { desk_.on_request(arrival); }));
+                                { job_request_handler_.on_request(arrival); }));
         const http_server readiness(
-            server_at(process_.from.readiness, process_.from),
+            server_options(process_.settings.readiness, process_.settings),
             process_.on_request([this](const http_arrival& arrival)
                                 { answer_readiness(*arrival.responder); }));
         const http_server internal(
-            server_at(internal_address(process_.from), process_.from),
+            server_options(internal_address(process_.settings),
+                           process_.settings),
             process_.on_request([this](http_arrival arrival)
                                 { answer_internal(arrival); }));
-        const auto figures = serve_metrics(
+        const auto metrics_server = serve_metrics(
             process_, {{"callers", &callers}, {"internal", &internal}});
-        log_event(event_id::process_started,
-                  {{"role", "job_entry"}, {"address", process_.from.callers}});
-        log_bounds(process_.from);
+        log_event(
+            event_id::process_started,
+            {{"role", "job_entry"}, {"address", process_.settings.callers}});
+        log_process_limits(process_.settings);
         process_.run_control(timer_step, [this](time_point now) { tick(now); });
     }
 
 private:
-    office_keeper::callbacks office_callbacks()
+    leader_election::callbacks leader_election_callbacks()
     {
-        return {.taken =
+        return {.elected =
                     [this](std::int64_t epoch)
                 {
                     handover_.begin();
-                    holder_.begin(epoch);
+                    job_scheduler_.begin(epoch);
                 },
-                .lost = [this](const holder_change& next)
-                { holder_.end(next); },
-                .told =
-                    [this](const std::string& from, std::int64_t epoch)
+                .lost = [this](const leader_change& next)
+                { job_scheduler_.end(next); },
+                .takeover_answered =
+                    [this](const std::string& requester, std::int64_t epoch)
                 {
-                    tell_taken(from, epoch);
+                    send_takeover_result(requester, epoch);
                 }};
     }
 
     void tick(time_point now)
     {
         follow_operator(now);
-        office_.set_turn(contact_.turn());
-        office_.tick(now);
-        handover_.tick(now, stop_since_.has_value());
-        contact_.tick(now);
-        holder_.tick(now);
-        desk_.tick(now);
-        if (process_.drain && !stop_since_)
+        leader_election_.set_claim_schedule(
+            leader_heartbeat_.own_claim_schedule());
+        leader_election_.tick(now);
+        handover_.tick(now, drain_started_at_.has_value());
+        leader_heartbeat_.tick(now);
+        job_scheduler_.tick(now);
+        job_request_handler_.tick(now);
+        if (process_.drain && !drain_started_at_)
         {
-            begin_stop(now);
+            begin_drain(now);
         }
-        if (stop_since_)
+        if (drain_started_at_)
         {
-            give_office_up(now);
+            resign_leadership(now);
             if (may_end(now))
             {
-                process_.parts.stop();
+                process_.threads.stop();
             }
         }
     }
 
-    entry_heartbeat_answer answer_entry(const entry_heartbeat& from)
+    entry_heartbeat_answer answer_heartbeat(const entry_heartbeat& heartbeat)
     {
-        entry_heartbeat_answer answer = handover_.answer(from);
+        entry_heartbeat_answer answer = handover_.answer(heartbeat);
         const bool is_fresh =
-            boot_clock::now() - operator_.fresh_at() < fresh_word;
+            boot_clock::now() - operator_.fresh_at() < leader_info_max_age;
         answer.operator_change = is_fresh ? operator_.newest_change() : 0;
         return answer;
     }
 
     void follow_operator(time_point now)
     {
-        const bool is_told = !office_.holds() && contact_.tells_changes(now);
-        operator_.rely_on_other(is_told &&
-                                process_.from.apply_within >= told_within);
-        if (is_told)
+        const bool has_fresh_info =
+            !leader_election_.is_leader() &&
+            leader_heartbeat_.is_operator_change_fresh(now);
+        operator_.use_long_poll(has_fresh_info &&
+                                process_.settings.apply_within >=
+                                    notified_within);
+        if (has_fresh_info)
         {
-            operator_.expect(contact_.operator_change());
+            operator_.on_remote_change(leader_heartbeat_.operator_change());
         }
         operator_.tick(now);
     }
 
-    // Who asked for it may be cut off from the store, or about to stop.
-    void tell_taken(const std::string& to, std::int64_t epoch)
+    // Sent because the requester may be unable to read the leader's key: it may
+    // be disconnected from the store, or draining.
+    void send_takeover_result(const std::string& requester, std::int64_t epoch)
     {
-        const take_over_result result{.epoch = epoch,
-                                      .by = announced_address(process_.from)};
+        const take_over_result result{
+            .epoch = epoch, .by = announced_address(process_.settings)};
         process_.client.send(
             {.method = "POST",
-             .url = "http://" + to + wire::rpc_path,
+             .url = "http://" + requester + wire::rpc_path,
              .headers = {{"content-type", "application/json"}},
              .body = make_body(rpc_request(took_over_method, result)),
-             .timeout = holder_timeout},
-            [](const http_result&) {}); // the key tells it, too
+             .timeout = leader_timeout},
+            [](const http_result&) {}); // the key shows it as well
     }
 
-    void begin_stop(time_point now)
+    void begin_drain(time_point now)
     {
-        stop_since_ = now;
+        drain_started_at_ = now;
         log_event(event_id::process_draining,
-                  {{"open", std::to_string(desk_.open())}});
+                  {{"open", std::to_string(job_request_handler_.open())}});
     }
 
-    // Until another entry has taken it, jobs are served here. If none does,
-    // the office is free for whoever comes.
-    void give_office_up(time_point now)
+    // Remains the leader until a successor is elected. If none is elected in
+    // time, resigns, and any entry may claim leadership.
+    void resign_leadership(time_point now)
     {
-        if (!office_.holds() || now - *stop_since_ > successor_within)
+        if (!leader_election_.is_leader() ||
+            now - *drain_started_at_ > handover_timeout)
         {
-            office_.retire();
+            leader_election_.resign();
         }
     }
 
     [[nodiscard]] bool may_end(time_point now) const
     {
-        const duration since = now - *stop_since_;
-        const bool noticed = since > balancer_notice && desk_.open() == 0;
-        return noticed || since > process_.from.grace - grace_margin;
+        const duration since = now - *drain_started_at_;
+        const bool noticed =
+            since > balancer_notice && job_request_handler_.open() == 0;
+        return noticed || since > process_.settings.grace - grace_margin;
     }
 
     [[nodiscard]] bool is_ready(time_point now) const
     {
-        return !stop_since_ && desk_.table().version > 0 &&
-               now - std::max({office_.store_answered(), operator_.fresh_at(),
-                               contact_.answered_at()}) <
-                   store_patience + std::chrono::seconds(5);
+        return !drain_started_at_ && job_request_handler_.table().version > 0 &&
+               now - std::max({leader_election_.store_answered(),
+                               operator_.fresh_at(),
+                               leader_heartbeat_.answered_at()}) <
+                   store_outage_tolerance + std::chrono::seconds(5);
     }
 
     void answer_readiness(http_responder& responder)
@@ -234,10 +249,10 @@
         if (ready != was_ready_)
         {
             was_ready_ = ready;
-            log_event(
-                ready ? event_id::entry_ready : event_id::entry_unready,
-                {{"stopping", stop_since_ ? "yes" : "no"},
-                 {"table_version", std::to_string(desk_.table().version)}});
+            log_event(ready ? event_id::entry_ready : event_id::entry_unready,
+                      {{"stopping", drain_started_at_ ? "yes" : "no"},
+                       {"table_version",
+                        std::to_string(job_request_handler_.table().version)}});
         }
         responder.respond({.status = ready ? ready_status : unready_status});
     }
@@ -246,7 +261,7 @@
     {
         if (arrival.request.path.starts_with(forward_path))
         {
-            desk_.on_forwarded(arrival);
+            job_request_handler_.on_forwarded(arrival);
             return;
         }
         if (arrival.request.path != wire::rpc_path)
@@ -257,31 +272,32 @@
         answer_rpc(arrival, rpc_);
     }
 
-    job_process& process_;
+    process_context& process_;
     platform::store_client store_;
-    office_keeper office_;
-    office_handover handover_;
-    holder_contact contact_;
-    job_holder holder_;
-    job_desk desk_;
+    leader_election leader_election_;
+    leader_handover handover_;
+    leader_heartbeat leader_heartbeat_;
+    job_scheduler job_scheduler_;
+    job_request_handler job_request_handler_;
     operator_watch operator_;
     rpc_dispatcher rpc_;
-    std::optional<time_point> stop_since_;
+    std::optional<time_point> drain_started_at_;
     bool was_ready_ = false;
 };
 
 } // namespace
 
-void run_job_entry(const job_settings& from, const std::atomic<bool>& drain)
+void run_job_entry(const job_settings& own_settings,
+                   const std::atomic<bool>& drain)
 {
-    job_process process(from, drain);
-    process.parts.add("control",
-                      [&]
-                      {
-                          job_entry_control control(process);
-                          control.run();
-                      });
-    process.parts.run();
+    process_context process(own_settings, drain);
+    process.threads.add("control",
+                        [&]
+                        {
+                            job_entry_control control(process);
+                            control.run();
+                        });
+    process.threads.run();
     log_event(event_id::process_stopped);
 }
 
--- /dev/null
+++ b/packages/daemon/src/job_request_handler.cpp
@@ -0,0 +1,341 @@
+// Requests to show, cancel and count jobs. job_request_submission.cpp has
+// submissions.
+
+#include "job_request_handler.hpp"
+
+#include <utility>
+
+namespace springstair
+{
+
+namespace
+{
+
+using platform::store_result;
+using platform::store_status;
+
+constexpr duration retry_delay = std::chrono::milliseconds(40);
+
+} // namespace
+
+job_request_handler::job_request_handler(process_context& process,
+                                         platform::store_client& store,
+                                         leader_election& election,
+                                         job_scheduler& scheduler,
+                                         const leader_heartbeat& heartbeat)
+    : process_(process), store_(store), leader_election_(election),
+      job_scheduler_(scheduler), leader_heartbeat_(heartbeat)
+{
+}
+
+void job_request_handler::set_table(const queue_table& table)
+{
+    table_ = table;
+}
+
+void job_request_handler::on_request(const http_arrival& arrival)
+{
+    const time_point now = boot_clock::now();
+    auto request = std::make_shared<open_request>(
+        open_request{.responder = arrival.responder,
+                     .arrived = now,
+                     .deadline = now + platform::timeout_of(arrival.request) -
+                                 answer_margin});
+    ++open_;
+    const auto decoded = platform::decode_request(arrival.request, table_);
+    std::visit([&](const auto& one) { handle(one, request); }, decoded);
+}
+
+void job_request_handler::answer(const request_ptr& request,
+                                 http_response response)
+{
+    --open_;
+    request->responder->respond(std::move(response));
+}
+
+duration job_request_handler::call_timeout(const request_ptr& request) const
+{
+    const duration left = request->deadline - boot_clock::now();
+    return std::clamp<duration>(left, std::chrono::milliseconds(20),
+                                timeout_.value());
+}
+
+void job_request_handler::retry_later(const request_ptr& request,
+                                      std::function<void()> action)
+{
+    const time_point retry_at = boot_clock::now() + retry_delay;
+    if (retry_at < request->deadline)
+    {
+        delayed_.emplace_back(retry_at, std::move(action));
+        return;
+    }
+    answer(request, request->may_be_written
+                        ? platform::unknown_answer("the store gave no answer")
+                        : platform::refused_answer(caller_retry_after,
+                                                   "the store is away"));
+}
+
+void job_request_handler::tick(time_point now)
+{
+    probe(now);
+    while (!delayed_.empty() && delayed_.front().first <= now)
+    {
+        const auto action = std::move(delayed_.front().second);
+        delayed_.pop_front();
+        action();
+    }
+}
+
+void job_request_handler::handle(const platform::refused_request& refused,
+                                 const request_ptr& request)
+{
+    answer(request, refused.answer);
+}
+
+// ---------------------------------------------------------------------------
+// Showing
+// ---------------------------------------------------------------------------
+
+void job_request_handler::handle(const platform::show_request& message,
+                                 const request_ptr& request)
+{
+    show(message.id, request);
+}
+
+void job_request_handler::show(const std::string& id,
+                               const request_ptr& request)
+{
+    if (const auto state = job_scheduler_.shown(id))
+    {
+        answer(request, platform::state_answer(*state));
+        return;
+    }
+    query_leader("show", {{"id", id}},
+                 [this, id, request](const std::optional<json>& known)
+                 {
+                     const auto state =
+                         known
+                             ? from_string<job_state>(known->value("state", ""))
+                             : std::nullopt;
+                     if (state)
+                     {
+                         answer(request, platform::state_answer(*state));
+                         return;
+                     }
+                     show_from_store(id, request);
+                 });
+}
+
+json job_request_handler::show_for_peer(const json& message) const
+{
+    const auto state = job_scheduler_.shown(message.value("id", ""));
+    return state ? json{{"state", std::string(to_string(*state))}}
+                 : json::object();
+}
+
+void job_request_handler::query_leader(
+    const char* method, const json& message,
+    std::function<void(std::optional<json>)> done)
+{
+    const std::string& address = leader_election_.leader();
+    if (address.empty() || leader_election_.is_leader())
+    {
+        done(std::nullopt);
+        return;
+    }
+    process_.client.send({.method = "POST",
+                          .url = "http://" + address + wire::rpc_path,
+                          .headers = {{"content-type", "application/json"}},
+                          .body = make_body(rpc_request(method, message)),
+                          .timeout = leader_timeout},
+                         process_.on_control<http_result>(
+                             [done = std::move(done)](const http_result& result)
+                             { done(rpc_result_of(result)); }));
+}
+
+void job_request_handler::show_from_store(const std::string& id,
+                                          const request_ptr& request)
+{
+    if (store_unavailable_since_ && !request->forwarded)
+    {
+        forward_or_retry("GET", id, request,
+                         [this, id, request] { show_from_store(id, request); });
+        return;
+    }
+    store_.range(job_key(id), {}, call_timeout(request),
+                 process_.on_control<store_result>(
+                     [this, id, request](const store_result& result)
+                     { on_job_read(id, request, result); }));
+}
+
+void job_request_handler::on_job_read(const std::string& id,
+                                      const request_ptr& request,
+                                      const store_result& result)
+{
+    record_store_result(result);
+    if (result.status != store_status::done)
+    {
+        forward_or_retry("GET", id, request,
+                         [this, id, request] { show_from_store(id, request); });
+        return;
+    }
+    if (result.items.empty())
+    {
+        answer(request, platform::no_such_job_answer());
+        return;
+    }
+    const bool cancelled =
+        std::any_of(result.items.begin(), result.items.end(),
+                    [](const platform::store_item& item)
+                    { return parse_job_key(item.key).cancellation; });
+    show_progress(id, cancelled, request);
+}
+
+// A job that ended before it was cancelled keeps its final state.
+void job_request_handler::show_progress(const std::string& id, bool cancelled,
+                                        const request_ptr& request)
+{
+    store_.read(
+        progress_key(id), call_timeout(request),
+        process_.on_control<store_result>(
+            [this, id, cancelled, request](const store_result& result)
+            {
+                record_store_result(result);
+                const bool absent = result.status == store_status::absent;
+                const bool read = result.status == store_status::done &&
+                                  !result.items.empty();
+                if (!absent && !read)
+                {
+                    forward_or_retry("GET", id, request,
+                                     [this, id, cancelled, request] {
+                                         show_progress(id, cancelled, request);
+                                     });
+                    return;
+                }
+                const job_state stored =
+                    absent ? job_state::pending
+                           : decode_progress(result.items.front().value).state;
+                const bool stopped = cancelled && !is_final(stored);
+                answer(request, platform::state_answer(
+                                    stopped ? job_state::cancelled : stored));
+            }));
+}
+
+// ---------------------------------------------------------------------------
+// Cancelling
+// ---------------------------------------------------------------------------
+
+void job_request_handler::handle(const platform::cancel_request& message,
+                                 const request_ptr& request)
+{
+    cancel(message.id, request);
+}
+
+void job_request_handler::cancel(const std::string& id,
+                                 const request_ptr& request)
+{
+    if (store_unavailable_since_ && !request->forwarded)
+    {
+        forward_or_retry("DELETE", id, request,
+                         [this, id, request] { cancel(id, request); });
+        return;
+    }
+    if (job_scheduler_.core().find(id) != nullptr)
+    {
+        write_cancellation(id, request);
+        return;
+    }
+    store_.read(job_key(id), call_timeout(request),
+                process_.on_control<store_result>(
+                    [this, id, request](const store_result& result)
+                    { on_cancel_read(id, request, result); }));
+}
+
+void job_request_handler::on_cancel_read(const std::string& id,
+                                         const request_ptr& request,
+                                         const store_result& result)
+{
+    record_store_result(result);
+    if (result.status == store_status::absent)
+    {
+        answer(request, platform::no_such_job_answer());
+        return;
+    }
+    if (result.status != store_status::done)
+    {
+        forward_or_retry("DELETE", id, request,
+                         [this, id, request] { cancel(id, request); });
+        return;
+    }
+    write_cancellation(id, request);
+}
+
+void job_request_handler::write_cancellation(const std::string& id,
+                                             const request_ptr& request)
+{
+    store_.transact(cancellation_of(id), call_timeout(request),
+                    process_.on_control<store_result>(
+                        [this, id, request](const store_result& result)
+                        {
+                            record_store_result(result);
+                            if (result.status != store_status::done)
+                            {
+                                request->may_be_written = true;
+                                forward_or_retry(
+                                    "DELETE", id, request,
+                                    [this, id, request]
+                                    { write_cancellation(id, request); });
+                                return;
+                            }
+                            log_event(event_id::job_cancelled, {{"job", id}});
+                            job_scheduler_.job_was_cancelled(id);
+                            query_leader("cancelled", {{"id", id}},
+                                         [](const std::optional<json>&) {});
+                            answer(request, platform::accepted_answer());
+                        }));
+}
+
+// ---------------------------------------------------------------------------
+// Counting
+// ---------------------------------------------------------------------------
+
+void job_request_handler::handle(const platform::count_request& message,
+                                 const request_ptr& request)
+{
+    const std::string queue = message.queue;
+    if (job_scheduler_.ready())
+    {
+        answer(request,
+               platform::count_answer(job_scheduler_.core().waiting(queue)));
+        return;
+    }
+    query_leader(
+        "count", {{"queue", queue}},
+        [this, queue, request](const std::optional<json>& known)
+        {
+            if (known && known->contains("waiting"))
+            {
+                last_counts_[queue] = known->at("waiting");
+            }
+            else if (!last_counts_.contains(queue))
+            {
+                answer(request,
+                       platform::refused_answer(caller_retry_after,
+                                                "the leader is not known"));
+                return;
+            }
+            answer(request, platform::count_answer(last_counts_[queue]));
+        });
+}
+
+json job_request_handler::count_for_peer(const json& message) const
+{
+    if (!job_scheduler_.ready())
+    {
+        return json::object();
+    }
+    return {
+        {"waiting", job_scheduler_.core().waiting(message.value("queue", ""))}};
+}
+
+} // namespace springstair
--- /dev/null
+++ b/packages/daemon/src/job_request_submission.cpp
@@ -0,0 +1,166 @@
+// Acceptance of submitted jobs, including while the store is unavailable.
+
+#include "job_request_handler.hpp"
+
+#include <utility>
+
+namespace springstair
+{
+
+namespace
+{
+
+using platform::store_result;
+using platform::store_status;
+
+// A slow store answers the second try, whose timeout is twice as long. A store
+// that answers neither is unavailable to this entry; another may reach it.
+constexpr std::int64_t max_unanswered = 2;
+} // namespace
+
+void job_request_handler::handle(const platform::submit_request& message,
+                                 const request_ptr& request)
+{
+    const queue_row* const queue = table_.queue(message.definition.queue);
+    if (queue->advice && process_.settings.advice.empty())
+    {
+        refuse_submission(message.definition, request,
+                          "the settings name no service to ask for advice");
+        return;
+    }
+    job accepted = message.definition;
+    accepted.accepted_ms = unix_milliseconds();
+    // The store may be unavailable to this VM only; another entry can then
+    // write the job.
+    store_unavailable_since_ ? forward_submission(accepted, request)
+                             : submit(accepted, request);
+}
+
+// The other entry creates the same job or finds that it exists.
+void job_request_handler::forward_submission(const job& definition,
+                                             const request_ptr& request)
+{
+    forward_request(
+        {.method = "POST",
+         .job = definition.id,
+         .body = make_body(json(definition).dump())},
+        request,
+        [this, definition, request]
+        { fail_submission(definition, request, "the store is away"); });
+}
+
+// A job that may have been written must not be refused: the outcome is unknown.
+void job_request_handler::fail_submission(const job& definition,
+                                          const request_ptr& request,
+                                          const char* why)
+{
+    request->may_be_written ? answer_unknown(definition, request)
+                            : refuse_submission(definition, request, why);
+}
+
+void job_request_handler::refuse_submission(const job& definition,
+                                            const request_ptr& request,
+                                            const char* why)
+{
+    process_.process_metrics.count("job_not_taken", {definition.queue, "job"},
+                                   why);
+    const duration outage = store_unavailable_since_
+                                ? boot_clock::now() - *store_unavailable_since_
+                                : duration{0};
+    log_event(event_id::job_not_taken,
+              {{"job", definition.id},
+               {"why", why},
+               {"tries", std::to_string(request->tries)},
+               {"store_away_ms", std::to_string(to_milliseconds(outage))}});
+    answer(request, platform::refused_answer(caller_retry_after, why));
+}
+
+void job_request_handler::submit(const job& definition,
+                                 const request_ptr& request)
+{
+    ++request->tries;
+    store_.transact(acceptance_of(definition), call_timeout(request),
+                    process_.on_control<store_result>(
+                        [this, definition, request](const store_result& result)
+                        { on_submitted(definition, request, result); }));
+}
+
+// The write creates the job unless it exists. A conflict means that it exists:
+// this request, or an earlier one for the same job, was committed.
+void job_request_handler::on_submitted(const job& definition,
+                                       const request_ptr& request,
+                                       const store_result& result)
+{
+    record_store_result(result);
+    if (result.status == store_status::done ||
+        result.status == store_status::conflict)
+    {
+        log_event(event_id::job_accepted,
+                  {{"job", definition.id},
+                   {"queue", definition.queue},
+                   {"table_version", std::to_string(table_.version)},
+                   {"revision", std::to_string(result.revision)},
+                   {"took_ms", std::to_string(to_milliseconds(
+                                   boot_clock::now() - request->arrived))}});
+        process_.process_metrics.observe("accept", {definition.queue, "job"},
+                                         boot_clock::now() - request->arrived);
+        answer(request, platform::accepted_answer());
+        if (result.status == store_status::done)
+        {
+            notify_leader(definition);
+        }
+        return;
+    }
+    if (result.status == store_status::unknown)
+    {
+        request->may_be_written = true;
+        ++request->unanswered_tries;
+    }
+    if (request->unanswered_tries >= max_unanswered)
+    {
+        on_store_failed(definition, request);
+        return;
+    }
+    if (result.status == store_status::refused)
+    {
+        on_store_failed(definition, request);
+        return;
+    }
+    retry_later(request,
+                [this, definition, request] { submit(definition, request); });
+}
+
+// The write's outcome may be unknown, but another entry writes the same job. If
+// no entry can, the caller is answered at once and may retry elsewhere.
+void job_request_handler::on_store_failed(const job& definition,
+                                          const request_ptr& request)
+{
+    request->forwarded
+        ? fail_submission(definition, request, "the store refuses")
+        : forward_submission(definition, request);
+}
+
+void job_request_handler::answer_unknown(const job& definition,
+                                         const request_ptr& request)
+{
+    process_.process_metrics.count("job_not_taken", {definition.queue, "job"},
+                                   "unknown");
+    log_event(event_id::job_not_taken,
+              {{"job", definition.id},
+               {"why", "the store gave no answer; the job may be stored"},
+               {"tries", std::to_string(request->tries)}});
+    answer(request, platform::unknown_answer("the store gave no answer"));
+}
+
+// Saves the time until the leader finds the job in the store.
+void job_request_handler::notify_leader(const job& definition)
+{
+    if (job_scheduler_.ready())
+    {
+        job_scheduler_.job_was_accepted(definition);
+        return;
+    }
+    query_leader("accepted", definition, [](const std::optional<json>&) {});
+}
+
+} // namespace springstair
--- /dev/null
+++ b/packages/daemon/src/job_scheduler_loading.cpp
@@ -0,0 +1,289 @@
+// The leader's reads from the store: everything when its term begins, new jobs
+// and cancellations afterwards.
+
+#include "job_scheduler.hpp"
+
+#include <utility>
+
+namespace springstair
+{
+
+namespace
+{
+
+using platform::store_item;
+using platform::store_result;
+using platform::store_status;
+
+// Entries notify the leader of each job; the watch finds the jobs whose
+// notification failed. Each answer is a charged call, so changes are batched.
+constexpr duration watch_wait = std::chrono::milliseconds(700);
+constexpr duration watch_interval = std::chrono::milliseconds(400);
+
+} // namespace
+
+// ---------------------------------------------------------------------------
+// Beginning a term
+// ---------------------------------------------------------------------------
+
+void job_scheduler::begin(std::int64_t epoch)
+{
+    ++generation_;
+    core_.begin_term(epoch, boot_clock::now());
+    stage_ = stage::reading_jobs;
+    reading_ = false;
+    watching_ = false;
+    next_read_ = {};
+    page_after_.clear();
+    batch_.reset();
+    loaded_jobs_.clear();
+    loaded_cancellations_.clear();
+    loaded_progress_.clear();
+    jobs_revision_ = 0;
+}
+
+void job_scheduler::end(const leader_change& next)
+{
+    notify_guards(next);
+    ++generation_;
+    stage_ = stage::idle;
+    core_.begin_term(0, boot_clock::now());
+}
+
+void job_scheduler::read_page()
+{
+    reading_ = true;
+    const char* const prefix =
+        stage_ == stage::reading_jobs ? jobs_prefix : progress_prefix;
+    store_.range(
+        prefix, page_after_, page_timeout_.value(),
+        process_.on_control<store_result>(
+            [this, generation = generation_](const store_result& result)
+            {
+                if (generation == generation_)
+                {
+                    on_page(result);
+                }
+            }));
+}
+
+void job_scheduler::on_page(const store_result& result)
+{
+    reading_ = false;
+    if (result.status != store_status::done)
+    {
+        page_timeout_.unanswered();
+        next_read_ = boot_clock::now() + retry_delay;
+        return;
+    }
+    page_timeout_.answered(result.latency);
+    if (jobs_revision_ == 0)
+    {
+        jobs_revision_ = result.revision; // later pages may have a newer one
+    }
+    for (const store_item& item : result.items)
+    {
+        load_item(item);
+    }
+    page_after_ = result.next_page();
+    if (!page_after_.empty())
+    {
+        return;
+    }
+    stage_ = stage_ == stage::reading_jobs ? stage::reading_progress
+                                           : stage::loading_interference;
+}
+
+// Interference data is optional: the term begins whether or not it can be read.
+void job_scheduler::load_interference()
+{
+    reading_ = true;
+    store_.read(interference_key, timeout_.value(),
+                process_.on_control<store_result>(
+                    [this, generation = generation_](const store_result& result)
+                    {
+                        if (generation != generation_)
+                        {
+                            return;
+                        }
+                        reading_ = false;
+                        const json value =
+                            result.items.empty()
+                                ? json()
+                                : json::parse(result.items.front().value,
+                                              nullptr, false);
+                        if (value.is_array())
+                        {
+                            saved_interference_ =
+                                value.get<std::vector<pair_interference>>();
+                            core_.adopt_interference(saved_interference_);
+                        }
+                        adopt_all();
+                    }));
+}
+
+void job_scheduler::load_item(const store_item& item)
+{
+    try
+    {
+        if (stage_ == stage::reading_progress)
+        {
+            const std::string id =
+                item.key.substr(std::string_view(progress_prefix).size());
+            loaded_progress_[id] = {decode_progress(item.value), item.revision};
+            return;
+        }
+        const job_key_parts key = parse_job_key(item.key);
+        if (key.cancellation)
+        {
+            loaded_cancellations_.insert(key.id);
+            return;
+        }
+        loaded_jobs_[key.id] = decode_job(item.value);
+    }
+    catch (const document_error& error)
+    {
+        log_event(event_id::record_unreadable,
+                  {{"key", item.key}, {"why", error.what()}});
+    }
+}
+
+void job_scheduler::adopt_all()
+{
+    const time_point now = boot_clock::now();
+    for (auto& [id, definition] : loaded_jobs_)
+    {
+        const auto progress = loaded_progress_.find(id);
+        const bool has_progress = progress != loaded_progress_.end();
+        core_.adopt(std::move(definition),
+                    has_progress ? std::optional(progress->second.first)
+                                 : std::nullopt,
+                    has_progress ? progress->second.second : 0, now,
+                    unix_milliseconds());
+    }
+    core_.begin(now);
+    for (const std::string& id : loaded_cancellations_)
+    {
+        core_.cancel(id, now);
+    }
+    log_event(event_id::office_taken,
+              {{"epoch", std::to_string(core_.epoch())},
+               {"jobs", std::to_string(loaded_jobs_.size())},
+               {"progress", std::to_string(loaded_progress_.size())}});
+    loaded_jobs_.clear();
+    loaded_progress_.clear();
+    stage_ = stage::ready;
+}
+
+// ---------------------------------------------------------------------------
+// New jobs
+// ---------------------------------------------------------------------------
+
+void job_scheduler::watch()
+{
+    watching_ = true;
+    const time_point sent = boot_clock::now();
+    store_.watch(
+        jobs_prefix, jobs_revision_, watch_wait,
+        process_.on_control<store_result>(
+            [this, sent, generation = generation_](const store_result& result)
+            {
+                if (generation == generation_)
+                {
+                    on_watch(result, sent);
+                }
+            }));
+}
+
+void job_scheduler::on_watch(const store_result& result, time_point sent)
+{
+    watching_ = false;
+    if (result.status != store_status::done)
+    {
+        // Reads the changes that the watch missed. After a watch that failed at
+        // once, the next one is delayed.
+        const bool at_once = boot_clock::now() - sent > retry_delay;
+        next_watch_ = boot_clock::now() + (at_once ? duration{0} : retry_delay);
+        reread_jobs();
+        return;
+    }
+    next_watch_ = boot_clock::now() + watch_interval;
+    for (const store_item& item : result.items)
+    {
+        jobs_revision_ = std::max(jobs_revision_, item.revision);
+        apply_job_item(item);
+    }
+}
+
+void job_scheduler::apply_job_item(const store_item& item)
+{
+    if (item.gone)
+    {
+        return;
+    }
+    const job_key_parts key = parse_job_key(item.key);
+    const time_point now = boot_clock::now();
+    if (key.cancellation)
+    {
+        core_.cancel(key.id, now);
+        return;
+    }
+    if (core_.find(key.id) != nullptr)
+    {
+        return;
+    }
+    try
+    {
+        core_.accept(decode_job(item.value), now);
+    }
+    catch (const document_error& error)
+    {
+        log_event(event_id::record_unreadable,
+                  {{"key", item.key}, {"why", error.what()}});
+    }
+}
+
+void job_scheduler::reread_jobs()
+{
+    watching_ = true;
+    store_.range(
+        jobs_prefix, page_after_, page_timeout_.value(),
+        process_.on_control<store_result>(
+            [this, generation = generation_](const store_result& result)
+            {
+                if (generation == generation_)
+                {
+                    on_jobs_reread(result);
+                }
+            }));
+}
+
+void job_scheduler::on_jobs_reread(const store_result& result)
+{
+    watching_ = false;
+    if (result.status != store_status::done)
+    {
+        page_timeout_.unanswered();
+        page_after_.clear();
+        next_watch_ = boot_clock::now() + retry_delay;
+        jobs_revision_ = 0; // no revision to watch from: read again
+        return;
+    }
+    page_timeout_.answered(result.latency);
+    if (page_after_.empty())
+    {
+        jobs_revision_ = result.revision;
+    }
+    // A job's cancellation key sorts directly after the job's key.
+    for (const store_item& item : result.items)
+    {
+        apply_job_item(item);
+    }
+    page_after_ = result.next_page();
+    if (!page_after_.empty())
+    {
+        reread_jobs();
+    }
+}
+
+} // namespace springstair
--- a/packages/daemon/src/job_settings.cpp
+++ b/packages/daemon/src/job_settings.cpp
@@ -14,16 +14,16 @@
 namespace
 {
 
-constexpr std::int64_t most_port = 65'535;
-constexpr std::int64_t most_milliseconds = 600'000;
-constexpr double usual_grace_s = 6; // the platform's own figure
-constexpr double usual_processors = 1;
-constexpr std::int64_t most_memory_mb = 1 << 20;
-constexpr std::int64_t most_descriptors = 1 << 20;
-constexpr std::int64_t usual_stop_ms = 400;   // the larger of both sites
-constexpr std::int64_t usual_close_ms = 5000; // the one site that tells it
-constexpr std::int64_t usual_apply_ms = 2000; // the least of all sites
-constexpr std::int64_t usual_lease_ms = 6000; // the smaller of both sites
+constexpr std::int64_t max_port = 65'535;
+constexpr std::int64_t max_milliseconds = 600'000;
+constexpr double default_grace_s = 6; // as the platform
+constexpr double default_processors = 1;
+constexpr std::int64_t max_memory_mb = 1 << 20;
+constexpr std::int64_t max_descriptors = 1 << 20;
+constexpr std::int64_t default_stop_ms = 400;   // larger of both sites' values
+constexpr std::int64_t default_close_ms = 5000; // only one site has it
+constexpr std::int64_t default_apply_ms = 2000; // smallest of all sites' values
+constexpr std::int64_t default_lease_ms = 6000; // smaller of both sites' values
 
 std::string host_of(const std::string& endpoint)
 {
@@ -43,7 +43,7 @@
     const char* const end = text.data() + text.size();
     const auto [stop, error] =
         std::from_chars(text.data() + colon + 1, end, port);
-    return error == std::errc{} && stop == end && port > 0 && port <= most_port;
+    return error == std::errc{} && stop == end && port > 0 && port <= max_port;
 }
 
 std::string endpoint(object_reader& reader, std::string_view key, bool required)
@@ -53,16 +53,16 @@
                            : reader.text(key, std::optional<std::string>(""));
     if (!text.empty() && !is_endpoint(text))
     {
-        reader.report(key, text + " is not an IP number and a port");
+        reader.report(key, text + " is not an IPv4 address and port");
     }
     return text;
 }
 
 duration milliseconds(object_reader& reader, std::string_view key,
-                      std::int64_t usual)
+                      std::int64_t default_value)
 {
-    return std::chrono::milliseconds(
-        reader.integer(key, usual, {.least = 1, .most = most_milliseconds}));
+    return std::chrono::milliseconds(reader.integer(
+        key, default_value, {.min = 1, .max = max_milliseconds}));
 }
 
 job_role read_role(object_reader& reader)
@@ -75,7 +75,7 @@
     return role == "job_guard" ? job_role::job_guard : job_role::job_entry;
 }
 
-// The other entries take internal calls at the same port as this process.
+// All entries use the same internal port as this process.
 std::vector<std::string> read_entries(object_reader& reader, std::uint16_t port)
 {
     std::vector<std::string> out;
@@ -83,7 +83,7 @@
     {
         if (!is_endpoint(one))
         {
-            reader.report("entries", one + " is not an IP number and a port");
+            reader.report("entries", one + " is not an IPv4 address and port");
             continue;
         }
         out.push_back(host_of(one) + ":" + std::to_string(port));
@@ -105,65 +105,68 @@
 {
     findings all;
     object_reader reader(document, "", all);
-    job_settings to;
-    to.role = read_role(reader);
-    const bool entry = to.role == job_role::job_entry;
-    to.name = reader.text("name");
-    to.data_centre = reader.text("data_centre");
-    to.address = reader.text("address");
-    to.announced_address =
-        reader.text("announced_address", std::optional(to.address));
-    to.internal_port = static_cast<std::uint16_t>(reader.integer(
-        "internal_port", std::nullopt, {.least = 1, .most = most_port}));
-    to.store = endpoint(reader, "store", true);
-    to.entries = read_entries(reader, to.internal_port);
-    to.longest_lease = milliseconds(reader, "longest_lease_ms", usual_lease_ms);
-    to.stop_time = milliseconds(reader, "stop_ms", usual_stop_ms);
-    to.apply_within = milliseconds(reader, "apply_within_ms", usual_apply_ms);
-    to.close_within = milliseconds(reader, "close_within_ms", usual_close_ms);
-    to.grace = from_seconds(reader.positive("grace_s", usual_grace_s));
-    to.callers = endpoint(reader, "callers", entry);
-    to.readiness = endpoint(reader, "readiness", entry);
-    to.executors = endpoint(reader, "executors", !entry);
-    to.executor = endpoint(reader, "executor", !entry);
-    to.advice = endpoint(reader, "advice", false);
-    to.metrics = endpoint(reader, "metrics", false);
-    to.processors = reader.positive("processors", usual_processors);
-    to.memory_mb =
-        reader.integer("memory_mb", 0, {.least = 0, .most = most_memory_mb});
-    to.descriptors = reader.integer("descriptors", 0,
-                                    {.least = 0, .most = most_descriptors});
+    job_settings settings;
+    settings.role = read_role(reader);
+    const bool entry = settings.role == job_role::job_entry;
+    settings.name = reader.text("name");
+    settings.data_centre = reader.text("data_centre");
+    settings.address = reader.text("address");
+    settings.announced_address =
+        reader.text("announced_address", std::optional(settings.address));
+    settings.internal_port = static_cast<std::uint16_t>(reader.integer(
+        "internal_port", std::nullopt, {.min = 1, .max = max_port}));
+    settings.store = endpoint(reader, "store", true);
+    settings.entries = read_entries(reader, settings.internal_port);
+    settings.max_lease =
+        milliseconds(reader, "longest_lease_ms", default_lease_ms);
+    settings.stop_time = milliseconds(reader, "stop_ms", default_stop_ms);
+    settings.apply_within =
+        milliseconds(reader, "apply_within_ms", default_apply_ms);
+    settings.close_within =
+        milliseconds(reader, "close_within_ms", default_close_ms);
+    settings.grace = from_seconds(reader.positive("grace_s", default_grace_s));
+    settings.callers = endpoint(reader, "callers", entry);
+    settings.readiness = endpoint(reader, "readiness", entry);
+    settings.executors = endpoint(reader, "executors", !entry);
+    settings.executor = endpoint(reader, "executor", !entry);
+    settings.advice = endpoint(reader, "advice", false);
+    settings.metrics = endpoint(reader, "metrics", false);
+    settings.processors = reader.positive("processors", default_processors);
+    settings.memory_mb =
+        reader.integer("memory_mb", 0, {.min = 0, .max = max_memory_mb});
+    settings.descriptors =
+        reader.integer("descriptors", 0, {.min = 0, .max = max_descriptors});
     reader.reject_unknown();
     if (!all.empty())
     {
         throw document_error(std::move(all));
     }
-    return to;
+    return settings;
 }
 
-json to_document(const job_settings& from)
+json to_document(const job_settings& settings)
 {
-    json document{
-        {"role", from.role == job_role::job_entry ? "job_entry" : "job_guard"},
-        {"name", from.name},
-        {"data_centre", from.data_centre},
-        {"address", from.address},
-        {"announced_address", from.announced_address},
-        {"internal_port", from.internal_port},
-        {"store", from.store},
-        {"entries", from.entries},
-        {"longest_lease_ms", to_milliseconds(from.longest_lease)},
-        {"stop_ms", to_milliseconds(from.stop_time)},
-        {"apply_within_ms", to_milliseconds(from.apply_within)},
-        {"close_within_ms", to_milliseconds(from.close_within)},
-        {"grace_s", to_seconds(from.grace)},
-        {"processors", from.processors},
-        {"memory_mb", from.memory_mb},
-        {"descriptors", from.descriptors}};
+    json document{{"role", settings.role == job_role::job_entry ? "job_entry"
+                                                                : "job_guard"},
+                  {"name", settings.name},
+                  {"data_centre", settings.data_centre},
+                  {"address", settings.address},
+                  {"announced_address", settings.announced_address},
+                  {"internal_port", settings.internal_port},
+                  {"store", settings.store},
+                  {"entries", settings.entries},
+                  {"longest_lease_ms", to_milliseconds(settings.max_lease)},
+                  {"stop_ms", to_milliseconds(settings.stop_time)},
+                  {"apply_within_ms", to_milliseconds(settings.apply_within)},
+                  {"close_within_ms", to_milliseconds(settings.close_within)},
+                  {"grace_s", to_seconds(settings.grace)},
+                  {"processors", settings.processors},
+                  {"memory_mb", settings.memory_mb},
+                  {"descriptors", settings.descriptors}};
     const std::map<std::string, std::string> endpoints{
-        {"callers", from.callers},     {"readiness", from.readiness},
-        {"executors", from.executors}, {"executor", from.executor},
-        {"advice", from.advice},       {"metrics", from.metrics}};
+        {"callers", settings.callers},     {"readiness", settings.readiness},
+        {"executors", settings.executors}, {"executor", settings.executor},
+        {"advice", settings.advice},       {"metrics", settings.metrics}};
     for (const auto& [key, endpoint] : endpoints)
     {
         if (!endpoint.empty())
--- a/packages/entry/include/springstair/detail/entry/task_core.hpp
+++ b/packages/entry/include/springstair/detail/entry/task_core.hpp
@@ -15,149 +15,153 @@
 namespace springstair
 {
 
-/// @brief What an entry is told by its settings about tasks.
+/// @brief Settings of an entry's task path.
 struct task_core_options
 {
     entry_name name;
     std::string incarnation;
-    std::int64_t shards = 8; ///< of the whole fleet; never changed
+    std::int64_t shards = 8; ///< in the whole fleet; must never change
     std::int64_t lease_seconds = 10;
-    duration renew_every = std::chrono::seconds(3);
-    duration look_every = std::chrono::seconds(2);
-    duration adopt_after = std::chrono::seconds(3);
-    duration commit_every = std::chrono::milliseconds(200);
-    duration retry = std::chrono::milliseconds(300);
-    duration resend_start = std::chrono::seconds(1);
-    duration gone_after = std::chrono::seconds(10);
-    duration forget_unknown = std::chrono::minutes(1);
-    std::int64_t snapshot_every = 64; ///< segments
-    std::size_t most_book_bytes = 700'000;
-    std::int64_t most_failures = 3;
-    std::size_t places_a_round = 200;
+    duration renew_interval = std::chrono::seconds(3);
+    duration shard_poll_interval = std::chrono::seconds(2);
+    duration takeover_delay = std::chrono::seconds(3);
+    duration commit_interval = std::chrono::milliseconds(200);
+    duration retry_delay = std::chrono::milliseconds(300); ///< of store calls
+    /// A start that the guard does not list is sent again after this time.
+    duration start_resend_delay = std::chrono::seconds(1);
+    /// A guard whose VM disappeared is gone after this time without a
+    /// heartbeat.
+    duration gone_timeout = std::chrono::seconds(10);
+    /// How long attempts of unknown tasks are remembered.
+    duration unknown_attempt_retention = std::chrono::minutes(1);
+    std::int64_t snapshot_interval = 64; ///< segments
+    std::size_t max_snapshot_bytes = 700'000;
+    std::int64_t max_failures = 3;
+    std::size_t max_placements_per_tick = 200;
     std::uint64_t seed = 1;
 };
 
-/// @brief Names a caller's task call within its entry.
+/// @brief Identifies a caller's task call within its entry.
 using task_call = std::uint64_t;
 
-/// @brief The final answer to a submission or a cancel.
+/// @brief Action: answers a submission or a cancel.
 struct task_answer
 {
     task_call call = 0;
-    std::optional<task_record> record;   ///< when it was done
-    std::optional<problem_report> wrong; ///< when it was not
+    std::optional<task_record> record;     ///< if it succeeded
+    std::optional<problem_report> problem; ///< if it failed
 };
 
-/// @brief Send a start to a guard.
+/// @brief Action: sends a start to a guard.
 struct send_start
 {
     guard_name guard;
     std::string address;
-    start_task what;
+    start_task request;
 };
 
-/// @brief Send a stop to a guard.
+/// @brief Action: sends a stop to a guard.
 struct send_stop
 {
     guard_name guard;
     std::string address;
-    stop_task what;
+    stop_task request;
 };
 
-/// @brief A shard came or went; for the log.
-struct note_shard
+/// @brief Action: logs that this entry acquired or lost a shard.
+struct log_shard
 {
     event_id event = event_id::shard_taken;
     std::int64_t shard = 0;
 };
 
-/// @brief A task reached its last state; for the log and the metrics.
-struct note_ended
+/// @brief Action: logs and counts a task that reached a final state.
+struct log_task_end
 {
     task_record record;
 };
 
-/// @brief What an entry does next for tasks.
+/// @brief An action that the entry carries out for tasks.
 using task_action = std::variant<store_call, task_answer, send_start, send_stop,
-                                 note_shard, note_ended>;
+                                 log_shard, log_task_end>;
 
-/// @brief Several of them, in order.
+/// @brief Actions in the order in which they are carried out.
 using task_actions = std::vector<task_action>;
 
-/// @brief A task and the number of one of its attempts.
+/// @brief Identifies an attempt of a task.
 struct task_attempt_key
 {
     std::string task;
     std::int64_t attempt = 0;
 };
 
-/// @brief The guards as an entry's request path knows them.
+/// @brief The guards known to the entry's request path.
 using guard_views = std::map<guard_name, guard_view>;
 
-/// @brief The state machine of the shards of tasks that an entry holds.
+/// @brief The state machine of the task shards that an entry owns.
 ///
-/// Nothing is told or done before the journal has it: a caller hears of
-/// acceptance, a guard is asked to start, and an ended attempt is
-/// acknowledged only after the commit. Commits name the key that makes this
-/// entry the shard's holder by its creation, so nothing of a former holder
-/// can be written once there is a new one.
+/// Every transition is committed to the journal before it takes effect: only
+/// after the commit is a submission confirmed, a start sent to a guard, or an
+/// ended attempt acknowledged. Commits are fenced writes, conditioned on the
+/// creation revision of the shard owner's key, so a previous owner can write
+/// nothing once there is a new one.
 class task_core
 {
 public:
     /// @param options from the settings
     explicit task_core(task_core_options options);
 
-    /// @brief A workspace submits a task; its id is given here.
+    /// @brief Handles a submission and assigns the task's id.
     void on_submit(task_call call, time_point deadline, task_spec spec,
                    const guard_views& guards, task_actions& actions);
-    /// @brief A workspace cancels a task of a shard that is held here.
+    /// @brief Handles a workspace's cancel of a task of an owned shard.
     void on_cancel(task_call call, time_point deadline,
                    const std::string& workspace, const std::string& task,
                    task_actions& actions);
-    /// @brief The store's answer to an earlier call.
+    /// @brief Handles the store's answer to an earlier call.
     void on_store(time_point now, store_token token, const kv_answer& answer,
                   task_actions& actions);
-    /// @brief A guard's heartbeat.
-    /// @return ended attempts that are on record, for the answer
+    /// @brief Handles a guard's heartbeat.
+    /// @return ended attempts to acknowledge in the answer
     std::vector<attempt_ack> on_report(time_point now,
                                        const guard_report& report,
                                        task_actions& actions);
-    /// @brief A guard's reply to a start.
-    void on_start_reply(const start_task& what, const task_reply& reply);
-    /// @brief A guard's reply to a stop.
-    void on_stop_reply(const stop_task& what, const task_reply& reply);
-    /// @brief VMs that the platform's list held once and holds no more.
+    /// @brief Handles a guard's reply to a start.
+    void on_start_reply(const start_task& start, const task_reply& reply);
+    /// @brief Handles a guard's reply to a stop.
+    void on_stop_reply(const stop_task& stop, const task_reply& reply);
+    /// @brief Handles VMs that disappeared from the platform's list.
     void on_gone(time_point now, const std::set<std::string>& names,
                  const guard_views& guards);
-    /// @brief Workspaces' limits from now on.
+    /// @brief Applies a new table of classes and workspace limits.
     void on_table(const table& rows);
-    /// @brief Another entry's word of what it has placed.
+    /// @brief Handles a peer's report of the resources it has placed.
     void on_peer_usage(const std::string& peer,
                        std::map<std::string, resources> usage);
-    /// @brief A planned stop began: shards are given up.
+    /// @brief Starts draining: releases the owned shards.
     void on_drain(time_point now, task_actions& actions);
-    /// @brief Time passes.
-    /// @param entries names of all live entries, this one among them
+    /// @brief Renews the lease, polls shard owners, places tasks, commits.
+    /// @param entries names of all live entries, including this one
     void on_tick(time_point now, const guard_views& guards,
                  const std::set<std::string>& entries, task_actions& actions);
 
-    /// @brief A task's record if its shard is held here, else null.
+    /// @brief A task's record if this entry owns its shard, else null.
     [[nodiscard]] const task_record* find(const std::string& task) const;
-    /// @brief The records of a workspace's tasks that are held here.
+    /// @brief The records of a workspace's tasks in owned shards.
     [[nodiscard]] std::vector<task_record>
     records_of(const std::string& workspace) const;
-    /// @brief The shards held here.
-    [[nodiscard]] std::vector<std::int64_t> held() const;
-    /// @brief What is placed, by workspace.
+    /// @brief The numbers of the owned shards.
+    [[nodiscard]] std::vector<std::int64_t> owned_shards() const;
+    /// @brief Resources of placed tasks by workspace.
     [[nodiscard]] std::map<std::string, resources> usage() const;
-    /// @brief Transactions sent to the store, and transitions in them.
+    /// @brief Journal transactions, and the transitions and bytes in them.
     struct counters
     {
         std::uint64_t commits = 0;
         std::uint64_t transitions = 0;
         std::uint64_t bytes = 0;
     };
-    /// @brief What the journal cost so far.
+    /// @brief Totals of the journal since the start.
     [[nodiscard]] const counters& cost() const noexcept
     {
         return cost_;
@@ -166,10 +170,10 @@
 private:
     enum class phase : std::uint8_t
     {
-        foreign,
+        unowned,
         acquiring,
         loading,
-        held
+        owned
     };
 
     struct waiting_call
@@ -180,89 +184,96 @@
         bool sent = false;
     };
 
-    struct shard
+    struct shard_state
     {
-        phase at = phase::foreign;
-        std::int64_t epoch = 0; ///< creation of the holder's key
-        task_book book;
+        phase state = phase::unowned;
+        std::int64_t epoch = 0; ///< creation revision of the owner's key
+        shard_tasks tasks;
         std::int64_t next_segment = 1;
-        std::int64_t since_snapshot = 0;
+        std::int64_t segments_since_snapshot = 0;
         std::vector<task_transition> pending;
         std::vector<task_transition> committing;
-        std::string nonce; ///< of the segment that is on its way
+        std::string nonce; ///< of the write in flight
         std::optional<store_token> token;
         kv_operation in_flight;
-        std::optional<kv_operation> again; ///< to send when retry_at comes
-        bool too_large = false; ///< the book nears what the store can hold
+        std::optional<kv_operation> retry_operation; ///< sent at retry_at
+        /// Last snapshot exceeded max_snapshot_bytes.
+        bool near_size_limit = false;
         bool snapshotting = false;
-        std::int64_t snapshot_revision = 0; ///< of the last one; 0: none
-        bool checking = false;              ///< reading back a refused segment
+        std::int64_t snapshot_revision = 0; ///< of the last snapshot; 0: none
+        bool verifying = false;             ///< reading back a refused write
         time_point retry_at;
         time_point next_commit{};
-        time_point free_since{};
-        time_point confirmed{};     ///< when the store was asked who holds it
-        std::set<std::string> busy; ///< tasks with steps not yet on record
+        time_point unowned_since{};
+        /// Send time of the last poll that confirmed this entry as the owner.
+        time_point confirmed_at{};
+        /// Tasks with uncommitted transitions.
+        std::set<std::string> uncommitted_tasks;
         std::vector<waiting_call> calls;
     };
 
     struct sent_start
     {
         std::int64_t attempt = 0;
-        time_point at;
+        time_point sent_at;
     };
 
     // The store and the shards.
-    store_call ask(kv_operation operation);
-    void keep_lease(time_point now, task_actions& actions);
-    void look_for_shards(time_point now, task_actions& actions);
-    void take_shards(time_point now, const kv_answer& answer,
-                     const std::set<std::string>& entries,
-                     task_actions& actions);
-    void acquire(std::int64_t number, task_actions& actions);
+    store_call make_call(kv_operation operation);
+    void renew_lease(time_point now, task_actions& actions);
+    void poll_shard_owners(time_point now, task_actions& actions);
+    void update_ownership(time_point now, const kv_answer& answer,
+                          const std::set<std::string>& entries,
+                          task_actions& actions);
+    void acquire_shard(std::int64_t number, task_actions& actions);
     void after_acquire(std::int64_t number, const kv_answer& answer,
                        task_actions& actions);
-    void load(std::int64_t number, task_actions& actions);
+    void load_shard(std::int64_t number, task_actions& actions);
     void after_load(time_point now, std::int64_t number,
                     const kv_answer& answer, task_actions& actions);
-    void give_up(std::int64_t number, task_actions& actions);
-    void drop(std::int64_t number, bool may_be_written, task_actions& actions);
-    void drop_all(task_actions& actions);
+    void release_shard(std::int64_t number, task_actions& actions);
+    void drop_shard(std::int64_t number, bool may_be_written,
+                    task_actions& actions);
+    void drop_all_shards(task_actions& actions);
 
     // The journal.
-    static void recount_busy(shard& of);
-    static void add(shard& to, task_transition step);
+    static void rebuild_uncommitted_tasks(shard_state& shard);
+    static void append_transition(shard_state& shard, task_transition step);
     void commit(time_point now, std::int64_t number, task_actions& actions);
     void snapshot(std::int64_t number, task_actions& actions);
-    void send_for(shard& of, kv_operation operation, task_actions& actions);
+    void send_for(shard_state& shard, kv_operation operation,
+                  task_actions& actions);
     void after_commit(time_point now, std::int64_t number,
                       const kv_answer& answer, task_actions& actions);
     void after_write(time_point now, std::int64_t number, std::int64_t revision,
                      task_actions& actions);
     std::string next_nonce();
-    void committed(time_point now, std::int64_t number, task_actions& actions);
+    void on_committed(time_point now, std::int64_t number,
+                      task_actions& actions);
     void answer_calls(std::int64_t number, task_actions& actions);
-    static void refuse_calls(shard& of, bool may_be_written,
+    static void refuse_calls(shard_state& shard, bool may_be_written,
                              task_actions& actions);
-    static void queue_step(shard& to, task_call call, time_point deadline,
-                           task_transition step);
-    void expire_calls(time_point now, shard& of, task_actions& actions);
+    static void queue_transition(shard_state& shard, task_call call,
+                                 time_point deadline, task_transition step);
+    void expire_calls(time_point now, shard_state& shard,
+                      task_actions& actions);
 
     // Placement.
     using waiting_tasks =
         std::map<std::string, std::vector<const task_record*>>;
 
-    void forget_promises();
-    void recount();
-    void place_all(time_point now, const guard_views& guards);
+    void drop_stale_reservations();
+    void update_usage();
+    void run_placement_pass(time_point now, const guard_views& guards);
     [[nodiscard]] waiting_tasks waiting() const;
-    bool place_one(time_point now, const task_record& record,
-                   const guard_views& guards);
+    bool place_task(time_point now, const task_record& record,
+                    const guard_views& guards);
     using loaded_guards = std::vector<std::pair<double, guard_name>>;
 
-    [[nodiscard]] loaded_guards fitting(time_point now,
-                                        const task_record& record,
-                                        const guard_views& guards,
-                                        bool also_failed) const;
+    [[nodiscard]] loaded_guards fitting_guards(time_point now,
+                                               const task_record& record,
+                                               const guard_views& guards,
+                                               bool include_failed) const;
     [[nodiscard]] std::optional<guard_name>
     choose_guard(time_point now, const task_record& record,
                  const guard_views& guards);
@@ -278,42 +289,45 @@
     void stop_attempt(const std::string& guard, const task_attempt_key& name,
                       bool keep_checkpoint, task_actions& actions);
 
-    // Reports of guards.
-    bool is_stranger(time_point now, const shard& of,
-                     const attempt_report& attempt);
-    void take_ended(const std::string& guard, const task_record& record,
-                    const attempt_report& report);
-    void take_failure(const std::string& guard, const task_record& record,
-                      const attempt_report& report);
-    void check_missing(time_point now, const guard_report& report,
-                       task_actions& actions);
-    void lose(const std::string& task, std::int64_t attempt,
-              const std::string& why);
+    // Guard reports.
+    bool is_orphan(time_point now, const shard_state& shard,
+                   const attempt_report& attempt);
+    void record_ended_attempt(const std::string& guard,
+                              const task_record& record,
+                              const attempt_report& report);
+    void record_failed_attempt(const std::string& guard,
+                               const task_record& record,
+                               const attempt_report& report);
+    void handle_missing_attempts(time_point now, const guard_report& report,
+                                 task_actions& actions);
+    void record_lost(const std::string& task, std::int64_t attempt,
+                     const std::string& why);
 
     std::string new_id(std::int64_t number);
-    shard* held_shard(const std::string& task);
-    [[nodiscard]] const shard* held_shard(const std::string& task) const;
+    shard_state* owned_shard(const std::string& task);
+    [[nodiscard]] const shard_state* owned_shard(const std::string& task) const;
 
     task_core_options options_;
     table table_;
-    std::map<std::int64_t, shard> shards_;
+    std::map<std::int64_t, shard_state> shards_;
     std::map<store_token, std::int64_t> shard_of_token_;
     std::map<std::string, std::map<std::string, resources>> peer_usage_;
     std::map<std::string, resources> usage_;
     std::map<std::string, sent_start> starts_; ///< by task
-    std::map<guard_name, std::map<std::string, resources>> promised_;
+    std::map<guard_name, std::map<std::string, resources>> reservations_;
     std::map<std::string, std::set<std::string>> placed_on_; ///< by guard
     std::map<std::string, std::string> addresses_;           ///< by guard
     std::map<std::string, std::set<guard_name>> failed_on_;  ///< by task
-    outlier_detector workers_; ///< those that fail all they start
+    outlier_detector workers_; ///< ejects workers whose tasks keep failing
     std::int64_t lease_ = 0;
     std::optional<store_token> lease_token_;
     time_point next_renewal_{};
-    std::optional<store_token> look_token_;
-    time_point next_look_{};
-    time_point look_asked_{};
-    std::optional<kv_answer> seen_shards_;
-    std::map<std::pair<std::string, std::int64_t>, time_point> unknown_since_;
+    std::optional<store_token> shard_poll_token_;
+    time_point next_shard_poll_{};
+    time_point shard_poll_sent_at_{};
+    std::optional<kv_answer> last_shard_poll_;
+    std::map<std::pair<std::string, std::int64_t>, time_point>
+        unknown_attempts_since_;
     store_token next_token_ = 1;
     std::uint64_t next_nonce_ = 1;
     random_source random_;
--- a/packages/entry/src/task_core.cpp
+++ b/packages/entry/src/task_core.cpp
@@ -12,14 +12,14 @@
 {
 
 constexpr int id_digits = 16;
-constexpr std::size_t most_pending = 2000;
-constexpr std::size_t most_detail = 4096;
-constexpr std::size_t most_payload = 4096;
-constexpr duration retry_soon = std::chrono::seconds(1);
+constexpr std::size_t max_pending = 2000; // transitions per shard
+constexpr std::size_t max_detail = 4096;  // bytes
+constexpr std::size_t max_payload = 4096; // bytes
+constexpr duration short_retry_after = std::chrono::seconds(1);
 
 std::string bounded(std::string text)
 {
-    text.resize(std::min(text.size(), most_detail));
+    text.resize(std::min(text.size(), max_detail));
     return text;
 }
 
@@ -34,32 +34,34 @@
     }
 }
 
-task_core::shard* task_core::held_shard(const std::string& task)
+task_core::shard_state* task_core::owned_shard(const std::string& task)
 {
     const auto number = shard_of(task);
     const auto found = number ? shards_.find(*number) : shards_.end();
-    const bool held = found != shards_.end() && found->second.at == phase::held;
-    return held ? &found->second : nullptr;
+    const bool owned =
+        found != shards_.end() && found->second.state == phase::owned;
+    return owned ? &found->second : nullptr;
 }
 
-const task_core::shard* task_core::held_shard(const std::string& task) const
+const task_core::shard_state*
+task_core::owned_shard(const std::string& task) const
 {
-    return const_cast<task_core*>(this)->held_shard(task); // NOLINT
+    return const_cast<task_core*>(this)->owned_shard(task); // NOLINT
 }
 
 const task_record* task_core::find(const std::string& task) const
 {
-    const shard* const of = held_shard(task);
-    return of == nullptr ? nullptr : of->book.find(task);
+    const shard_state* const shard = owned_shard(task);
+    return shard == nullptr ? nullptr : shard->tasks.find(task);
 }
 
 std::vector<task_record>
 task_core::records_of(const std::string& workspace) const
 {
     std::vector<task_record> records;
-    for (const auto& [number, of] : shards_)
+    for (const auto& [number, shard] : shards_)
     {
-        for (const auto& [id, record] : of.book.all())
+        for (const auto& [id, record] : shard.tasks.all())
         {
             if (record.spec.of.workspace == workspace)
             {
@@ -70,12 +72,12 @@
     return records;
 }
 
-std::vector<std::int64_t> task_core::held() const
+std::vector<std::int64_t> task_core::owned_shards() const
 {
     std::vector<std::int64_t> numbers;
-    for (const auto& [number, of] : shards_)
+    for (const auto& [number, shard] : shards_)
     {
-        if (of.at == phase::held)
+        if (shard.state == phase::owned)
         {
             numbers.push_back(number);
         }
@@ -103,12 +105,12 @@
 // Callers
 // ---------------------------------------------------------------------------
 
-void task_core::queue_step(shard& to, task_call call, time_point deadline,
-                           task_transition step)
+void task_core::queue_transition(shard_state& shard, task_call call,
+                                 time_point deadline, task_transition step)
 {
-    to.calls.push_back(
+    shard.calls.push_back(
         {.call = call, .task = step.task, .deadline = deadline, .sent = false});
-    add(to, std::move(step));
+    append_transition(shard, std::move(step));
 }
 
 std::string task_core::new_id(std::int64_t number)
@@ -133,78 +135,83 @@
         actions.emplace_back(
             task_answer{.call = call,
                         .record = {},
-                        .wrong = not_run(reason, wait, detail)});
+                        .problem = not_run(reason, wait, detail)});
     };
     if (table_.find(spec.of) == nullptr)
     {
         reject(refusal::unknown_class, duration{0}, "");
         return;
     }
-    if (spec.payload.size() > most_payload)
+    if (spec.payload.size() > max_payload)
     {
-        reject(refusal::bad_request, duration{0}, "the payload is too long");
+        reject(refusal::bad_request, duration{0},
+               "the payload is longer than 4096 bytes");
         return;
     }
     if (!store_available_)
     {
-        reject(refusal::store_unavailable, retry_soon, "");
+        reject(refusal::store_unavailable, short_retry_after, "");
         return;
     }
     if (!guards.empty() && !fits_somewhere(spec, guards))
     {
         reject(refusal::never_fits, duration{0},
-               "no worker is large enough for what the task needs");
+               "no worker is large enough for the task");
         return;
     }
-    shard* emptiest = nullptr;
+    shard_state* least_loaded = nullptr;
     std::int64_t number = 0;
-    for (auto& [candidate, of] : shards_)
+    for (auto& [candidate, shard] : shards_)
     {
-        if (of.at == phase::held &&
-            (emptiest == nullptr ||
-             of.book.all().size() + of.pending.size() <
-                 emptiest->book.all().size() + emptiest->pending.size()))
+        if (shard.state == phase::owned &&
+            (least_loaded == nullptr ||
+             shard.tasks.all().size() + shard.pending.size() <
+                 least_loaded->tasks.all().size() +
+                     least_loaded->pending.size()))
         {
-            emptiest = &of;
+            least_loaded = &shard;
             number = candidate;
         }
     }
-    if (emptiest == nullptr || draining_)
+    if (least_loaded == nullptr || draining_)
     {
-        reject(refusal::starting, retry_soon, "no shard is held here");
+        reject(refusal::starting, short_retry_after,
+               "this entry owns no shard");
         return;
     }
-    if (emptiest->pending.size() >= most_pending || emptiest->too_large)
+    if (least_loaded->pending.size() >= max_pending ||
+        least_loaded->near_size_limit)
     {
-        reject(refusal::queue_full, retry_soon, "too many tasks wait");
+        reject(refusal::queue_full, short_retry_after,
+               "too many tasks are waiting");
         return;
     }
     spec.id = new_id(number);
     task_transition step;
     step.task = spec.id;
     step.spec = std::move(spec);
-    queue_step(*emptiest, call, deadline, std::move(step));
+    queue_transition(*least_loaded, call, deadline, std::move(step));
 }
 
 void task_core::on_cancel(task_call call, time_point deadline,
                           const std::string& workspace, const std::string& task,
                           task_actions& actions)
 {
-    shard* const of = held_shard(task);
+    shard_state* const shard = owned_shard(task);
     const task_record* const record =
-        of == nullptr ? nullptr : of->book.find(task);
+        shard == nullptr ? nullptr : shard->tasks.find(task);
     if (record == nullptr || record->spec.of.workspace != workspace)
     {
-        actions.emplace_back(
-            task_answer{.call = call,
-                        .record = {},
-                        .wrong = not_run(refusal::unknown_class, duration{0})});
+        actions.emplace_back(task_answer{
+            .call = call,
+            .record = {},
+            .problem = not_run(refusal::unknown_class, duration{0})});
         return;
     }
     if (is_final(record->state))
     {
         actions.emplace_back(
-            task_answer{.call = call, .record = *record, .wrong = {}});
+            task_answer{.call = call, .record = *record, .problem = {}});
         return;
     }
     if (!store_available_)
@@ -212,17 +219,17 @@
         actions.emplace_back(task_answer{
             .call = call,
             .record = {},
-            .wrong = not_run(refusal::store_unavailable, retry_soon)});
+            .problem = not_run(refusal::store_unavailable, short_retry_after)});
         return;
     }
     task_transition step;
     step.what = task_transition::step::cancel;
     step.task = task;
-    queue_step(*of, call, deadline, std::move(step));
+    queue_transition(*shard, call, deadline, std::move(step));
 }
 
 // ---------------------------------------------------------------------------
-// Reports of guards
+// Guard reports
 // ---------------------------------------------------------------------------
 
 void task_core::stop_attempt(const std::string& guard,
@@ -238,39 +245,40 @@
     actions.emplace_back(
         send_stop{.guard = {guard},
                   .address = address->second,
-                  .what = {.task = name.task,
-                           .attempt = name.attempt,
-                           .shard = *number,
-                           .epoch = shards_.at(*number).epoch,
-                           .keep_checkpoint = keep_checkpoint}});
+                  .request = {.task = name.task,
+                              .attempt = name.attempt,
+                              .shard = *number,
+                              .epoch = shards_.at(*number).epoch,
+                              .keep_checkpoint = keep_checkpoint}});
 }
 
-void task_core::take_failure(const std::string& guard,
-                             const task_record& record,
-                             const attempt_report& report)
+void task_core::record_failed_attempt(const std::string& guard,
+                                      const task_record& record,
+                                      const attempt_report& report)
 {
     failed_on_[record.spec.id].insert({guard});
-    const bool for_good = record.failures + 1 >= options_.most_failures;
+    const bool is_final_failure = record.failures + 1 >= options_.max_failures;
     task_transition step;
-    step.what =
-        for_good ? task_transition::step::fail : task_transition::step::retry;
+    step.what = is_final_failure ? task_transition::step::fail
+                                 : task_transition::step::retry;
     step.task = report.task;
     step.attempt = report.attempt;
     step.detail = bounded(report.detail);
-    add(*held_shard(report.task), std::move(step));
+    append_transition(*owned_shard(report.task), std::move(step));
 }
 
-void task_core::take_ended(const std::string& guard, const task_record& record,
-                           const attempt_report& report)
+void task_core::record_ended_attempt(const std::string& guard,
+                                     const task_record& record,
+                                     const attempt_report& report)
 {
     if (report.state == "failed")
     {
-        take_failure(guard, record, report);
+        record_failed_attempt(guard, record, report);
         return;
     }
     if (report.state == "lost")
     {
-        lose(report.task, report.attempt, bounded(report.detail));
+        record_lost(report.task, report.attempt, bounded(report.detail));
         return;
     }
     task_transition step;
@@ -279,34 +287,37 @@
     step.task = report.task;
     step.attempt = report.attempt;
     step.detail = bounded(report.detail);
-    add(*held_shard(report.task), std::move(step));
+    append_transition(*owned_shard(report.task), std::move(step));
 }
 
-void task_core::lose(const std::string& task, std::int64_t attempt,
-                     const std::string& why)
+void task_core::record_lost(const std::string& task, std::int64_t attempt,
+                            const std::string& why)
 {
-    shard* const of = held_shard(task);
+    shard_state* const shard = owned_shard(task);
     const task_record* const record =
-        of == nullptr ? nullptr : of->book.find(task);
+        shard == nullptr ? nullptr : shard->tasks.find(task);
     if (record == nullptr || record->state != task_state::placed ||
-        record->attempt != attempt || of->busy.contains(task))
+        record->attempt != attempt || shard->uncommitted_tasks.contains(task))
     {
         return;
     }
-    workers_.returned({record->guard}); // nothing is known of the worker
+    workers_.discard_probe(
+        {record->guard}); // a lost attempt is no evidence for or against it
     task_transition step;
     step.what = task_transition::step::lose;
     step.task = task;
     step.attempt = attempt;
     step.detail = why;
-    add(*of, std::move(step));
+    append_transition(*shard, std::move(step));
 }
 
-// A placed attempt that its guard does not list: the start is on its way,
-// or was lost, or the guard is a new process. A stop tells which, and closes
-// the attempt there, so that no late start can follow.
-void task_core::check_missing(time_point now, const guard_report& report,
-                              task_actions& actions)
+// Handles placed attempts that the guard does not list: the start is in flight
+// or lost, or the guard restarted. After a restart, a stop reports whether the
+// attempt exists and closes it there, so that a delayed start cannot run it.
+// Otherwise the start is sent again.
+void task_core::handle_missing_attempts(time_point now,
+                                        const guard_report& report,
+                                        task_actions& actions)
 {
     const auto placed = placed_on_.find(report.guard.value);
     if (placed == placed_on_.end() || !report.tasks_ready)
@@ -325,7 +336,7 @@
                           record->state == task_state::placed &&
                           record->guard == report.guard.value;
         if (!here || listed.contains(task) ||
-            held_shard(task)->busy.contains(task))
+            owned_shard(task)->uncommitted_tasks.contains(task))
         {
             continue;
         }
@@ -337,9 +348,9 @@
             continue;
         }
         const auto sent = starts_.find(task);
-        const bool due = sent == starts_.end() ||
-                         sent->second.attempt != record->attempt ||
-                         now - sent->second.at > options_.resend_start;
+        const bool due =
+            sent == starts_.end() || sent->second.attempt != record->attempt ||
+            now - sent->second.sent_at > options_.start_resend_delay;
         if (due)
         {
             start_placed(now, *record, actions);
@@ -347,15 +358,16 @@
     }
 }
 
-// A task that is not in the book may be a later holder's, if this entry was
-// overtaken and does not know it yet. It is a stranger only once the store
-// has named this entry the holder after the attempt was seen.
-bool task_core::is_stranger(time_point now, const shard& of,
-                            const attempt_report& attempt)
+// An unknown task may belong to a later shard owner if this entry is superseded
+// and has not noticed yet. The attempt is an orphan only once a poll of the
+// store, sent after the attempt was first seen, has confirmed this entry as
+// owner.
+bool task_core::is_orphan(time_point now, const shard_state& shard,
+                          const attempt_report& attempt)
 {
-    const auto [seen, fresh] =
-        unknown_since_.try_emplace({attempt.task, attempt.attempt}, now);
-    return !fresh && of.confirmed > seen->second;
+    const auto [seen, fresh] = unknown_attempts_since_.try_emplace(
+        {attempt.task, attempt.attempt}, now);
+    return !fresh && shard.confirmed_at > seen->second;
 }
 
 std::vector<attempt_ack> task_core::on_report(time_point now,
@@ -367,13 +379,13 @@
     addresses_[guard] = report.address;
     for (const attempt_report& attempt : report.attempts)
     {
-        const shard* const of = held_shard(attempt.task);
-        if (of == nullptr)
+        const shard_state* const shard = owned_shard(attempt.task);
+        if (shard == nullptr)
         {
             continue;
         }
-        promised_[report.guard].erase(attempt.task);
-        const task_record* const record = of->book.find(attempt.task);
+        reservations_[report.guard].erase(attempt.task);
+        const task_record* const record = shard->tasks.find(attempt.task);
         const bool runs =
             attempt.state == "running" || attempt.state == "starting";
         const bool current = record != nullptr &&
@@ -381,7 +393,7 @@
                              record->attempt == attempt.attempt;
         if (current)
         {
-            if (!runs && !of->busy.contains(attempt.task))
+            if (!runs && !shard->uncommitted_tasks.contains(attempt.task))
             {
                 const bool failed = attempt.state == "failed";
                 const bool ran = failed || attempt.state == "finished";
@@ -392,17 +404,17 @@
                 }
                 else
                 {
-                    workers_.returned(report.guard);
+                    workers_.discard_probe(report.guard);
                 }
-                take_ended(guard, *record, attempt);
+                record_ended_attempt(guard, *record, attempt);
             }
             continue;
         }
         if (record != nullptr && record->attempt < attempt.attempt)
         {
-            continue; // a later holder placed it; this one was overtaken
+            continue; // placed by a later owner; this one is superseded
         }
-        if (record == nullptr && !is_stranger(now, *of, attempt))
+        if (record == nullptr && !is_orphan(now, *shard, attempt))
         {
             continue;
         }
@@ -416,29 +428,29 @@
         acked.push_back({.task = attempt.task,
                          .attempt = attempt.attempt,
                          .shard = *shard_of(attempt.task),
-                         .epoch = of->epoch});
+                         .epoch = shard->epoch});
     }
-    check_missing(now, report, actions);
+    handle_missing_attempts(now, report, actions);
     return acked;
 }
 
-void task_core::on_start_reply(const start_task& what, const task_reply& reply)
+void task_core::on_start_reply(const start_task& start, const task_reply& reply)
 {
-    const bool closed_there =
+    const bool will_not_start =
         !reply.accepted &&
         (reply.reason == "no_room" || reply.reason == "draining" ||
          reply.reason == "other_attempt" || reply.reason == "closed");
-    if (closed_there)
+    if (will_not_start)
     {
-        lose(what.spec.id, what.attempt, reply.reason);
+        record_lost(start.spec.id, start.attempt, reply.reason);
     }
 }
 
-void task_core::on_stop_reply(const stop_task& what, const task_reply& reply)
+void task_core::on_stop_reply(const stop_task& stop, const task_reply& reply)
 {
     if (reply.accepted && reply.reason == "not_here")
     {
-        lose(what.task, what.attempt, "its guard is a new process");
+        record_lost(stop.task, stop.attempt, "the guard process restarted");
     }
 }
 
@@ -448,10 +460,11 @@
     for (const std::string& name : names)
     {
         const auto view = guards.find({name});
-        const bool silent = view == guards.end() ||
-                            now - view->second.heard > options_.gone_after;
+        const bool unresponsive =
+            view == guards.end() ||
+            now - view->second.last_heartbeat_at > options_.gone_timeout;
         const auto placed = placed_on_.find(name);
-        if (!silent || placed == placed_on_.end())
+        if (!unresponsive || placed == placed_on_.end())
         {
             continue;
         }
@@ -460,39 +473,41 @@
             const task_record* const record = find(task);
             if (record != nullptr && record->guard == name)
             {
-                lose(task, record->attempt, "its worker is gone");
+                record_lost(task, record->attempt,
+                            "the worker no longer exists");
             }
         }
     }
 }
 
 // ---------------------------------------------------------------------------
-// Time
+// Periodic work
 // ---------------------------------------------------------------------------
 
 void task_core::on_tick(time_point now, const guard_views& guards,
                         const std::set<std::string>& entries,
                         task_actions& actions)
 {
-    keep_lease(now, actions);
-    look_for_shards(now, actions);
-    if (seen_shards_)
+    renew_lease(now, actions);
+    poll_shard_owners(now, actions);
+    if (last_shard_poll_)
     {
-        const kv_answer seen = *std::exchange(seen_shards_, std::nullopt);
-        take_shards(now, seen, entries, actions);
+        const kv_answer seen = *std::exchange(last_shard_poll_, std::nullopt);
+        update_ownership(now, seen, entries, actions);
     }
-    std::erase_if(unknown_since_, [&](const auto& item)
-                  { return now - item.second > options_.forget_unknown; });
-    recount();
-    place_all(now, guards);
-    for (auto& [number, of] : shards_)
+    std::erase_if(
+        unknown_attempts_since_, [&](const auto& item)
+        { return now - item.second > options_.unknown_attempt_retention; });
+    update_usage();
+    run_placement_pass(now, guards);
+    for (auto& [number, shard] : shards_)
     {
-        expire_calls(now, of, actions);
-        if (of.again && now >= of.retry_at)
+        expire_calls(now, shard, actions);
+        if (shard.retry_operation && now >= shard.retry_at)
         {
             const kv_operation operation =
-                *std::exchange(of.again, std::nullopt);
-            send_for(of, operation, actions);
+                *std::exchange(shard.retry_operation, std::nullopt);
+            send_for(shard, operation, actions);
         }
         commit(now, number, actions);
     }
--- a/packages/guard/include/springstair/guard.hpp
+++ b/packages/guard/include/springstair/guard.hpp
@@ -1,8 +1,9 @@
 #pragma once
 /// @file
-/// The guard's decisions: the only admission to one executor and worker.
+/// The guard's decision logic. Only the guard admits work to its executor and
+/// worker.
 
+#include <springstair/detail/guard/attempt_tracker.hpp>
 #include <springstair/detail/guard/guard_core.hpp>
-#include <springstair/detail/guard/holder_finder.hpp>
-#include <springstair/detail/guard/run_keeper.hpp>
-#include <springstair/detail/guard/task_keeper.hpp>
+#include <springstair/detail/guard/leader_finder.hpp>
+#include <springstair/detail/guard/run_reconciler.hpp>
--- a/packages/guard/src/guard_core.cpp
+++ b/packages/guard/src/guard_core.cpp
@@ -23,7 +23,7 @@
 {
     if (request.incarnation != options_.incarnation)
     {
-        // A copy of it may have reached the process that was here before.
+        // A duplicate may have reached the previous guard process.
         return problem_report{.result = outcome::unknown,
                               .reason = refusal::wrong_incarnation,
                               .retry_after = retry_soon};
@@ -47,21 +47,21 @@
 }
 
 guard_actions guard_core::refuse(time_point now, const attempt_name& attempt,
-                                 problem_report why)
+                                 problem_report problem)
 {
-    remember(now, attempt, why);
-    return {reply_problem{.attempt = attempt, .what = std::move(why)}};
+    remember(now, attempt, problem);
+    return {reply_problem{.attempt = attempt, .problem = std::move(problem)}};
 }
 
-// A copy of an attempt fares as the first one did: what was refused stays
-// refused, and what may run is not called not_run.
-guard_actions guard_core::answer_copy(const attempt_name& attempt)
+// A duplicate of an attempt that was refused on arrival gets the same refusal.
+// Any other duplicate gets `unknown`, never not_run: the first copy may run.
+guard_actions guard_core::answer_duplicate(const attempt_name& attempt)
 {
     const auto& refused = seen_.at(attempt);
     const problem_report duplicate{.result = outcome::unknown,
                                    .reason = refusal::duplicate};
-    return {
-        reply_problem{.attempt = attempt, .what = refused.value_or(duplicate)}};
+    return {reply_problem{.attempt = attempt,
+                          .problem = refused.value_or(duplicate)}};
 }
 
 guard_actions guard_core::on_attempt(time_point now,
@@ -69,7 +69,7 @@
 {
     if (seen_.contains(request.attempt))
     {
-        return answer_copy(request.attempt);
+        return answer_duplicate(request.attempt);
     }
     if (auto refused = refuse_outright(request))
     {
@@ -77,7 +77,7 @@
     }
     const auto refused =
         admission_.offer(now, {.attempt = request.attempt,
-                               .of = request.of,
+                               .work_class = request.request_class,
                                .arrived = now,
                                .deadline = now + request.remaining,
                                .may_wait = request.may_wait});
@@ -98,7 +98,7 @@
 {
     for (slot_request& request : admission_.start_ready())
     {
-        running_[request.attempt] = {.of = request.of, .started = now};
+        running_[request.attempt] = {.of = request.work_class, .started = now};
         actions.emplace_back(run_attempt{std::move(request.attempt)});
     }
 }
@@ -130,19 +130,19 @@
         admission_.abandon(attempt);
         actions.emplace_back(reply_problem{
             .attempt = attempt,
-            .what = not_run(refusal::connection_lost, retry_soon)});
+            .problem = not_run(refusal::connection_lost, retry_soon)});
         break;
     case executor_result::unknown:
-        // Its slot stays taken until the worker says it is free.
+        // The slot stays occupied until the worker no longer lists the attempt.
         admission_.abandon(attempt);
         in_doubt_[attempt.value] = now;
-        update_foreign();
+        count_orphans();
         actions.emplace_back(
             reply_problem{.attempt = attempt,
-                          .what = {.result = outcome::unknown,
-                                   .reason = refusal::connection_lost,
-                                   .retry_after = {},
-                                   .detail = {}}});
+                          .problem = {.result = outcome::unknown,
+                                      .reason = refusal::connection_lost,
+                                      .retry_after = {},
+                                      .detail = {}}});
         break;
     }
     start_ready(now, actions);
@@ -155,38 +155,39 @@
 {
     if (asked < last_asked_)
     {
-        return {}; // overtaken by a later list
+        return {}; // stale: a later list was applied
     }
     last_asked_ = asked;
-    std::set<std::string> foreign;
+    std::set<std::string> orphans;
     for (const std::string& name : attempts)
     {
         const attempt_name attempt{name};
         const bool ended_here = seen_.contains(attempt) &&
                                 !in_doubt_.contains(name) &&
-                                !foreign_.contains(name);
+                                !orphans_.contains(name);
         if (!running_.contains(attempt) && !ended_here)
         {
-            foreign.insert(name);
+            orphans.insert(name);
         }
     }
-    // Doubt that arose after the worker was asked is not settled by this.
+    // Attempts whose outcome became unknown after the worker was asked stay in
+    // doubt: this list may predate them.
     std::erase_if(in_doubt_,
                   [&](const auto& item) { return item.second <= asked; });
-    foreign_ = std::move(foreign);
+    orphans_ = std::move(orphans);
     if (asked - started_ >= options_.settle)
     {
         listed_ = true;
     }
-    update_foreign();
+    count_orphans();
     guard_actions actions;
     start_ready(now, actions);
     return actions;
 }
 
-void guard_core::update_foreign()
+void guard_core::count_orphans()
 {
-    std::set<std::string> all = foreign_;
+    std::set<std::string> all = orphans_;
     for (const auto& [name, since] : in_doubt_)
     {
         all.insert(name);
@@ -217,8 +218,8 @@
     {
         actions.emplace_back(reply_problem{
             .attempt = refused.request.attempt,
-            .what = not_run(refused.reason,
-                            jittered(refused.retry_after, random_))});
+            .problem = not_run(refused.reason,
+                               jittered(refused.retry_after, random_))});
     }
     while (!forget_at_.empty() && forget_at_.begin()->first <= now)
     {
@@ -252,7 +253,7 @@
 
 void guard_core::admit(const attempt_request& request)
 {
-    const class_row* const row = table_.find(request.of);
+    const class_row* const row = table_.find(request.request_class);
     const bool critical =
         row != nullptr && row->kind == class_kind::latency_critical;
     admitted_[request.attempt] = {.entry = request.entry, .critical = critical};
