--- a/packages/scheduler/include/springstair/detail/scheduler/scheduler_core.hpp
+++ b/packages/scheduler/include/springstair/detail/scheduler/scheduler_core.hpp
@@ -1,16 +1,16 @@
 #pragma once
 
+#include <springstair/detail/scheduler/availability_counts.hpp>
+#include <springstair/detail/scheduler/closure_tracker.hpp>
 #include <springstair/detail/scheduler/crash_suspicion.hpp>
-#include <springstair/detail/scheduler/data_centre_book.hpp>
-#include <springstair/detail/scheduler/failure_test.hpp>
-#include <springstair/detail/scheduler/harm_model.hpp>
+#include <springstair/detail/scheduler/end_proof.hpp>
+#include <springstair/detail/scheduler/fault_detector.hpp>
+#include <springstair/detail/scheduler/infeasible_queries.hpp>
+#include <springstair/detail/scheduler/interference_model.hpp>
 #include <springstair/detail/scheduler/job_order.hpp>
 #include <springstair/detail/scheduler/job_record.hpp>
 #include <springstair/detail/scheduler/placement.hpp>
-#include <springstair/detail/scheduler/run_over.hpp>
-#include <springstair/detail/scheduler/service_account.hpp>
-#include <springstair/detail/scheduler/ticket_book.hpp>
-#include <springstair/detail/scheduler/vain_queries.hpp>
+#include <springstair/detail/scheduler/ticket_cache.hpp>
 #include <springstair/detail/scheduler/wait_report.hpp>
 #include <springstair/detail/scheduler/worker_ledger.hpp>
 
@@ -24,113 +24,124 @@
 namespace springstair
 {
 
-/// @brief Timings and bounds of a holder.
+/// @brief Timings and bounds of the leader's scheduling.
 struct scheduler_options
 {
     placement_options placement;
     order_options order;
     suspicion_options suspicion;
     closing_options closing;
-    failure_test_options failures;
-    /// How long a worker's lease may last on one answer to its guard. Above
-    /// a guard's restart and a frozen VM; below the platform's most.
-    duration permit = std::chrono::seconds(4);
-    /// No permit ends later than this after the office was last verified. A
-    /// successor waits as long for workers it cannot reach. Above the longest
-    /// outage of the store that tasks should survive, plus a permit.
-    duration office_reach = std::chrono::seconds(10);
-    /// A state that can still change is shown from memory for so long after
-    /// the office was last verified. A holder that was paused or cut off for
-    /// longer may have a successor that showed a later state, and callers
-    /// would see the job go back. The lease of the office, 2 s, less the time
-    /// between its renewals.
-    duration show_reach = std::chrono::milliseconds(1500);
+    fault_detector_options failures;
+    /// Maximum lease grant in one answer to a guard. Exceeds a guard's restart
+    /// and the time for which a VM may freeze; below the platform's maximum.
+    duration lease_grant = std::chrono::seconds(4);
+    /// No lease grant ends later than this after leadership was last verified.
+    /// A successor waits as long for workers that it cannot reach. Exceeds the
+    /// longest store outage that tasks should survive, plus a lease grant.
+    duration lease_horizon = std::chrono::seconds(10);
+    /// Time after the last verification of leadership for which a non-final
+    /// state is shown from memory. After a longer pause or partition a
+    /// successor may have shown a later state, and callers would see the state
+    /// of the job revert. The lease of the leader's key, 2 s, less its renewal
+    /// interval.
+    duration max_read_age = std::chrono::milliseconds(1500);
     /// A worker's clock may run slower by this share of a lease (platform).
     double clock_drift = 0.02;
-    /// Delays of messages and timers, on top of a lease.
+    /// Allowance for delays of messages and timers, added to a lease.
     duration lease_slack = std::chrono::milliseconds(300);
-    /// Least time between two writes: bounds the calls to the store.
-    duration commit_gap = std::chrono::milliseconds(20);
-    /// Ends that nothing waits for are written with others of their job: each
-    /// write carries the whole record. Their workers hear that they may forget
-    /// them so much later. Writes took 43 ms of processor time a second at 160
-    /// workers and 440 starts a second without it, 20 ms with it.
-    duration gather_ends = std::chrono::milliseconds(60);
-    /// Jobs a write: each takes a condition and a put of the store's 32
-    /// entries, and the office's own condition one.
-    std::size_t jobs_a_commit = 15;
-    /// A start or stop that shows no effect is repeated after so long: two
-    /// reports of a guard.
-    duration repeat_order = std::chrono::milliseconds(1000);
-    /// A refused task is tried again after so long; the ledger was wrong and
-    /// a report corrects it in the meantime.
-    duration refused_pause = std::chrono::milliseconds(300);
-    /// Without a change of jobs or room, waiting tasks are looked through so
-    /// often: figures of workers and clocks move slowly beside it.
-    duration placing_gap = std::chrono::milliseconds(100);
-    /// How long a worker that fails what it starts gets nothing at first;
-    /// doubled each time until it is sound, up to the most.
-    duration eject_for = std::chrono::seconds(2);
-    duration eject_most = std::chrono::seconds(10);
-    /// A run whose progress stands still for so long is moved elsewhere.
+    /// Minimum time between two writes: bounds the calls to the store.
+    duration min_commit_interval = std::chrono::milliseconds(20);
+    /// Delay of ends that nothing waits for, to batch them with others of their
+    /// job: each write contains the whole record. Acknowledgements to workers
+    /// are delayed as much. At 160 workers and 440 starts per second, writes
+    /// took 43 ms of processor time per second without it, 20 ms with it.
+    duration end_batch_delay = std::chrono::milliseconds(60);
+    /// Maximum number of jobs per write: each needs a condition and a put of
+    /// the store's 32 entries, and the leader's own condition takes one.
+    std::size_t jobs_per_commit = 15;
+    /// Minimum time before the start or stop of a run that its worker does not
+    /// list is repeated: two reports of a guard. Stops of listed runs are
+    /// repeated in each answer to a report.
+    duration order_retry_interval = std::chrono::milliseconds(1000);
+    /// Backoff of a refused task: the ledger was wrong, and a report corrects
+    /// it in the meantime.
+    duration refused_backoff = std::chrono::milliseconds(300);
+    /// Maximum time between two placement passes if neither jobs nor free
+    /// capacity change. Other inputs, worker samples and clocks, change slowly.
+    duration placement_interval = std::chrono::milliseconds(100);
+    /// Time for which a faulty executor is first ejected. Doubles with each
+    /// ejection, up to the maximum; reset when its fault score is zero.
+    duration min_ejection = std::chrono::seconds(2);
+    duration max_ejection = std::chrono::seconds(10);
+    /// A run without progress for this long is stuck and restarted elsewhere.
     duration stuck_after = std::chrono::milliseconds(2000);
-    /// The same for a run that fills, which may rightly be starved longer.
+    /// The same for best-effort runs, which may be starved for longer.
     duration stuck_fill_after = std::chrono::milliseconds(5000);
-    /// Before a worker leaves, runs are stopped when this little remains.
+    /// Runs on a leaving worker are stopped when less time than this remains,
+    /// long-running ones at once.
     duration leave_margin = std::chrono::milliseconds(1500);
-    /// Figures of a worker are learnt from so often: each is an average of
-    /// the half second before.
-    duration figure_age = std::chrono::milliseconds(450);
-    /// A fill of a job that has nothing running waits no longer than this for
-    /// a worker whose serving tasks bear it; half of what the platform allows.
-    duration longest_harm_wait = std::chrono::milliseconds(1500);
-    /// Lasting jobs that come within this time of one another are placed
-    /// together, the largest tasks first. With the workers kept free it took
-    /// what the largest tenth of them is without workers to a third (mean of
-    /// 10 played days of 62 workers); a lasting job runs for a minute or more.
-    duration gather_lasting = std::chrono::milliseconds(100);
-    /// A lasting job waits no longer than this for others.
-    duration longest_gathering = std::chrono::milliseconds(300);
-    /// Workers that are kept free at once for tasks that wait. A search of
-    /// all workers for each; more would slow a pass at thousands of them.
-    std::size_t most_claims = 32;
-    /// The same as a share of all workers: the others stay with the work that
-    /// passes, which starts within two seconds.
-    double claimed_share = 0.1;
-    /// A fill that is slowed below this pace, in percent, moves to a worker
-    /// that bears it, if it can be resumed there.
-    std::int64_t move_below = 50;
-    /// It does not return for so long: what slowed it there, a load that
-    /// swings over some ten seconds, is hardly gone before.
-    duration no_return = std::chrono::milliseconds(4000);
-    /// A step that only some workers may run, all full of lasting runs, waits
-    /// for so long before one of those moves; half of what the platform allows.
-    duration longest_blocked = std::chrono::milliseconds(1500);
-    /// How often a way is looked for, for one step, and at how many workers:
-    /// each is a search of all workers.
-    duration way_gap = std::chrono::milliseconds(500);
-    std::size_t most_ways = 16;
-    /// Runs that move at one report: figures follow only half a second later.
-    std::size_t most_moves = 3;
-    /// A task that waits longer than this has its reason logged: waits below
-    /// are the turns of reports and passes.
-    duration long_wait = std::chrono::milliseconds(500);
-    /// How often lasting tasks are looked at: guards report twice a second.
-    duration service_sample = std::chrono::seconds(1);
-    /// The wait of a step, and the service of a lasting job, are told so
-    /// often at most: a line a second for each five that are not served.
-    duration tell_gap = std::chrono::seconds(5);
-    /// Harm below this is not worth telling a guard.
-    double harm_told = 0.8;
+    /// Interval between samples of a worker: each sample averages the preceding
+    /// half second.
+    duration sample_interval = std::chrono::milliseconds(450);
+    /// Maximum time for which a best-effort task of a job without runs waits
+    /// for a worker whose latency-critical tasks tolerate it; half of what the
+    /// platform allows.
+    duration max_interference_wait = std::chrono::milliseconds(1500);
+    /// Long-running jobs accepted within this time of one another are placed
+    /// together, the largest tasks first. Together with reservations this
+    /// reduced the time without workers of the largest tenth of them to a third
+    /// (mean of 10 simulated days of 62 workers); a long-running job runs for
+    /// at least a minute.
+    duration lasting_batch_window = std::chrono::milliseconds(100);
+    /// Maximum time for which a long-running job waits for others.
+    duration max_lasting_batch_wait = std::chrono::milliseconds(300);
+    /// Maximum number of workers reserved for waiting tasks at once. Each
+    /// reservation searches all workers; more would slow down a pass with
+    /// thousands of workers.
+    std::size_t max_reservations = 32;
+    /// The same as a share of all workers, plus one worker: the others remain
+    /// available to short work, which starts within two seconds.
+    double reserved_share = 0.1;
+    /// A best-effort run that is throttled below this pace, in percent, is
+    /// relocated to a worker that tolerates it, if it can resume from a
+    /// checkpoint.
+    std::int64_t relocate_below_pace = 50;
+    /// Minimum time before a relocated task returns: the cause, a load that
+    /// varies over some ten seconds, is unlikely to end earlier.
+    duration return_backoff = std::chrono::milliseconds(4000);
+    /// Time for which a step that only some workers may run waits, with all of
+    /// them full of long-running runs, before one of those is preempted; half
+    /// of what the platform allows.
+    duration max_blocked_time = std::chrono::milliseconds(1500);
+    /// Minimum time between two preemption attempts, and the number of workers
+    /// that one attempt considers: each needs a search of all workers.
+    duration preemption_interval = std::chrono::milliseconds(500);
+    std::size_t max_preemption_searches = 16;
+    /// Maximum relocations per report: samples show their effect only half a
+    /// second later.
+    std::size_t max_relocations_per_report = 3;
+    /// A task that waits longer than this has the reason logged. Shorter waits
+    /// are due to the intervals of reports and placement passes.
+    duration wait_log_threshold = std::chrono::milliseconds(500);
+    /// Interval between samples of long-running tasks: guards report twice per
+    /// second.
+    duration availability_sample_interval = std::chrono::seconds(1);
+    /// Minimum time between two log lines about the wait of a step or the
+    /// availability of a long-running job: one line per second for every five
+    /// that are not served.
+    duration min_log_interval = std::chrono::seconds(5);
+    /// Interference below this is not reported to guards; unit as in
+    /// pair_interference::harm.
+    double min_reported_interference = 0.8;
 };
 
-/// @brief One job's record to be written.
+/// @brief A job's record to be written.
 struct progress_write
 {
     std::string job;
     std::string text;
     std::int64_t expected_revision = 0; ///< of the stored record; 0: none
-    std::int64_t change = 0;
+    std::int64_t change = 0; ///< newest change of the job that text contains
     job_state state = job_state::pending;
 
     bool operator==(const progress_write&) const = default;
@@ -139,23 +150,24 @@
 /// @brief Records to be written in one transaction.
 using commit_batch = std::vector<progress_write>;
 
-/// @brief A decision, for the log.
+/// @brief A decision to be logged.
 struct decision
 {
     event_id id;
     std::vector<event_field> fields;
 };
 
-/// @brief A job that reached its last state, for the metrics.
+/// @brief A job that reached its final state, for the metrics.
 struct finished_job
 {
     std::string queue;
     job_state state = job_state::succeeded;
-    duration age{0};      ///< since it was accepted
-    duration to_start{0}; ///< from then to its first start
+    duration age{0}; ///< since its acceptance
+    /// From its acceptance to its first placement; without one, to its end.
+    duration to_start{0};
 };
 
-/// @brief Orders for one guard and where it takes them.
+/// @brief Orders for one guard, and the address to send them to.
 struct addressed_orders
 {
     std::string guard;
@@ -163,7 +175,8 @@
     guard_orders orders;
 };
 
-/// @brief Figures of a holder, for the metrics.
+/// @brief Figures of the scheduler, for the metrics. starts (runs placed),
+/// refused, lost and failed_runs count runs since the start of the term.
 struct scheduler_figures
 {
     std::int64_t starts = 0;
@@ -172,90 +185,95 @@
     std::int64_t failed_runs = 0;
     std::int64_t jobs_open = 0;
     std::int64_t workers = 0;
-    service_account lasting; ///< at the newest sample
-    /// Of it, the tenth of the lasting jobs that reserves most processors.
-    service_account largest_lasting;
+    availability_counts lasting; ///< at the newest sample
+    /// The same for the tenth of the long-running jobs that reserve most
+    /// processors.
+    availability_counts largest_lasting;
     std::int64_t closed_data_centres = 0;
-    std::int64_t runs_in_closed = 0; ///< that may still be at work there
+    std::int64_t runs_in_closed = 0; ///< that may still be running there
 };
 
-/// @brief All jobs and workers of one holder, and every decision on them.
+/// @brief All jobs and workers, and every decision about them.
 ///
-/// Effects of a change (a start, an acknowledged end, a state shown to
-/// callers) are released only once the store has the change.
+/// Effects of a change (a start, an acknowledged end, a state shown to callers)
+/// are released only after the change is committed.
 class scheduler_core
 {
 public:
     explicit scheduler_core(scheduler_options options = {});
 
-    /// @brief Begins an office. @param epoch grows with each office
-    void take_office(std::int64_t epoch, time_point now);
-    /// @brief Adds a job that an earlier holder kept, before begin().
-    void adopt(job what, const std::optional<job_progress>& kept,
-               std::int64_t revision, time_point now, std::int64_t day_ms);
-    /// @brief Begins with the harms that an earlier holder knew.
-    void adopt_harms(const std::vector<pair_harm>& harms)
+    /// @brief Starts a term. @param epoch increases with each term
+    void begin_term(std::int64_t epoch, time_point now);
+    /// @brief Adds a job stored by a previous leader, before begin().
+    void adopt(job definition, const std::optional<job_progress>& saved,
+               std::int64_t revision, time_point now, std::int64_t unix_ms);
+    /// @brief Starts from the interference that a previous leader learnt.
+    void adopt_interference(const std::vector<pair_interference>& harms)
     {
-        harm_.adopt(harms);
+        interference_model_.adopt(harms);
     }
-    /// @brief What is known of harms, for a successor.
-    [[nodiscard]] std::vector<pair_harm> known_harms() const
+    /// @brief The learnt interference, for a successor.
+    [[nodiscard]] std::vector<pair_interference> known_interference() const
     {
-        return harm_.known();
+        return interference_model_.known();
     }
-    /// @brief All kept jobs are adopted: workers may report.
+    /// @brief All stored jobs are adopted: workers may report.
     void begin(time_point now);
 
-    /// @brief A newer table is in force. Older ones are ignored.
+    /// @brief Uses a newer table. Older ones are ignored.
     void set_table(const queue_table& table);
-    /// @brief What an operator has closed, as newly heard from the store.
+    /// @brief Updates the closed data centres, as read from the store.
     void set_closed(const closed_data_centres& known, time_point now);
-    /// @brief A job was accepted. Known jobs are ignored.
-    void accept(job what, time_point now);
-    /// @brief A job was cancelled, and the store has it.
+    /// @brief Adds an accepted job. Known jobs are ignored.
+    void accept(job definition, time_point now);
+    /// @brief Cancels a job whose cancellation is committed.
     void cancel(const std::string& id, time_point now);
 
-    /// @brief A guard reports. @param verified when the office was last known
-    /// to be this holder's, by a store call sent then
-    report_answer report(const worker_report& from, time_point now,
+    /// @brief Handles a guard's report. @param verified when leadership was
+    /// last known to be held, by a store call sent then
+    report_answer report(const worker_report& report, time_point now,
                          time_point verified);
 
-    /// @brief Time passes. @param day_ms time of day since 1970
-    void tick(time_point now, std::int64_t day_ms);
+    /// @brief Handles the passing of time: expired leases, then a placement
+    /// pass if one is due. @param unix_ms time of day since 1970
+    void tick(time_point now, std::int64_t unix_ms);
 
-    /// @brief What to write next; none while one is under way or it is too
-    /// soon. The caller answers with committed(), and calls tick() before, so
-    /// that the write carries what could be placed.
+    /// @brief The next records to write; nothing while a write is in flight or
+    /// the interval since the last one is too short. The caller reports
+    /// completion with committed(), and calls tick() first, so that the write
+    /// includes all possible placements.
     std::optional<commit_batch> next_commit(time_point now);
-    /// @brief The store has the batch. @param revision of its items
+    /// @brief The batch is committed. @param revision of the written items
     void committed(const commit_batch& batch, std::int64_t revision,
                    time_point now);
 
-    /// @brief What to ask the advice service next; nothing while a question
-    /// is out. The caller answers with advised().
-    std::optional<advice_question> next_question(time_point now)
+    /// @brief The next query to the advice service; nothing while one is in
+    /// flight. The caller reports its result with advised().
+    std::optional<advice_query> next_query(time_point now)
     {
-        return advice_.next_question(now);
+        return tickets_.next_query(now);
     }
-    /// @brief What came of the question; nothing if it got no answer.
+    /// @brief Handles the answer to the query; nothing if there was none.
     void advised(const std::optional<advice_answer>& answer, time_point now);
 
-    /// @brief Orders that became due.
+    /// @brief Returns and clears the orders that are due. Those for guards that
+    /// have not reported in this term are dropped.
     std::vector<addressed_orders> take_orders();
-    /// @brief Decisions since the last call.
+    /// @brief Returns and clears the decisions made since the last call.
     std::vector<decision> take_decisions();
 
-    /// @brief Jobs that ended since the last call.
+    /// @brief Returns and clears the list of jobs that ended since the last
+    /// call.
     std::vector<finished_job> take_finished();
 
-    /// @brief What callers may be shown of a job; nothing if unknown, or if
-    /// another holder may know better by now.
-    /// @param verified when the office was last known to be this holder's
+    /// @brief The state of a job that callers may see; nothing if the job is
+    /// unknown, or if a successor may know a later state.
+    /// @param verified_at when leadership was last known to be held
     [[nodiscard]] std::optional<job_state>
-    shown(const std::string& id, time_point now, time_point verified) const;
-    /// @brief Jobs of a queue of which no task has begun.
+    shown(const std::string& id, time_point now, time_point verified_at) const;
+    /// @brief Number of jobs of a queue of which no task has begun.
     [[nodiscard]] std::int64_t waiting(const std::string& queue) const;
-    /// @brief The present epoch.
+    /// @brief The epoch of the present term.
     [[nodiscard]] std::int64_t epoch() const noexcept
     {
         return epoch_;
@@ -270,276 +288,304 @@
 private:
     // Writing (scheduler_writing.cpp).
 
-    // Ends of a job's runs at one worker that the store may not have yet.
-    struct unkept_end
+    // Ends of a job's runs at one worker that may not be committed yet.
+    struct uncommitted_end
     {
         std::int64_t change = 0; ///< of the job, with the newest of them
-        resources room;          ///< that they free
+        resources freed;         ///< that they free
     };
 
     [[nodiscard]] bool may_write(time_point now) const noexcept;
-    [[nodiscard]] bool is_due(const job_record& of, time_point now) const;
+    [[nodiscard]] bool is_due(const job_record& record, time_point now) const;
     std::set<std::string> jobs_to_write(time_point now);
-    [[nodiscard]] bool is_kept(const std::string& job,
-                               std::int64_t change) const;
-    void note_freed(const std::string& guard, const job_record& of,
-                    const job_step& step);
-    const std::map<std::string, unkept_end>&
-    unkept_ends(const std::string& guard);
-    const std::map<std::string, unkept_end>&
-    ends_needed(const worker_record& at, const job_step& step);
-    void use_room(job_record& of, const job_step& step,
-                  const worker_record& at);
-    std::set<std::string> written_with(const std::string& id);
-    bool can_be_written(const std::string& id, const job_step& step,
-                        const std::vector<worker_record*>& chosen);
-
-    // Placing (scheduler_placing.cpp).
-    // A placement is ordered once it is written, so a pass before the next
-    // write gains nothing: with one for each report, placing took 219 ms of
-    // processor time a second at 160 workers and 440 starts a second, with one
-    // for each write 37 ms (bench/office).
-    void place_if_due(time_point now, std::int64_t day_ms);
-    void place(time_point now, std::int64_t day_ms);
-    bool place_job(job_record& of, time_point now, std::int64_t day_ms);
-    bool place_step(job_record& of, const queue_row& queue, std::int64_t round,
-                    std::int64_t step, time_point now);
-    bool place_gang(job_record& of, const queue_row& queue, std::int64_t round,
-                    std::int64_t step, time_point now);
-    std::vector<worker_record*> gang_workers(job_record& of,
+    [[nodiscard]] bool is_committed(const std::string& job,
+                                    std::int64_t change) const;
+    void record_freed(const std::string& guard, const job_record& record,
+                      const job_step& step);
+    const std::map<std::string, uncommitted_end>&
+    find_uncommitted_ends(const std::string& guard);
+    const std::map<std::string, uncommitted_end>&
+    ends_needed(const worker_record& worker, const job_step& step);
+    void record_required_changes(job_record& record, const job_step& step,
+                                 const worker_record& worker);
+    std::set<std::string> required_records(const std::string& id);
+    bool fits_one_commit(const std::string& id, const job_step& step,
+                         const std::vector<worker_record*>& chosen);
+
+    // Placement (scheduler_placing.cpp).
+    //
+    // A placement is ordered only after it is written, so passes between two
+    // writes gain nothing. At 160 workers and 440 starts per second, placement
+    // took 219 ms of processor time per second with a pass per report, 37 ms
+    // with a pass per write (bench/office).
+    void place_if_due(time_point now, std::int64_t unix_ms);
+    void place(time_point now, std::int64_t unix_ms);
+    bool place_job(job_record& record, time_point now, std::int64_t unix_ms);
+    bool place_step(job_record& record, const queue_row& queue,
+                    std::int64_t round, std::int64_t step, time_point now);
+    bool place_gang(job_record& record, const queue_row& queue,
+                    std::int64_t round, std::int64_t step, time_point now);
+    std::vector<worker_record*> gang_workers(job_record& record,
                                              const queue_row& queue,
                                              const task_position& first,
                                              const ticket_map* tickets,
                                              time_point now);
-    void tell_gang_wait(job_record& of, const queue_row& queue,
-                        const task_position& first, const ticket_map* tickets,
-                        time_point now);
+    void log_gang_wait(job_record& record, const queue_row& queue,
+                       const task_position& first, const ticket_map* tickets,
+                       time_point now);
     ticket_map tickets_for(const job_step& step, const std::string& group,
                            const queue_row& queue, time_point now);
-    void put(job_record& of, job_task& task, worker_record& at,
-             std::int64_t number, const ticket_map& tickets, time_point now);
-
-    [[nodiscard]] bool gathers(const job_record& of, const job_step& step,
-                               time_point now) const;
-    bool try_apart(placement_query query, job_record& of, job_task& task,
-                   const ticket_map& tickets);
-    worker_record* kept_worker(const placement_query& query,
-                               time_point ready_since);
-    bool is_kept_rightly(const worker_record& at, time_point now);
-    void claim_room(const placement_query& query, std::int64_t tasks);
+    void record_placement(job_record& record, job_task& task,
+                          worker_record& worker, std::int64_t number,
+                          const ticket_map& tickets, time_point now);
+
+    [[nodiscard]] bool is_batching(const job_record& record,
+                                   const job_step& step, time_point now) const;
+    bool place_isolated(placement_query query, job_record& record,
+                        job_task& task, const ticket_map& tickets);
+    worker_record* isolation_worker(const placement_query& query,
+                                    time_point ready_since);
+    bool is_isolation_valid(const worker_record& worker, time_point now);
+    void reserve_workers(const placement_query& query, std::int64_t tasks);
     void begin_pass();
 
     // Closed data centres (scheduler_closing.cpp).
-    void tell_closure(const std::string& data_centre, time_point now);
+    void log_closure(const std::string& data_centre, time_point now);
     bool may_start(time_point now);
-    [[nodiscard]] std::int64_t starts_until_ms(const worker_record& at) const;
+    [[nodiscard]] std::int64_t
+    starts_until_ms(const worker_record& worker) const;
     [[nodiscard]] std::int64_t runs_in(const std::string& data_centre) const;
 
-    // What is told of waits and service (scheduler_sight.cpp).
-    void tell_wait(const placement_query& query, const job_record& of,
-                   const job_task& first,
-                   std::optional<wait_cause> known = std::nullopt);
-    void watch_service(time_point now);
+    // Log of waits and availability (scheduler_diagnostics.cpp).
+    void log_wait(const placement_query& query, const job_record& record,
+                  const job_task& task,
+                  std::optional<wait_cause> known_cause = std::nullopt);
+    void sample_availability_if_due(time_point now);
     void sample_jobs();
-    void tell_service();
-
-    // Reports (scheduler_reports.cpp).
-    worker_record& worker_of(const worker_report& from, time_point now);
-    bool believes(worker_record& at, const worker_report& from,
-                  report_answer& answer);
-    [[nodiscard]] static bool lists_running(const worker_report& from,
+    void log_service();
+
+    // Reports (scheduler_reports.cpp), relocation and preemption
+    // (scheduler_moves.cpp), interference (scheduler_learning.cpp).
+    worker_record& worker_of(const worker_report& report, time_point now);
+    bool is_admitted(worker_record& worker, const worker_report& report,
+                     report_answer& answer);
+    [[nodiscard]] static bool lists_running(const worker_report& report,
                                             const std::string& task,
                                             std::int64_t run);
-    static bool lists_end(const worker_report& from, const std::string& task,
+    static bool lists_end(const worker_report& report, const std::string& task,
                           std::int64_t run);
-    [[nodiscard]] static bool report_shows(const worker_report& from,
-                                           const refused_run& refusal);
-    void note_ends(worker_record& at, const worker_report& from,
-                   time_point now);
-    void note_refusals(worker_record& at, const worker_report& from,
-                       time_point now);
-    void note_running(worker_record& at, const worker_report& from,
-                      guard_orders& out, time_point now);
-    void note_unwanted(const worker_record& at, const running_task& row,
-                       const job_task* task);
-    void stop_unwanted_starts(const worker_record& at,
-                              const worker_report& from, guard_orders& out);
-    void note_progress(worker_record& at, task_run& run, const job_step& step,
-                       const running_task& row, time_point now);
-    void tell_missing(const worker_record& at, const worker_report& from,
-                      task_run& run, const std::string& task);
-    void repeat_missing(worker_record& at, const worker_report& from,
+    [[nodiscard]] static bool
+    report_contradicts_refusal(const worker_report& report,
+                               const refused_run& refusal);
+    void apply_ends(worker_record& worker, const worker_report& report,
+                    time_point now);
+    void apply_refusals(worker_record& worker, const worker_report& report,
+                        time_point now);
+    void process_running(worker_record& worker, const worker_report& report,
+                         guard_orders& out, time_point now);
+    void log_orphan(const worker_record& worker, const running_task& running,
+                    const job_task* task);
+    void stop_unwanted_starts(const worker_record& worker,
+                              const worker_report& report, guard_orders& out);
+    void update_progress(worker_record& worker, task_run& run,
+                         const job_step& step, const running_task& running,
+                         time_point now);
+    void log_missing_run(const worker_record& worker,
+                         const worker_report& report, task_run& run,
+                         const std::string& task);
+    void repeat_missing(worker_record& worker, const worker_report& report,
                         guard_orders& out, time_point now);
-    void move_slowed(worker_record& at, const worker_report& from,
-                     guard_orders& out, time_point now);
-    bool may_move(const task_name& name, const std::string& image);
-    bool is_welcome_elsewhere(const task_name& name, const worker_record& at,
+    void relocate_slowed(worker_record& worker, const worker_report& report,
+                         guard_orders& out, time_point now);
+    bool is_relocatable(const task_name& name, const std::string& image);
+    bool has_other_worker(const task_name& name, const worker_record& worker,
+                          time_point now);
+    void relocate(const task_name& name, const worker_record& worker,
+                  std::int64_t pace, guard_orders& out, time_point now);
+    void preempt_lasting(const placement_query& query, const job_record& record,
+                         const job_task& task);
+    resources capacity_after_stops(const worker_record& worker);
+    bool is_preemptible(const task_name& name);
+    void drain_leaving_worker(worker_record& worker, guard_orders& out,
                               time_point now);
-    void move(const task_name& name, const worker_record& at, std::int64_t pace,
-              guard_orders& out, time_point now);
-    void make_way(const placement_query& query, const job_record& of,
-                  const job_task& task);
-    resources room_after_stops(const worker_record& at);
-    bool may_give_way(const task_name& name);
-    void leave_in_time(worker_record& at, guard_orders& out, time_point now);
-    void learn_harm(worker_record& at, const worker_report& from,
-                    time_point now);
-    [[nodiscard]] std::vector<pair_harm>
-    harms_at(const worker_record& at) const;
-    std::int64_t acknowledge(worker_record& at);
-    [[nodiscard]] start_order order_for(const job_record& of,
+    void learn_interference(worker_record& worker, const worker_report& report,
+                            time_point now);
+    [[nodiscard]] std::vector<pair_interference>
+    interference_at(const worker_record& worker) const;
+    std::int64_t acknowledge(worker_record& worker);
+    [[nodiscard]] start_order order_for(const job_record& record,
                                         const job_task& task) const;
 
     // Leases (scheduler_leases.cpp).
-    [[nodiscard]] bool is_end_given_up(const worker_record& at,
+    [[nodiscard]] bool is_end_given_up(const worker_record& worker,
                                        const ended_task& end);
-    void await_lapse(worker_record& at, const worker_report& from,
-                     bool knows_life);
-    void extend_lease(worker_record& at, const worker_report& from,
-                      duration permit, time_point now) const;
-    [[nodiscard]] duration permit_for(const worker_report& from, time_point now,
-                                      time_point verified) const;
+    void check_lease_must_expire(worker_record& worker,
+                                 const worker_report& report,
+                                 bool knows_incarnation);
+    void extend_lease(worker_record& worker, const worker_report& report,
+                      duration lease_grant, time_point now) const;
+    [[nodiscard]] duration lease_grant_for(const worker_report& report,
+                                           time_point now,
+                                           time_point verified_at) const;
 
     // Lost runs (scheduler_losses.cpp).
 
-    // What one crash says of a task.
+    // Evidence of one crash against a task.
     struct crash_count
     {
         std::int64_t run = 0;
-        std::int64_t added = 0; ///< to its suspicion
-        bool is_sole = false;   ///< everything else there had proved itself
-        bool is_sure = false;   ///< the run had surely begun
-        bool is_gang = false;   ///< its members are not run apart
+        std::int64_t added = 0;        ///< to its suspicion
+        bool is_only_unproven = false; ///< everything else there was proven
+        bool is_confirmed = false;     ///< the run had certainly begun
+        bool is_gang = false;          ///< members of a gang are not isolated
     };
 
-    // What had not proved itself where an executor crashed.
-    struct crash_company
+    // Counts of the runs that were not proven when their executor crashed.
+    struct unproven_neighbours
     {
         std::int64_t unproven = 0;
-        std::int64_t suspects = 0; ///< of them
+        std::int64_t suspects = 0; ///< those that belong to suspects
     };
 
-    // Runs of an executor's former life, by what a look at the next one shows.
+    // Runs of a past incarnation of an executor, by a report about the next
+    // one.
     struct runs_after_restart
     {
-        std::set<task_name> over;  ///< they died with the life, or never began
-        std::set<task_name> taken; ///< by the next life; it lists them
-        std::set<task_name> open;  ///< their start may reach the next life
+        std::set<task_name> lost;    ///< ended with it, or never begin
+        std::set<task_name> adopted; ///< listed by the next incarnation
+        /// Their start may reach the next incarnation.
+        std::set<task_name> in_doubt;
     };
 
-    void change_life(worker_record& at, const worker_report& from,
-                     time_point now);
+    void on_executor_restart(worker_record& worker, const worker_report& report,
+                             time_point now);
     runs_after_restart after_restart(const std::set<task_name>& runs,
-                                     const worker_report& from);
-    void follow_restart(worker_record& at, const runs_after_restart& runs,
-                        const executor_life& next, time_point now);
-    void enter_life(const task_name& name, const executor_life& life,
+                                     const worker_report& report);
+    void follow_restart(worker_record& worker, const runs_after_restart& runs,
+                        const executor_incarnation& next, time_point now);
+    void rebind_run(const task_name& name, const executor_incarnation& executor,
                     time_point now);
-    [[nodiscard]] static bool is_judged(const job_record& of,
-                                        const job_task& task, std::int64_t run);
-    std::map<task_name, std::int64_t> unproven_runs(const worker_record& at);
-    void suspect_unwitnessed(const worker_record& at,
-                             const std::map<task_name, std::int64_t>& runs,
-                             time_point now);
+    [[nodiscard]] static bool is_loss_counted(const job_record& record,
+                                              const job_task& task,
+                                              std::int64_t run);
     std::map<task_name, std::int64_t>
-    unwitnessed_runs(const runs_after_restart& runs, const worker_report& from);
-    void adopt_awaited(worker_record& at, const worker_report& from,
-                       time_point now);
-    void adopt_run(worker_record& at, const task_name& name, time_point now);
-    static void watch_suspect(worker_record& at, const job_task& task,
-                              const task_name& name);
-    void lose_lapsed(worker_record& at, const worker_report& from,
+    likely_causes(const worker_record& worker);
+    void
+    raise_unwitnessed_suspicion(const worker_record& worker,
+                                const std::map<task_name, std::int64_t>& runs,
+                                time_point now);
+    std::map<task_name, std::int64_t>
+    unwitnessed_runs(const runs_after_restart& runs,
+                     const worker_report& report);
+    void adopt_inherited(worker_record& worker, const worker_report& report,
+                         time_point now);
+    void adopt_run(worker_record& worker, const task_name& name,
+                   time_point now);
+    static void register_suspect(worker_record& worker, const job_task& task,
+                                 const task_name& name);
+    void lose_lapsed(worker_record& worker, const worker_report& report,
                      time_point now);
-    void lose_worker(worker_record& at, const std::set<task_name>& runs,
-                     const run_over& over, time_point now);
-    void lose_runs(const std::set<task_name>& lost, const run_over& over,
+    void lose_worker(worker_record& worker, const std::set<task_name>& runs,
+                     const end_proof& proof, time_point now);
+    void lose_runs(const std::set<task_name>& lost, const end_proof& proof,
                    time_point now);
-    [[nodiscard]] static duration shown_at_work(const task_run& run);
-    void judge_crashes(worker_record& at, const worker_report& from,
+    [[nodiscard]] static duration observed_run_time(const task_run& run);
+    void judge_crashes(worker_record& worker, const worker_report& report,
                        time_point now);
-    void judge_crash(worker_record& at, const former_life& over,
+    void judge_crash(worker_record& worker, const past_incarnation& past,
                      time_point now);
-    crash_company company_in(const former_life& over);
-    static time_point end_of(const former_life& over, const worker_record& at,
-                             const worker_report& from, time_point now);
-    [[nodiscard]] bool went_with_its_rack(const worker_record& at,
-                                          time_point now) const;
-    void suspect(const worker_record& at, const task_name& name,
+    unproven_neighbours unproven_neighbours_in(const past_incarnation& past);
+    static time_point end_of(const past_incarnation& past,
+                             const worker_record& worker,
+                             const worker_report& report, time_point now);
+    [[nodiscard]] bool is_rack_failure(const worker_record& worker,
+                                       time_point now) const;
+    void suspect(const worker_record& worker, const task_name& name,
                  const crash_count& count, crash_scope scope, time_point now);
-    void note_soundness(worker_record& at, job_task& task,
-                        const task_name& name);
+    void clear_suspicion_if_proven(worker_record& worker, job_task& task,
+                                   const task_name& name);
 
     // Ends (scheduler_ends.cpp).
-    void close_run(job_record& of, job_task& task, const run_over& over,
+    void close_run(job_record& record, job_task& task, const end_proof& proof,
                    time_point now);
-    void close_gang(job_record& of, const task_position& at, run_end how,
-                    time_point now);
-    void count_failure(job_record& of, job_task& task, const task_run& run,
+    void close_gang(job_record& record, const task_position& position,
+                    run_end outcome, time_point now);
+    void count_failure(job_record& record, job_task& task, const task_run& run,
                        time_point now);
-    static bool speaks_of_worker(const worker_record& at, const job_record& of,
-                                 const task_run& run, run_end how);
-    void judge_worker(worker_record& at, const job_record& of,
-                      const task_run& run, run_end how, time_point now);
-    void finish(job_record& of, job_state state, time_point now,
-                std::vector<event_field> why);
-    void fail(job_record& of, const job_task& task, time_point now,
-              std::vector<event_field> why);
-    void finish_if_done(job_record& of, time_point now);
-    void forget_advice(const job_record& of);
-    void stop_all(job_record& of);
+    static bool is_evidence_of_fault(const worker_record& worker,
+                                     const job_record& record,
+                                     const task_run& run, run_end outcome);
+    void update_fault_score(worker_record& worker, const job_record& record,
+                            const task_run& run, run_end outcome,
+                            time_point now);
+    void finish(job_record& record, job_state state, time_point now,
+                std::vector<event_field> fields);
+    void fail(job_record& record, const job_task& task, time_point now,
+              std::vector<event_field> fields);
+    void finish_if_done(job_record& record, time_point now);
+    void forget_advice(const job_record& record);
+    void stop_all(job_record& record);
     static void order_stop(task_run& run, const std::string& task,
                            guard_orders& out);
-    void want(job_record& of, time_point now);
-    void note(event_id id, std::vector<event_field> fields);
+    void mark_changed(job_record& record, time_point now);
+    void log_decision(event_id id, std::vector<event_field> fields);
 
     job_record* job_of(const std::string& id);
-    // A task by its name, as guards write it; nulls if there is none.
+    // A task by its name in reports; null pointers if there is none.
     struct known_task
     {
-        job_record* of = nullptr;
+        job_record* record = nullptr;
         job_task* task = nullptr;
     };
-    known_task known(const std::string& name);
-    [[nodiscard]] static bool is_present(const job_task* task, std::int64_t run,
-                                         const worker_record& at);
+    known_task find_task(const std::string& name);
+    [[nodiscard]] static bool is_current_run(const job_task* task,
+                                             std::int64_t run,
+                                             const worker_record& worker);
 
     scheduler_options options_;
     queue_table table_;
-    data_centre_book data_centres_;
-    failure_test failures_;
-    bool withheld_ = false; ///< starts, for want of news of data centres
+    closure_tracker closures_;
+    fault_detector fault_detector_;
+    /// No starts are allowed: the list of closed data centres is stale.
+    bool starts_withheld_ = false;
     std::int64_t epoch_ = 0;
-    bool begun_ = false;
-    time_point office_since_{};
+    bool is_ready_ = false;
+    time_point term_started_at_{};
     std::map<std::string, std::unique_ptr<job_record>> jobs_;
-    std::set<std::string> wanting_;  ///< jobs that may have tasks to place
+    /// Jobs that may have tasks to place.
+    std::set<std::string> placeable_jobs_;
     std::vector<std::string> dirty_; ///< jobs to write, oldest change first
-    std::set<std::string> is_dirty_;
-    /// By the guard of the worker whose room they free, and by their job.
-    std::map<std::string, std::map<std::string, unkept_end>> freed_;
+    std::set<std::string> dirty_ids_;
+    /// By the guard of the worker whose capacity they free, and by job.
+    std::map<std::string, std::map<std::string, uncommitted_end>>
+        freed_by_guard_;
     bool committing_ = false;
     time_point last_commit_{};
     worker_map workers_;
-    harm_model harm_;
-    ticket_book advice_;
-    vain_queries vain_;         ///< of this pass over the waiting tasks
-    time_point last_lasting_{}; ///< when the newest lasting job came
-    time_point next_way_{};     ///< when lasting runs may give way again
-    std::size_t claims_ = 0;    ///< workers that this pass keeps free
-    std::size_t trials_ = 0;    ///< workers up that are closed for suspects
-    bool may_place_ = true;     ///< jobs or room changed since the last pass
+    interference_model interference_model_;
+    ticket_cache tickets_;
+    /// Of the present placement pass.
+    infeasible_queries infeasible_queries_;
+    /// When the newest long-running job was accepted.
+    time_point last_lasting_{};
+    time_point next_preemption_at_{}; ///< earliest next preemption attempt
+    std::size_t reservations_ = 0;    ///< workers that this pass reserves
+    /// Workers that answer and are isolated with a suspect or reserved for one.
+    std::size_t isolated_workers_ = 0;
+    /// Jobs or free capacity changed since the last pass.
+    bool may_place_ = true;
     time_point last_pass_{};
-    std::int64_t next_due_ms_ = 0; ///< time of day of the next round
-    /// Runs that an earlier holder placed, by guard, until it reports.
-    std::map<std::string, std::set<task_name>> awaited_;
+    std::int64_t next_due_ms_ = 0; ///< Unix time of the next round
+    /// Runs placed by a previous leader, by guard, until that guard reports.
+    std::map<std::string, std::set<task_name>> inherited_runs_;
     std::map<std::string, guard_orders> outbox_;
     std::vector<decision> decisions_;
     std::vector<finished_job> finished_;
-    wait_log waits_;
-    /// Of lasting jobs, by their id, since it was last told.
-    std::map<std::string, service_account> service_;
+    wait_log wait_log_;
+    /// Of long-running jobs, by job id, since the last log line.
+    std::map<std::string, availability_counts> availability_;
     time_point next_sample_{};
-    time_point next_telling_{};
+    time_point next_service_log_{};
     std::int64_t accepted_jobs_ = 0;
     scheduler_figures counts_;
 };
--- a/packages/scheduler/src/service_account.cpp
+++ b/packages/scheduler/src/availability_counts.cpp
@@ -3,8 +3,8 @@
 namespace springstair
 {
 
-service_account&
-service_account::operator+=(const service_account& other) noexcept
+availability_counts&
+availability_counts::operator+=(const availability_counts& other) noexcept
 {
     tasks += other.tasks;
     at_work += other.at_work;
@@ -14,12 +14,12 @@
     return *this;
 }
 
-service_account sample_service(const job_record& of)
+availability_counts sample_availability(const job_record& record)
 {
-    service_account sample;
-    for (const job_task& task : of.tasks())
+    availability_counts sample;
+    for (const job_task& task : record.tasks())
     {
-        const job_step& step = of.step_at(of.position_of(task));
+        const job_step& step = record.step_at(record.position_of(task));
         if (!step.lasting)
         {
             continue;
--- a/packages/scheduler/src/data_centre_book.cpp
+++ b/packages/scheduler/src/closure_tracker.cpp
@@ -19,13 +19,11 @@
 
 } // namespace
 
-data_centre_book::data_centre_book(closing_options options) : options_(options)
-{
-}
+closure_tracker::closure_tracker(closing_options options) : options_(options) {}
 
-closing_change data_centre_book::take(const closed_data_centres& known)
+closing_change closure_tracker::take(const closed_data_centres& known)
 {
-    if (known.known_at <= known_.known_at)
+    if (known.as_of <= known_.as_of)
     {
         return {};
     }
@@ -35,18 +33,18 @@
     return change;
 }
 
-bool data_centre_book::is_closed(const std::string& data_centre) const
+bool closure_tracker::is_closed(const std::string& data_centre) const
 {
     return known_.names.contains(data_centre);
 }
 
-time_point data_centre_book::starts_until() const noexcept
+time_point closure_tracker::starts_until() const noexcept
 {
     if (options_.close_within == duration{0})
     {
         return time_point::max();
     }
-    return known_.known_at + options_.close_within - options_.deaf_watch -
+    return known_.as_of + options_.close_within - options_.max_watch_outage -
            options_.delivery;
 }
 
--- a/packages/scheduler/src/entry_list.cpp
+++ b/packages/scheduler/src/entry_list.cpp
@@ -11,32 +11,35 @@
 namespace
 {
 
-// Best first: the largest, then by a hash that all holders share.
-auto place_of(const entry_heartbeat& of)
+// Sort key of successors: the most processors first, then a hash of the
+// address, so that all leaders use the same order.
+auto successor_order(const entry_heartbeat& heartbeat)
 {
-    return std::tuple(-of.processors, std::hash<std::string>{}(of.address),
-                      of.address);
+    return std::tuple(-heartbeat.processors,
+                      std::hash<std::string>{}(heartbeat.address),
+                      heartbeat.address);
 }
 
 } // namespace
 
-std::string_view to_string(hand_over_reason value) noexcept
+std::string_view to_string(handover_reason value) noexcept
 {
     switch (value)
     {
-    case hand_over_reason::stopping:
+    case handover_reason::stopping:
         return "a planned stop";
-    case hand_over_reason::store_away:
+    case handover_reason::store_away:
         return "the store does not serve this VM";
-    case hand_over_reason::small:
+    case handover_reason::small:
         return "another VM is much larger";
     }
     return {};
 }
 
-claim_turn claim_turn::of(bool was_told, std::optional<std::int64_t> rank)
+claim_schedule claim_schedule::of(bool has_rank,
+                                  std::optional<std::int64_t> rank)
 {
-    if (!was_told)
+    if (!has_rank)
     {
         return {};
     }
@@ -51,11 +54,12 @@
             .delay = std::min(turn, last_turn) * step};
 }
 
-void entry_list::note(const entry_heartbeat& from, time_point now)
+void entry_list::record_heartbeat(const entry_heartbeat& heartbeat,
+                                  time_point now)
 {
-    const auto [found, is_new] = entries_.try_emplace(from.address);
-    is_sorted_ = is_sorted_ && !is_new && found->second.what == from;
-    found->second = {.what = from, .at = now};
+    const auto [found, is_new] = entries_.try_emplace(heartbeat.address);
+    is_sorted_ = is_sorted_ && !is_new && found->second.heartbeat == heartbeat;
+    found->second = {.heartbeat = heartbeat, .received_at = now};
 }
 
 void entry_list::clear()
@@ -71,21 +75,25 @@
     {
         return;
     }
-    std::erase_if(entries_, [&](const auto& one)
-                  { return now - one.second.at > options_.heard_within; });
+    std::erase_if(entries_,
+                  [&](const auto& heartbeat) {
+                      return now - heartbeat.second.received_at >
+                             options_.heartbeat_timeout;
+                  });
     order_.clear();
     for (const auto& [address, entry] : entries_)
     {
-        if (!entry.what.store_away)
+        if (!entry.heartbeat.store_away)
         {
-            order_.push_back(entry.what);
+            order_.push_back(entry.heartbeat);
         }
     }
-    std::ranges::sort(order_, {}, place_of);
+    std::ranges::sort(order_, {}, successor_order);
     ranks_.clear();
-    for (const entry_heartbeat& one : order_)
+    for (const entry_heartbeat& heartbeat : order_)
     {
-        ranks_.emplace(one.address, static_cast<std::int64_t>(ranks_.size()));
+        ranks_.emplace(heartbeat.address,
+                       static_cast<std::int64_t>(ranks_.size()));
     }
     sorted_at_ = now;
     is_sorted_ = true;
@@ -105,32 +113,32 @@
     return found == ranks_.end() ? std::nullopt : std::optional(found->second);
 }
 
-std::optional<hand_over> entry_list::next_hand_over(const office_state& of,
-                                                    time_point now)
+std::optional<handover_target>
+entry_list::next_handover(const leader_state& leader, time_point now)
 {
     sort(now);
-    std::erase_if(declined_, [&](const auto& one)
-                  { return now - one.second >= options_.decline_lasts; });
+    std::erase_if(declined_, [&](const auto& entry)
+                  { return now - entry.second >= options_.decline_backoff; });
     const auto best =
-        std::ranges::find_if(order_, [&](const entry_heartbeat& one)
-                             { return !declined_.contains(one.address); });
-    if (best == order_.end() || declined_.size() >= options_.most_asked)
+        std::ranges::find_if(order_, [&](const entry_heartbeat& entry)
+                             { return !declined_.contains(entry.address); });
+    if (best == order_.end() || declined_.size() >= options_.max_declined)
     {
         return std::nullopt;
     }
-    if (of.stopping)
+    if (leader.stopping)
     {
-        return hand_over{best->address, hand_over_reason::stopping};
+        return handover_target{best->address, handover_reason::stopping};
     }
-    if (of.store_silent >= options_.store_patience)
+    if (leader.store_unavailable_for >= options_.store_outage_tolerance)
     {
-        return hand_over{best->address, hand_over_reason::store_away};
+        return handover_target{best->address, handover_reason::store_away};
     }
     const bool is_small =
-        best->processors >= options_.much_larger * of.processors;
-    if (is_small && of.held_for >= options_.settling)
+        best->processors >= options_.much_larger * leader.processors;
+    if (is_small && leader.held_for >= options_.min_term)
     {
-        return hand_over{best->address, hand_over_reason::small};
+        return handover_target{best->address, handover_reason::small};
     }
     return std::nullopt;
 }
@@ -140,29 +148,30 @@
     declined_[address] = now;
 }
 
-// Begins at another place of the order for each, so that what one data centre
-// passes on does not all come to the same entry.
+// Starts at a different position for each asking entry, so that requests
+// forwarded from one data centre do not all reach the same entry.
 std::vector<std::string> entry_list::peers_of(const entry_heartbeat& asking,
                                               time_point now)
 {
     sort(now);
     std::vector<std::string> near;
     std::vector<std::string> elsewhere;
-    const std::size_t most_near =
-        options_.most_peers - options_.most_peers_elsewhere;
+    const std::size_t max_near =
+        options_.max_peers - options_.max_peers_elsewhere;
     const std::size_t begin = std::hash<std::string>{}(asking.address);
     for (std::size_t offset = 0; offset < order_.size(); ++offset)
     {
-        const entry_heartbeat& one = order_[(begin + offset) % order_.size()];
-        const bool is_near = one.data_centre == asking.data_centre;
-        auto& to = is_near ? near : elsewhere;
-        const std::size_t most =
-            is_near ? most_near : options_.most_peers_elsewhere;
-        if (one.address != asking.address && to.size() < most)
+        const entry_heartbeat& candidate =
+            order_[(begin + offset) % order_.size()];
+        const bool is_near = candidate.data_centre == asking.data_centre;
+        auto& target = is_near ? near : elsewhere;
+        const std::size_t max_count =
+            is_near ? max_near : options_.max_peers_elsewhere;
+        if (candidate.address != asking.address && target.size() < max_count)
         {
-            to.push_back(one.address);
+            target.push_back(candidate.address);
         }
-        if (near.size() + elsewhere.size() == options_.most_peers)
+        if (near.size() + elsewhere.size() == options_.max_peers)
         {
             break;
         }
--- a/packages/scheduler/src/placement.cpp
+++ b/packages/scheduler/src/placement.cpp
@@ -9,26 +9,31 @@
 namespace
 {
 
-// Added to the score of a worker that the task should avoid: more than any
-// other difference can make.
+// Score penalty of a worker that the task should avoid: exceeds any other
+// difference in score.
 constexpr double avoided_penalty = 1000;
-// A fill that costs less headroom than this does not matter.
-constexpr double small_cost = 0.03;
-// Headroom where a fill harms nobody: above any that a tail can have.
-constexpr double no_harm = 10;
+// Interference that costs a latency-critical task less headroom than this is
+// ignored.
+constexpr double negligible_cost = 0.03;
+// Headroom assumed if best-effort work interferes with no latency-critical
+// task: above any measurable headroom.
+constexpr double no_interference = 10;
 
-bool has_fill_room(const worker_record& at, const placement_query& query,
-                   const placement_options& options);
+bool has_fill_capacity(const worker_record& worker,
+                       const placement_query& query,
+                       const placement_options& options);
 
-bool has_ticket(const worker_record& at, const placement_query& query)
+bool has_ticket(const worker_record& worker, const placement_query& query)
 {
-    return query.tickets == nullptr || query.tickets->contains(at.what.life);
+    return query.tickets == nullptr ||
+           query.tickets->contains(worker.description.executor);
 }
 
-bool is_open_to(const worker_record& at, const placement_query& query)
+bool is_open_to(const worker_record& worker, const placement_query& query)
 {
-    return !at.kept_for ||
-           (query.suspect != nullptr && *query.suspect == *at.kept_for);
+    return !worker.reserved_for ||
+           (query.isolated_task != nullptr &&
+            *query.isolated_task == *worker.reserved_for);
 }
 
 double share(std::int64_t part, std::int64_t whole)
@@ -37,77 +42,87 @@
                       : static_cast<double>(part) / static_cast<double>(whole);
 }
 
-// What fills may ask for in all: what serving and urgent tasks leave.
-double fill_room(const worker_record& at, const placement_options& options)
+// Processors available to all best-effort runs, in thousandths: the capacity
+// without what latency-critical tasks use on average and other runs reserve.
+double fill_capacity(const worker_record& worker,
+                     const placement_options& options)
 {
-    const auto serving = static_cast<double>(at.serving_cpu);
-    return static_cast<double>(at.what.capacity.cpu_millis) -
+    const auto serving = static_cast<double>(worker.serving_cpu_millis);
+    return static_cast<double>(worker.description.capacity.cpu_millis) -
            options.serving_use * serving -
-           (static_cast<double>(at.used.cpu_millis) - serving);
+           (static_cast<double>(worker.used.cpu_millis) - serving);
 }
 
-// The least headroom that serving tasks would have with one more fill, among
-// those that it harms; nothing if it harms none.
-std::optional<double> headroom_with(const worker_record& at,
-                                    const placement_query& query,
-                                    const placement_options& options)
+// The lowest headroom, with one more best-effort run, of the latency-critical
+// tasks that it interferes with; nothing if it interferes with none.
+std::optional<double> min_headroom_with(const worker_record& worker,
+                                        const placement_query& query,
+                                        const placement_options& options)
 {
-    const auto whole = static_cast<double>(at.what.capacity.cpu_millis);
-    std::optional<double> least;
-    for (const auto& [serving, runs] : at.serving_runs)
+    const auto capacity =
+        static_cast<double>(worker.description.capacity.cpu_millis);
+    std::optional<double> lowest;
+    for (const auto& [serving, runs] : worker.serving_runs)
     {
-        double cost = query.harm.harm(serving, query.step.image) *
-                      static_cast<double>(query.step.demand.cpu_millis) / whole;
-        if (cost < small_cost)
+        double cost =
+            query.interference.interference_coefficient(serving,
+                                                        query.step.image) *
+            static_cast<double>(query.step.demand.cpu_millis) / capacity;
+        if (cost < negligible_cost)
         {
             continue;
         }
-        for (const auto& [filling, cpu] : at.fill_cpu_of)
+        for (const auto& [filling, cpu] : worker.fill_cpu_millis_by_image)
         {
-            cost += query.harm.harm(serving, filling) *
-                    static_cast<double>(cpu) / whole;
+            cost +=
+                query.interference.interference_coefficient(serving, filling) *
+                static_cast<double>(cpu) / capacity;
         }
-        const auto known = at.headroom_alone.find(serving);
-        const double alone = known == at.headroom_alone.end()
-                                 ? options.usual_headroom
-                                 : known->second;
-        least = std::min(least.value_or(alone - cost), alone - cost);
+        const auto found = worker.headroom_alone.find(serving);
+        const double without_fills = found == worker.headroom_alone.end()
+                                         ? options.default_headroom
+                                         : found->second;
+        lowest = std::min(lowest.value_or(without_fills - cost),
+                          without_fills - cost);
     }
-    return least;
+    return lowest;
 }
 
-bool is_slowed(const worker_record& at, const std::string& image,
+bool is_slowed(const worker_record& worker, const std::string& image,
                const placement_options& options)
 {
-    const auto pace = at.paces.find(image);
-    return pace != at.paces.end() && pace->second < options.least_pace;
+    const auto pace = worker.paces.find(image);
+    return pace != worker.paces.end() && pace->second < options.min_pace;
 }
 
-bool has_fill_room(const worker_record& at, const placement_query& query,
-                   const placement_options& options)
+bool has_fill_capacity(const worker_record& worker,
+                       const placement_query& query,
+                       const placement_options& options)
 {
-    if (is_slowed(at, query.step.image, options))
+    if (is_slowed(worker, query.step.image, options))
     {
         return false;
     }
-    const auto asked =
-        static_cast<double>(at.fill_cpu + query.step.demand.cpu_millis);
-    return asked <= fill_room(at, options) &&
-           headroom_with(at, query, options).value_or(no_harm) >=
-               options.least_headroom;
+    const auto asked = static_cast<double>(worker.fill_cpu_millis +
+                                           query.step.demand.cpu_millis);
+    return asked <= fill_capacity(worker, options) &&
+           min_headroom_with(worker, query, options)
+                   .value_or(no_interference) >= options.min_headroom;
 }
 
-// Where fills compete least, and where they harm least.
-double fill_pressure(const worker_record& at, const placement_query& query,
+// Lower where best-effort runs compete less for processors and interfere less.
+double fill_pressure(const worker_record& worker, const placement_query& query,
                      const placement_options& options)
 {
-    const auto asked =
-        static_cast<double>(at.fill_cpu + query.step.demand.cpu_millis);
-    const double headroom = headroom_with(at, query, options).value_or(no_harm);
-    return asked / std::max(fill_room(at, options), 1.0) + 1 / headroom;
+    const auto asked = static_cast<double>(worker.fill_cpu_millis +
+                                           query.step.demand.cpu_millis);
+    const double headroom =
+        min_headroom_with(worker, query, options).value_or(no_interference);
+    return asked / std::max(fill_capacity(worker, options), 1.0) + 1 / headroom;
 }
 
-// The share of a worker that would be reserved, in its tightest dimension.
+// The larger of the shares of processors and memory that would be reserved.
+// Accelerators are not considered.
 double fullness(const resources& used, const resources& asked,
                 const resources& capacity)
 {
@@ -116,41 +131,42 @@
         share(used.memory_mb + asked.memory_mb, capacity.memory_mb));
 }
 
-// Lower is better. Fills go where they compete least for processors, all
-// other tasks where most room is left in the tightest dimension.
-double score(const worker_record& at, const placement_query& query,
+// Lower is better. Best-effort runs prefer the least competition and
+// interference, other runs the lowest fullness().
+double score(const worker_record& worker, const placement_query& query,
              const placement_options& options)
 {
     const job_step& step = query.step;
-    const resources& capacity = at.what.capacity;
+    const resources& capacity = worker.description.capacity;
     double value = 0;
     if (step.fills)
     {
-        value = fill_pressure(at, query, options);
+        value = fill_pressure(worker, query, options);
     }
     else
     {
-        value = fullness(at.used, step.demand, capacity);
+        value = fullness(worker.used, step.demand, capacity);
     }
     if (step.latency_target_ms > 0)
     {
-        const bool same = at.serving_runs.contains(step.image);
-        const auto others =
-            static_cast<double>(at.serving_runs.size()) - (same ? 1 : 0);
-        value += options.other_image_penalty * others;
-        value -= same ? options.same_image_bonus : 0;
+        const bool has_same_image = worker.serving_runs.contains(step.image);
+        const auto other_images =
+            static_cast<double>(worker.serving_runs.size()) -
+            (has_same_image ? 1 : 0);
+        value += options.other_image_penalty * other_images;
+        value -= has_same_image ? options.same_image_bonus : 0;
     }
-    if (!step.data_rack.empty() && step.data_rack != at.what.rack)
+    if (!step.data_rack.empty() && step.data_rack != worker.description.rack)
     {
         value += options.far_penalty;
     }
-    // All that is unproven would be a suspect's company, and suspects that of
-    // any other task.
-    const std::size_t company =
-        query.apart ? at.unproven.size() : at.suspects.size();
-    value += options.unproven_penalty * static_cast<double>(company);
-    const bool just_left = query.left != nullptr && *query.left == at.guard;
-    if (just_left || query.avoided.contains(at.guard))
+    // A suspect avoids unproven runs; any other task avoids suspects.
+    const std::size_t neighbours =
+        query.is_suspect ? worker.unproven.size() : worker.suspects.size();
+    value += options.unproven_penalty * static_cast<double>(neighbours);
+    const bool just_departed =
+        query.departed != nullptr && *query.departed == worker.guard;
+    if (just_departed || query.avoided.contains(worker.guard))
     {
         value += avoided_penalty;
     }
@@ -159,48 +175,52 @@
 
 } // namespace
 
-bool may_run(const worker_record& at, const placement_query& query,
+bool may_run(const worker_record& worker, const placement_query& query,
              const placement_options& options)
 {
-    return takes_runs(at, query.service, query.now, options) &&
-           is_open_to(at, query) && has_label(at, query.step.label) &&
-           is_below_step_bound(at, query) && has_ticket(at, query);
+    return accepts_runs(worker, query.service, query.now, options) &&
+           is_open_to(worker, query) && has_label(worker, query.step.label) &&
+           is_below_step_bound(worker, query) && has_ticket(worker, query);
 }
 
-bool can_take(const worker_record& at, const placement_query& query,
+bool can_take(const worker_record& worker, const placement_query& query,
               const placement_options& options)
 {
-    return may_run(at, query, options) &&
+    return may_run(worker, query, options) &&
            reserved_by(query.step)
-               .fits(query.step.lasting ? at.room() : at.unclaimed_room()) &&
-           (!query.step.fills || query.despite_harm ||
-            has_fill_room(at, query, options));
+               .fits(query.step.lasting ? worker.free_capacity()
+                                        : worker.unreserved_capacity()) &&
+           (!query.step.fills || query.ignore_interference ||
+            has_fill_capacity(worker, query, options));
 }
 
-bool has_label(const worker_record& at, const std::string& label)
+bool has_label(const worker_record& worker, const std::string& label)
 {
-    const auto& labels = at.what.labels;
+    const auto& labels = worker.description.labels;
     return label.empty() ||
            std::find(labels.begin(), labels.end(), label) != labels.end();
 }
 
-bool takes_runs(const worker_record& at, const std::string& service,
-                time_point now, const placement_options& options)
+bool accepts_runs(const worker_record& worker, const std::string& service,
+                  time_point now, const placement_options& options)
 {
-    return at.what.service == service && !at.what.life.empty() &&
-           !at.what.draining && at.answering && !at.closed &&
-           !at.has_to_lapse && !at.on_trial &&
-           now - at.reported < options.report_age && now >= at.ejected_until;
+    return worker.description.service == service &&
+           !worker.description.executor.empty() &&
+           !worker.description.draining && worker.answering && !worker.closed &&
+           !worker.lease_must_expire && !worker.isolated_suspect &&
+           now - worker.reported < options.report_age &&
+           now >= worker.ejected_until;
 }
 
-bool is_below_step_bound(const worker_record& at, const placement_query& query)
+bool is_below_step_bound(const worker_record& worker,
+                         const placement_query& query)
 {
     if (query.step.most_per_worker == 0)
     {
         return true;
     }
-    const auto found = at.of_step.find(query.group);
-    return found == at.of_step.end() ||
+    const auto found = worker.runs_of_step.find(query.group);
+    return found == worker.runs_of_step.end() ||
            found->second < query.step.most_per_worker;
 }
 
@@ -209,36 +229,38 @@
 {
     worker_record* best = nullptr;
     double best_score = 0;
-    for (auto& [name, at] : workers)
+    for (auto& [name, worker] : workers)
     {
-        if (!can_take(at, query, options))
+        if (!can_take(worker, query, options))
         {
             continue;
         }
-        const double value = score(at, query, options);
+        const double value = score(worker, query, options);
         if (best == nullptr || value < best_score)
         {
-            best = &at;
+            best = &worker;
             best_score = value;
         }
     }
     return best;
 }
 
-worker_record* choose_claim(worker_map& workers, const placement_query& query,
-                            const placement_options& options)
+worker_record* choose_reservation(worker_map& workers,
+                                  const placement_query& query,
+                                  const placement_options& options)
 {
     const resources asked = reserved_by(query.step);
     worker_record* best = nullptr;
-    for (auto& [name, at] : workers)
+    for (auto& [name, worker] : workers)
     {
-        const bool will_do = at.claimed == resources{} &&
-                             asked.fits(at.room_in_time()) &&
-                             may_run(at, query, options);
-        if (will_do &&
-            (best == nullptr || at.room().cpu_millis > best->room().cpu_millis))
+        const bool is_eligible = worker.reserved == resources{} &&
+                                 asked.fits(worker.eventual_capacity()) &&
+                                 may_run(worker, query, options);
+        if (is_eligible &&
+            (best == nullptr || worker.free_capacity().cpu_millis >
+                                    best->free_capacity().cpu_millis))
         {
-            best = &at;
+            best = &worker;
         }
     }
     return best;
--- a/packages/scheduler/src/scheduler_closing.cpp
+++ b/packages/scheduler/src/scheduler_closing.cpp
@@ -1,4 +1,4 @@
-// Data centres that an operator closes to new runs.
+// Closure of data centres to new runs by an operator.
 
 #include <springstair/scheduler.hpp>
 
@@ -11,76 +11,78 @@
 void scheduler_core::set_closed(const closed_data_centres& known,
                                 time_point now)
 {
-    const closing_change change = data_centres_.take(known);
-    for (auto& [guard, at] : workers_)
+    const closing_change change = closures_.take(known);
+    for (auto& [guard, worker] : workers_)
     {
-        at.closed = data_centres_.is_closed(at.what.data_centre);
+        worker.closed = closures_.is_closed(worker.description.data_centre);
     }
     may_place_ = may_place_ || !change.opened.empty();
-    if (!begun_)
+    if (!is_ready_)
     {
         return;
     }
     for (const std::string& data_centre : change.closed)
     {
-        tell_closure(data_centre, now);
+        log_closure(data_centre, now);
     }
     for (const std::string& data_centre : change.opened)
     {
-        tell_closure(data_centre, now);
+        log_closure(data_centre, now);
     }
 }
 
-// Whether what is known of data centres is young enough to decide starts.
+// Whether the known closures are recent enough to start runs.
 bool scheduler_core::may_start(time_point now)
 {
     const bool was_withheld =
-        std::exchange(withheld_, now >= data_centres_.starts_until());
-    if (withheld_ && !was_withheld)
+        std::exchange(starts_withheld_, now >= closures_.starts_until());
+    if (starts_withheld_ && !was_withheld)
     {
-        const duration age = now - data_centres_.known_at();
-        note(event_id::starts_withheld,
-             {{"known_age_ms", std::to_string(to_milliseconds(age))}});
+        const duration age = now - closures_.known_at();
+        log_decision(event_id::starts_withheld,
+                     {{"known_age_ms", std::to_string(to_milliseconds(age))}});
     }
-    return !withheld_;
+    return !starts_withheld_;
 }
 
-// Until when a worker's guard may begin what is ordered now, by its own clock:
-// neither after its runs are given up here, nor after a closure that this
-// holder has not heard of may bind.
-std::int64_t scheduler_core::starts_until_ms(const worker_record& at) const
+// The latest time, by the guard's own clock, at which it may begin a run
+// ordered now. Until then the worker's lease grant does not expire, and no
+// closure that this leader does not know yet takes effect.
+std::int64_t scheduler_core::starts_until_ms(const worker_record& worker) const
 {
-    const time_point until = data_centres_.starts_until();
+    const time_point until = closures_.starts_until();
     if (until == time_point::max())
     {
-        return at.starts_until_ms;
+        return worker.starts_until_ms;
     }
     const std::int64_t by_closure =
-        to_milliseconds(until - time_point{}) + at.clock_ahead_ms;
-    // No bound is told by 0; a bound that lies before the guard's first
-    // reading is as good as that reading.
-    return std::max<std::int64_t>(1, std::min(at.starts_until_ms, by_closure));
+        to_milliseconds(until - time_point{}) + worker.clock_ahead_ms;
+    // On the wire, 0 means no bound. A bound that lies before the zero of the
+    // guard's clock is therefore sent as 1.
+    return std::max<std::int64_t>(1,
+                                  std::min(worker.starts_until_ms, by_closure));
 }
 
 std::int64_t scheduler_core::runs_in(const std::string& data_centre) const
 {
     std::size_t runs = 0;
-    for (const auto& [guard, at] : workers_)
+    for (const auto& [guard, worker] : workers_)
     {
-        runs += at.what.data_centre == data_centre ? at.held.size() : 0;
+        runs += worker.description.data_centre == data_centre
+                    ? worker.assigned_tasks.size()
+                    : 0;
     }
     return static_cast<std::int64_t>(runs);
 }
 
-void scheduler_core::tell_closure(const std::string& data_centre,
-                                  time_point now)
+void scheduler_core::log_closure(const std::string& data_centre, time_point now)
 {
-    const duration age = now - data_centres_.known_at();
-    note(event_id::closure_in_force,
-         {{"data_centre", data_centre},
-          {"closed", data_centres_.is_closed(data_centre) ? "yes" : "no"},
-          {"known_age_ms", std::to_string(to_milliseconds(age))},
-          {"runs", std::to_string(runs_in(data_centre))}});
+    const duration age = now - closures_.known_at();
+    log_decision(event_id::closure_in_force,
+                 {{"data_centre", data_centre},
+                  {"closed", closures_.is_closed(data_centre) ? "yes" : "no"},
+                  {"known_age_ms", std::to_string(to_milliseconds(age))},
+                  {"runs", std::to_string(runs_in(data_centre))}});
 }
 
 } // namespace springstair
--- a/packages/scheduler/src/scheduler_core.cpp
+++ b/packages/scheduler/src/scheduler_core.cpp
@@ -1,4 +1,4 @@
-// Office, acceptance and what callers see.
+// Terms, acceptance of jobs, orders and the state shown to callers.
 
 #include <springstair/scheduler.hpp>
 
@@ -10,64 +10,66 @@
 namespace
 {
 
-// A job's age is only used to order it; clocks may jump.
-constexpr std::int64_t longest_age_ms = 600'000;
+// A job's age serves only to order it; the limit bounds the effect of clock
+// jumps.
+constexpr std::int64_t max_age_ms = 600'000;
 
 } // namespace
 
 scheduler_core::scheduler_core(scheduler_options options)
-    : options_(options), data_centres_(options.closing),
-      failures_(options.failures)
+    : options_(options), closures_(options.closing),
+      fault_detector_(options.failures)
 {
 }
 
-void scheduler_core::take_office(std::int64_t epoch, time_point now)
+void scheduler_core::begin_term(std::int64_t epoch, time_point now)
 {
     const queue_table table = table_;
-    const data_centre_book data_centres = data_centres_;
+    const closure_tracker closures = closures_;
     *this = scheduler_core(options_);
     table_ = table;
-    data_centres_ = data_centres;
+    closures_ = closures;
     epoch_ = epoch;
-    office_since_ = now;
+    term_started_at_ = now;
 }
 
-void scheduler_core::adopt(job what, const std::optional<job_progress>& kept,
+void scheduler_core::adopt(job definition,
+                           const std::optional<job_progress>& saved,
                            std::int64_t revision, time_point now,
-                           std::int64_t day_ms)
+                           std::int64_t unix_ms)
 {
-    const std::string id = what.id;
-    const std::int64_t age =
-        std::clamp<std::int64_t>(day_ms - what.accepted_ms, 0, longest_age_ms);
-    accept(std::move(what), now - std::chrono::milliseconds(age));
-    job_record& of = *job_of(id);
-    if (!kept)
+    const std::string id = definition.id;
+    const std::int64_t age = std::clamp<std::int64_t>(
+        unix_ms - definition.accepted_ms, 0, max_age_ms);
+    accept(std::move(definition), now - std::chrono::milliseconds(age));
+    job_record& record = *job_of(id);
+    if (!saved)
     {
         return;
     }
-    of.restore(*kept);
-    of.revision = revision;
-    for (job_task& task : of.tasks())
+    record.restore(*saved);
+    record.revision = revision;
+    for (job_task& task : record.tasks())
     {
         if (task.run)
         {
-            awaited_[task.run->guard].insert(
-                {of.what().id, of.position_of(task)});
+            inherited_runs_[task.run->guard].insert(
+                {record.definition().id, record.position_of(task)});
         }
     }
 }
 
 void scheduler_core::begin(time_point now)
 {
-    begun_ = true;
-    office_since_ = now;
-    for (const auto& [id, of] : jobs_)
+    is_ready_ = true;
+    term_started_at_ = now;
+    for (const auto& [id, record] : jobs_)
     {
-        finish_if_done(*of, now);
+        finish_if_done(*record, now);
     }
-    for (const std::string& data_centre : data_centres_.closed())
+    for (const std::string& data_centre : closures_.closed())
     {
-        tell_closure(data_centre, now);
+        log_closure(data_centre, now);
     }
 }
 
@@ -79,27 +81,28 @@
     }
 }
 
-void scheduler_core::accept(job what, time_point now)
+void scheduler_core::accept(job definition, time_point now)
 {
-    if (jobs_.contains(what.id))
+    if (jobs_.contains(definition.id))
     {
         return;
     }
-    auto fresh = std::make_unique<job_record>(std::move(what));
-    fresh->order = ++accepted_jobs_;
-    fresh->accepted = now;
-    for (job_task& task : fresh->tasks())
+    auto created = std::make_unique<job_record>(std::move(definition));
+    created->order = ++accepted_jobs_;
+    created->accepted = now;
+    for (job_task& task : created->tasks())
     {
         task.ready_since = now;
     }
-    job_record& of = *fresh;
-    jobs_.emplace(of.what().id, std::move(fresh));
-    note(event_id::job_known, {{"job", of.what().id},
-                               {"queue", of.what().queue},
-                               {"tasks", std::to_string(of.tasks().size())}});
+    job_record& record = *created;
+    jobs_.emplace(record.definition().id, std::move(created));
+    log_decision(event_id::job_known,
+                 {{"job", record.definition().id},
+                  {"queue", record.definition().queue},
+                  {"tasks", std::to_string(record.tasks().size())}});
     may_place_ = true;
-    wanting_.insert(of.what().id);
-    if (of.what().steps.front().lasting)
+    placeable_jobs_.insert(record.definition().id);
+    if (record.definition().steps.front().lasting)
     {
         last_lasting_ = std::max(last_lasting_, now);
     }
@@ -107,15 +110,16 @@
 
 void scheduler_core::cancel(const std::string& id, time_point now)
 {
-    job_record* const of = job_of(id);
-    if (of == nullptr || is_final(of->state()))
+    job_record* const record = job_of(id);
+    if (record == nullptr || is_final(record->state()))
     {
         return;
     }
-    finish(*of, job_state::cancelled, now, {});
-    of->shown = job_state::cancelled; // the store has the cancellation
-    want(*of, now);
-    stop_all(*of);
+    finish(*record, job_state::cancelled, now, {});
+    // The cancellation is already in the store.
+    record->shown = job_state::cancelled;
+    mark_changed(*record, now);
+    stop_all(*record);
 }
 
 job_record* scheduler_core::job_of(const std::string& id)
@@ -124,19 +128,22 @@
     return found == jobs_.end() ? nullptr : found->second.get();
 }
 
-scheduler_core::known_task scheduler_core::known(const std::string& name)
+scheduler_core::known_task scheduler_core::find_task(const std::string& name)
 {
     const auto parsed = task_name::parse(name);
-    job_record* const of = parsed ? job_of(parsed->job) : nullptr;
-    return {.of = of, .task = of == nullptr ? nullptr : of->find(parsed->at)};
+    job_record* const record = parsed ? job_of(parsed->job) : nullptr;
+    return {.record = record,
+            .task =
+                record == nullptr ? nullptr : record->find(parsed->position)};
 }
 
-// Whether a run that a worker tells of is the newest of its task.
-bool scheduler_core::is_present(const job_task* task, std::int64_t run,
-                                const worker_record& at)
+// Whether a run that a worker reports is the current run of its task.
+bool scheduler_core::is_current_run(const job_task* task, std::int64_t run,
+                                    const worker_record& worker)
 {
     return task != nullptr && task->run && task->run->number == run &&
-           task->run->guard == at.guard && task->run->life == at.what.life;
+           task->run->guard == worker.guard &&
+           task->run->executor == worker.description.executor;
 }
 
 const job_record* scheduler_core::find(const std::string& id) const
@@ -145,14 +152,14 @@
     return found == jobs_.end() ? nullptr : found->second.get();
 }
 
-void scheduler_core::want(job_record& of, time_point now)
+void scheduler_core::mark_changed(job_record& record, time_point now)
 {
-    const std::string& id = of.what().id;
+    const std::string& id = record.definition().id;
     may_place_ = true;
-    wanting_.insert(id);
-    if (of.change > of.kept && is_dirty_.insert(id).second)
+    placeable_jobs_.insert(id);
+    if (record.change > record.committed_change && dirty_ids_.insert(id).second)
     {
-        of.unkept_since = now;
+        record.uncommitted_since = now;
         dirty_.push_back(id);
     }
 }
@@ -166,19 +173,19 @@
     std::vector<addressed_orders> out;
     for (auto& [guard, orders] : outbox_)
     {
-        const auto at = workers_.find(guard);
-        if (at == workers_.end() || orders.empty())
+        const auto found = workers_.find(guard);
+        if (found == workers_.end() || orders.empty())
         {
             continue;
         }
         orders.epoch = epoch_;
-        orders.life = at->second.what.life;
-        orders.incarnation = at->second.incarnation;
-        orders.acknowledged = at->second.acknowledged;
-        orders.starts_until_ms = starts_until_ms(at->second);
-        orders.closed = at->second.closed;
+        orders.executor = found->second.description.executor;
+        orders.incarnation = found->second.incarnation;
+        orders.acknowledged = found->second.acknowledged;
+        orders.starts_until_ms = starts_until_ms(found->second);
+        orders.closed = found->second.closed;
         out.push_back({.guard = guard,
-                       .address = at->second.address,
+                       .address = found->second.address,
                        .orders = std::move(orders)});
     }
     outbox_.clear();
@@ -186,28 +193,29 @@
 }
 
 // ---------------------------------------------------------------------------
-// What is seen from outside
+// State shown to callers, metrics and log
 // ---------------------------------------------------------------------------
 
 std::optional<job_state> scheduler_core::shown(const std::string& id,
                                                time_point now,
-                                               time_point verified) const
+                                               time_point verified_at) const
 {
-    const job_record* const of = find(id);
-    if (of == nullptr || !begun_)
+    const job_record* const record = find(id);
+    if (record == nullptr || !is_ready_)
     {
         return std::nullopt;
     }
-    if (is_final(of->shown))
+    if (is_final(record->shown))
     {
-        return of->shown;
+        return record->shown;
     }
-    // An end that the store may have is shown by whoever reads it there.
-    if (is_final(of->sent) || now - verified > options_.show_reach)
+    // A final state may already be in the store: then the caller's entry reads
+    // it from there.
+    if (is_final(record->sent) || now - verified_at > options_.max_read_age)
     {
         return std::nullopt;
     }
-    return of->begun ? job_state::running : of->shown;
+    return record->begun ? job_state::running : record->shown;
 }
 
 std::int64_t scheduler_core::waiting(const std::string& queue) const
@@ -215,28 +223,28 @@
     return std::count_if(jobs_.begin(), jobs_.end(),
                          [&](const auto& entry)
                          {
-                             const job_record& of = *entry.second;
-                             return of.what().queue == queue && !of.begun &&
-                                    !is_final(of.state());
+                             const job_record& record = *entry.second;
+                             return record.definition().queue == queue &&
+                                    !record.begun && !is_final(record.state());
                          });
 }
 
 scheduler_figures scheduler_core::figures() const
 {
-    scheduler_figures now = counts_;
-    now.jobs_open = std::count_if(jobs_.begin(), jobs_.end(),
+    scheduler_figures out = counts_;
+    out.jobs_open = std::count_if(jobs_.begin(), jobs_.end(),
                                   [](const auto& entry)
                                   { return !is_final(entry.second->state()); });
-    now.workers = static_cast<std::int64_t>(workers_.size());
-    for (const std::string& data_centre : data_centres_.closed())
+    out.workers = static_cast<std::int64_t>(workers_.size());
+    for (const std::string& data_centre : closures_.closed())
     {
-        ++now.closed_data_centres;
-        now.runs_in_closed += runs_in(data_centre);
+        ++out.closed_data_centres;
+        out.runs_in_closed += runs_in(data_centre);
     }
-    return now;
+    return out;
 }
 
-void scheduler_core::note(event_id id, std::vector<event_field> fields)
+void scheduler_core::log_decision(event_id id, std::vector<event_field> fields)
 {
     decisions_.push_back({id, std::move(fields)});
 }
@@ -255,32 +263,35 @@
 // Time
 // ---------------------------------------------------------------------------
 
-void scheduler_core::tick(time_point now, std::int64_t day_ms)
+void scheduler_core::tick(time_point now, std::int64_t unix_ms)
 {
-    if (!begun_)
+    if (!is_ready_)
     {
         return;
     }
-    for (auto& [guard, at] : workers_)
+    for (auto& [guard, worker] : workers_)
     {
-        if (now >= at.lease_ends && !at.held.empty())
+        if (now >= worker.lease_ends && !worker.assigned_tasks.empty())
         {
-            lose_worker(at, at.held, run_over::permits_ended(), now);
+            lose_worker(worker, worker.assigned_tasks,
+                        end_proof::lease_bound_passed(), now);
         }
     }
-    const duration reach =
-        options_.office_reach +
-        from_seconds(to_seconds(options_.office_reach) * options_.clock_drift) +
+    const duration max_inherited_lease =
+        options_.lease_horizon +
+        from_seconds(to_seconds(options_.lease_horizon) *
+                     options_.clock_drift) +
         options_.lease_slack;
-    if (!awaited_.empty() && now - office_since_ > reach)
+    if (!inherited_runs_.empty() &&
+        now - term_started_at_ > max_inherited_lease)
     {
-        for (const auto& [guard, tasks] : std::exchange(awaited_, {}))
+        for (const auto& [guard, tasks] : std::exchange(inherited_runs_, {}))
         {
-            lose_runs(tasks, run_over::not_heard_of(), now);
+            lose_runs(tasks, end_proof::guard_never_reported(), now);
         }
     }
-    place_if_due(now, day_ms);
-    watch_service(now);
+    place_if_due(now, unix_ms);
+    sample_availability_if_due(now);
 }
 
 } // namespace springstair
--- a/packages/scheduler/src/scheduler_learning.cpp
+++ b/packages/scheduler/src/scheduler_learning.cpp
@@ -1,4 +1,5 @@
-// What is learnt from workers' figures, and what their guards are told of it.
+// Learns interference from worker reports and selects the pairs to report to
+// guards.
 
 #include <springstair/scheduler.hpp>
 
@@ -7,64 +8,70 @@
 namespace springstair
 {
 
-// Each report shows serving tasks' tails beside the fills that worked at the
-// same time.
-void scheduler_core::learn_harm(worker_record& at, const worker_report& from,
-                                time_point now)
+// Each report shows the tail latency of latency-critical tasks and the
+// processor use of best-effort runs at the same time.
+void scheduler_core::learn_interference(worker_record& worker,
+                                        const worker_report& report,
+                                        time_point now)
 {
-    if (now - at.learnt < options_.figure_age)
+    if (now - worker.last_sampled_at < options_.sample_interval)
     {
         return;
     }
-    at.learnt = now;
-    harm_sample beside;
-    std::vector<serving_figure> figures;
-    for (const running_task& row : from.running)
+    worker.last_sampled_at = now;
+    fill_usage fill_use;
+    std::vector<serving_sample> samples;
+    for (const running_task& running : report.running)
     {
-        const auto name = task_name::parse(row.task);
-        const job_record* const of = name ? find(name->job) : nullptr;
-        if (of == nullptr)
+        const auto name = task_name::parse(running.task);
+        const job_record* const record = name ? find(name->job) : nullptr;
+        if (record == nullptr)
         {
             continue;
         }
-        const job_step& step = of->step_at(name->at);
+        const job_step& step = record->step_at(name->position);
         if (step.fills)
         {
-            beside[step.image] += static_cast<double>(row.load) /
-                                  static_cast<double>(std::max<std::int64_t>(
-                                      at.what.capacity.cpu_millis, 1));
+            fill_use[step.image] +=
+                static_cast<double>(running.load) /
+                static_cast<double>(std::max<std::int64_t>(
+                    worker.description.capacity.cpu_millis, 1));
         }
-        else if (step.latency_target_ms > 0 && row.load > 0)
+        else if (step.latency_target_ms > 0 && running.load > 0)
         {
-            figures.push_back(
-                {.task = row.task,
+            samples.push_back(
+                {.task = running.task,
                  .job = name->job,
                  .image = step.image,
                  .headroom = static_cast<double>(step.latency_target_ms) /
-                             static_cast<double>(row.load)});
+                             static_cast<double>(running.load)});
         }
     }
-    at.headroom_alone.clear();
-    for (const serving_figure& one : figures)
+    worker.headroom_alone.clear();
+    for (const serving_sample& sample : samples)
     {
-        harm_.observe(one, beside, now);
-        const double alone = one.headroom + harm_.harm_of(one.image, beside);
-        const auto [found, fresh] =
-            at.headroom_alone.try_emplace(one.image, alone);
+        interference_model_.observe(sample, fill_use, now);
+        const double alone =
+            sample.headroom +
+            interference_model_.interference_of(sample.image, fill_use);
+        const auto [found, is_new] =
+            worker.headroom_alone.try_emplace(sample.image, alone);
         found->second = std::min(found->second, alone);
     }
-    at.filling = std::move(beside);
+    worker.best_effort_use = std::move(fill_use);
 }
 
-std::vector<pair_harm> scheduler_core::harms_at(const worker_record& at) const
+std::vector<pair_interference>
+scheduler_core::interference_at(const worker_record& worker) const
 {
-    std::vector<pair_harm> out;
-    for (const auto& [serving, alone] : at.headroom_alone)
+    std::vector<pair_interference> out;
+    for (const auto& [serving, alone] : worker.headroom_alone)
     {
-        for (const auto& [filling, use] : at.filling)
+        for (const auto& [filling, use] : worker.best_effort_use)
         {
-            const double harm = harm_.harm(serving, filling);
-            if (harm >= options_.harm_told)
+            const double harm =
+                interference_model_.interference_coefficient(serving, filling);
+            if (harm >= options_.min_reported_interference)
             {
                 out.push_back(
                     {.serving = serving, .filling = filling, .harm = harm});
--- a/packages/scheduler/src/scheduler_leases.cpp
+++ b/packages/scheduler/src/scheduler_leases.cpp
@@ -1,4 +1,4 @@
-// How long the lease of a worker may last, and when it has to be over.
+// Lease grants to guards, and leases that must expire.
 
 #include <springstair/scheduler.hpp>
 
@@ -7,78 +7,91 @@
 namespace springstair
 {
 
-// For how long a guard may extend its worker's lease. One that has not looked
-// at its worker may extend runs that nobody has seen: not beyond the time for
-// which a new holder waits for them, counted from its own begin, since permits
-// of earlier holders end by then.
-duration scheduler_core::permit_for(const worker_report& from, time_point now,
-                                    time_point verified) const
+// How far a guard may extend its worker's lease. A guard that has not polled
+// its worker may extend runs that are not visible to this leader. Its grant
+// then ends within the time that a new leader waits for such runs, counted from
+// the start of its term: grants of previous leaders end by then.
+duration scheduler_core::lease_grant_for(const worker_report& report,
+                                         time_point now,
+                                         time_point verified_at) const
 {
-    const bool is_awaited = !from.looked && awaited_.contains(from.guard);
-    const time_point reached =
-        is_awaited ? std::min(verified, office_since_) : verified;
-    return std::clamp(reached + options_.office_reach - now, duration{0},
-                      options_.permit);
+    const bool may_extend_inherited =
+        !report.looked && inherited_runs_.contains(report.guard);
+    const time_point base = may_extend_inherited
+                                ? std::min(verified_at, term_started_at_)
+                                : verified_at;
+    return std::clamp(base + options_.lease_horizon - now, duration{0},
+                      options_.lease_grant);
 }
 
-// Whether an end as done is that of a run which was given up: another one takes
-// its place, or has.
-bool scheduler_core::is_end_given_up(const worker_record& at,
+// Whether the end reports success of a run that was given up, so that another
+// run replaces or has replaced it.
+bool scheduler_core::is_end_given_up(const worker_record& worker,
                                      const ended_task& end)
 {
-    const job_task* const task = known(end.task).task;
+    const job_task* const task = find_task(end.task).task;
     if (task == nullptr || end.how != run_end::done)
     {
         return false;
     }
-    const bool is_awaited = task->run && task->run->number == end.run &&
-                            task->run->guard == at.guard;
-    const bool is_counted = task->done && task->runs == end.run;
-    return !is_awaited && !is_counted;
+    const bool is_current = task->run && task->run->number == end.run &&
+                            task->run->guard == worker.guard;
+    const bool is_applied = task->done && task->runs == end.run;
+    return !is_current && !is_applied;
 }
 
-// A run is given up when every lease there has surely run out, by what its
-// guard has told. A start that the next life of its executor took has a longer
-// one, of which a guard that is cut off cannot tell. Acknowledged within it,
-// its end as done would count, beside the run that has taken its place. So the
-// worker gets no lease until that one is over; nothing else of ours is there.
-void scheduler_core::await_lapse(worker_record& at, const worker_report& from,
-                                 bool knows_life)
+// A run is given up when, by its guard's reports, every lease there must have
+// expired. But its start may have reached the executor's next incarnation under
+// a longer lease, which a disconnected guard cannot report. If that run's
+// success were acknowledged within that lease, it would count in addition to
+// the replacement run. So the worker gets no lease grant until that lease has
+// expired; this leader has no other run there.
+void scheduler_core::check_lease_must_expire(worker_record& worker,
+                                             const worker_report& report,
+                                             bool knows_incarnation)
 {
-    const bool awaited_before = at.has_to_lapse;
-    // What was noted once is on its way to be acknowledged.
-    const std::int64_t noted = at.what.life == from.worker.life ? at.noted : 0;
-    const auto end = std::ranges::find_if(
-        from.ended, [&](const ended_task& one)
-        { return one.number > noted && is_end_given_up(at, one); });
-    at.has_to_lapse = knows_life && from.looked && from.lease_ms > 0 &&
-                      end != from.ended.end();
-    if (at.has_to_lapse && !awaited_before)
+    const bool was_set = worker.lease_must_expire;
+    // Ends up to this number are already applied and will be acknowledged.
+    const std::int64_t applied =
+        worker.description.executor == report.worker.executor
+            ? worker.applied_ends
+            : 0;
+    const auto end =
+        std::ranges::find_if(report.ended,
+                             [&](const ended_task& candidate) {
+                                 return candidate.number > applied &&
+                                        is_end_given_up(worker, candidate);
+                             });
+    worker.lease_must_expire = knows_incarnation && report.looked &&
+                               report.lease_ms > 0 && end != report.ended.end();
+    if (worker.lease_must_expire && !was_set)
     {
-        note(event_id::lease_awaited,
-             {{"guard", at.guard},
-              {"life", from.worker.life.text()},
-              {"task", end->task},
-              {"run", std::to_string(end->run)},
-              {"lease_ms", std::to_string(from.lease_ms)}});
+        log_decision(event_id::lease_awaited,
+                     {{"guard", worker.guard},
+                      {"life", report.worker.executor.text()},
+                      {"task", end->task},
+                      {"run", std::to_string(end->run)},
+                      {"lease_ms", std::to_string(report.lease_ms)}});
     }
 }
 
-void scheduler_core::extend_lease(worker_record& at, const worker_report& from,
-                                  duration permit, time_point now) const
+void scheduler_core::extend_lease(worker_record& worker,
+                                  const worker_report& report,
+                                  duration lease_grant, time_point now) const
 {
-    at.starts_until_ms =
-        std::max(at.starts_until_ms, from.sent_ms + to_milliseconds(permit));
-    at.clock_ahead_ms = from.sent_ms - to_milliseconds(now - time_point{});
-    const duration drifted =
-        from_seconds(to_seconds(permit) * (1 + options_.clock_drift));
-    // What an earlier holder permitted may still be in force.
-    const duration before = std::chrono::milliseconds(from.lease_ms);
-    const duration longest = std::max(drifted, before);
-    if (longest > duration{0})
+    worker.starts_until_ms = std::max(
+        worker.starts_until_ms, report.sent_ms + to_milliseconds(lease_grant));
+    worker.clock_ahead_ms =
+        report.sent_ms - to_milliseconds(now - time_point{});
+    const duration with_drift =
+        from_seconds(to_seconds(lease_grant) * (1 + options_.clock_drift));
+    // A grant of a previous leader may still be in force.
+    const duration previous_grant = std::chrono::milliseconds(report.lease_ms);
+    const duration max_remaining = std::max(with_drift, previous_grant);
+    if (max_remaining > duration{0})
     {
-        at.lease_ends =
-            std::max(at.lease_ends, now + longest + options_.lease_slack);
+        worker.lease_ends = std::max(
+            worker.lease_ends, now + max_remaining + options_.lease_slack);
     }
 }
 
--- a/packages/scheduler/src/scheduler_moves.cpp
+++ b/packages/scheduler/src/scheduler_moves.cpp
@@ -1,183 +1,193 @@
-// Which runs leave their worker for another one.
+// Relocation and preemption: runs that leave their worker for another one.
 
 #include <springstair/scheduler.hpp>
 
 namespace springstair
 {
 
-// Fills that stand in the way here may be welcome elsewhere. Only runs that
-// lose nothing by a stop move.
-void scheduler_core::move_slowed(worker_record& at, const worker_report& from,
-                                 guard_orders& out, time_point now)
+// Relocates best-effort runs that are throttled here and may be tolerated
+// elsewhere. Only runs that lose no work by a stop are relocated.
+void scheduler_core::relocate_slowed(worker_record& worker,
+                                     const worker_report& report,
+                                     guard_orders& out, time_point now)
 {
-    std::size_t moves = 0;
-    for (const auto& [image, pace] : from.paces)
+    std::size_t relocated = 0;
+    for (const auto& [image, pace] : report.paces)
     {
-        if (pace >= options_.move_below)
+        if (pace >= options_.relocate_below_pace)
         {
             continue;
         }
-        for (const task_name& name : at.held)
+        for (const task_name& name : worker.assigned_tasks)
         {
-            if (moves >= options_.most_moves)
+            if (relocated >= options_.max_relocations_per_report)
             {
                 return;
             }
-            if (!may_move(name, image))
+            if (!is_relocatable(name, image))
             {
                 continue;
             }
-            if (!is_welcome_elsewhere(name, at, now))
+            if (!has_other_worker(name, worker, now))
             {
-                break; // its siblings find no worker either
+                break; // assumes the same for the other runs of this image
             }
-            ++moves;
-            move(name, at, pace, out, now);
+            ++relocated;
+            relocate(name, worker, pace, out, now);
         }
     }
 }
 
-bool scheduler_core::may_move(const task_name& name, const std::string& image)
+bool scheduler_core::is_relocatable(const task_name& name,
+                                    const std::string& image)
 {
-    job_record& of = *job_of(name.job);
-    const job_step& step = of.step_at(name.at);
-    const task_run& run = *of.find(name.at)->run;
-    const queue_row* const queue = table_.queue(of.what().queue);
+    job_record& record = *job_of(name.job);
+    const job_step& step = record.step_at(name.position);
+    const task_run& run = *record.find(name.position)->run;
+    const queue_row* const queue = table_.queue(record.definition().queue);
     return step.fills && step.checkpoints && step.image == image && run.seen &&
            !run.stopping && queue != nullptr && !queue->advice;
 }
 
-bool scheduler_core::is_welcome_elsewhere(const task_name& name,
-                                          const worker_record& at,
-                                          time_point now)
+bool scheduler_core::has_other_worker(const task_name& name,
+                                      const worker_record& worker,
+                                      time_point now)
 {
-    const job_record& of = *job_of(name.job);
-    const std::string group = step_group(name.job, name.at);
-    const std::set<std::string> here{at.guard};
-    const worker_record* const other =
-        choose_worker(workers_,
-                      {.step = of.step_at(name.at),
-                       .service = table_.queue(of.what().queue)->service,
-                       .group = group,
-                       .avoided = here,
-                       .harm = harm_,
-                       .now = now},
-                      options_.placement);
-    return other != nullptr && other != &at;
+    const job_record& record = *job_of(name.job);
+    const std::string group = step_group(name.job, name.position);
+    const std::set<std::string> current_guard{worker.guard};
+    const worker_record* const other = choose_worker(
+        workers_,
+        {.step = record.step_at(name.position),
+         .service = table_.queue(record.definition().queue)->service,
+         .group = group,
+         .avoided = current_guard,
+         .interference = interference_model_,
+         .now = now},
+        options_.placement);
+    return other != nullptr && other != &worker;
 }
 
-void scheduler_core::move(const task_name& name, const worker_record& at,
-                          std::int64_t pace, guard_orders& out, time_point now)
+void scheduler_core::relocate(const task_name& name,
+                              const worker_record& worker, std::int64_t pace,
+                              guard_orders& out, time_point now)
 {
-    job_task& task = *job_of(name.job)->find(name.at);
+    job_task& task = *job_of(name.job)->find(name.position);
     order_stop(*task.run, name.text(), out);
-    task.left =
-        left_worker{.guard = at.guard, .until = now + options_.no_return};
-    note(event_id::run_moved, {{"task", name.text()},
-                               {"run", std::to_string(task.run->number)},
-                               {"guard", at.guard},
-                               {"pace", std::to_string(pace)}});
+    task.departed = departed_worker{.guard = worker.guard,
+                                    .until = now + options_.return_backoff};
+    log_decision(event_id::run_moved,
+                 {{"task", name.text()},
+                  {"run", std::to_string(task.run->number)},
+                  {"guard", worker.guard},
+                  {"pace", std::to_string(pace)}});
 }
 
-// A step that may run on few workers waits for as long as lasting runs fill
-// them, though others have room. Where shorter runs will free none in time, one
-// lasting run after the other goes elsewhere.
-void scheduler_core::make_way(const placement_query& query,
-                              const job_record& of, const job_task& task)
+// Preempts for a step that may run on few workers only. Long-running runs can
+// fill these workers while others have free capacity. If the end of all shorter
+// runs, and of those being stopped, would not free enough on any of them, one
+// long-running run is relocated per attempt.
+void scheduler_core::preempt_lasting(const placement_query& query,
+                                     const job_record& record,
+                                     const job_task& task)
 {
-    const bool is_choosy =
+    const bool is_restricted =
         query.tickets != nullptr || !query.step.label.empty();
-    if (!is_choosy || query.step.lasting || of.has_runs() ||
-        query.now - task.ready_since < options_.longest_blocked ||
-        query.now < next_way_)
+    if (!is_restricted || query.step.lasting || record.has_runs() ||
+        query.now - task.ready_since < options_.max_blocked_time ||
+        query.now < next_preemption_at_)
     {
         return;
     }
-    next_way_ = query.now + options_.way_gap;
+    next_preemption_at_ = query.now + options_.preemption_interval;
     const resources asked = reserved_by(query.step);
     std::vector<worker_record*> blocked;
-    for (auto& [guard, at] : workers_)
+    for (auto& [guard, worker] : workers_)
     {
-        if (!may_run(at, query, options_.placement))
+        if (!may_run(worker, query, options_.placement))
         {
             continue;
         }
-        if (asked.fits(room_after_stops(at)))
+        if (asked.fits(capacity_after_stops(worker)))
         {
             return;
         }
-        if (asked.fits(at.what.capacity))
+        if (asked.fits(worker.description.capacity))
         {
-            blocked.push_back(&at);
+            blocked.push_back(&worker);
         }
     }
-    blocked.resize(std::min(blocked.size(), options_.most_ways));
-    for (worker_record* const at : blocked)
+    blocked.resize(std::min(blocked.size(), options_.max_preemption_searches));
+    for (worker_record* const worker : blocked)
     {
-        const auto leaves =
-            std::ranges::find_if(at->held, [&](const task_name& name)
-                                 { return may_give_way(name); });
-        if (leaves != at->held.end() &&
-            is_welcome_elsewhere(*leaves, *at, query.now))
+        const auto candidate = std::ranges::find_if(
+            worker->assigned_tasks,
+            [&](const task_name& name) { return is_preemptible(name); });
+        if (candidate != worker->assigned_tasks.end() &&
+            has_other_worker(*candidate, *worker, query.now))
         {
-            move(*leaves, *at, full_percent, outbox_[at->guard], query.now);
+            relocate(*candidate, *worker, full_percent, outbox_[worker->guard],
+                     query.now);
             return;
         }
     }
 }
 
-// What a worker will have once shorter runs, and those that are being stopped,
-// have ended.
-resources scheduler_core::room_after_stops(const worker_record& at)
+// The capacity that will be free once all short runs, and the long-running runs
+// that are being stopped, have ended.
+resources scheduler_core::capacity_after_stops(const worker_record& worker)
 {
-    resources room = at.room_in_time();
-    for (const task_name& name : at.held)
+    resources capacity = worker.eventual_capacity();
+    for (const task_name& name : worker.assigned_tasks)
     {
-        job_record& of = *job_of(name.job);
-        const job_step& step = of.step_at(name.at);
-        if (step.lasting && of.find(name.at)->run->stopping)
+        job_record& record = *job_of(name.job);
+        const job_step& step = record.step_at(name.position);
+        if (step.lasting && record.find(name.position)->run->stopping)
         {
-            room += reserved_by(step);
+            capacity += reserved_by(step);
         }
     }
-    return room;
+    return capacity;
 }
 
-// Whether a lasting run may be stopped to run elsewhere: its step misses no
-// more tasks than it may.
-bool scheduler_core::may_give_way(const task_name& name)
+// Whether a long-running run may be relocated: with it, no more tasks of its
+// step may be missing than allowed.
+bool scheduler_core::is_preemptible(const task_name& name)
 {
-    job_record& of = *job_of(name.job);
-    const job_step& step = of.step_at(name.at);
-    const task_run& run = *of.find(name.at)->run;
-    const queue_row* const queue = table_.queue(of.what().queue);
+    job_record& record = *job_of(name.job);
+    const job_step& step = record.step_at(name.position);
+    const task_run& run = *record.find(name.position)->run;
+    const queue_row* const queue = table_.queue(record.definition().queue);
     if (!step.lasting || step.gang || !run.seen || run.stopping ||
         queue == nullptr || queue->advice)
     {
         return false;
     }
     const auto missing = std::ranges::count_if(
-        of.tasks_of(name.at.round, name.at.step), [](const job_task& task)
+        record.tasks_of(name.position.round, name.position.step),
+        [](const job_task& task)
         { return !task.run || !task.run->seen || task.run->stopping; });
     return step.most_missing == 0 || missing < step.most_missing;
 }
 
-// A worker that leaves takes down what runs there: what lasts moves at once,
-// the rest when little time remains.
-void scheduler_core::leave_in_time(worker_record& at, guard_orders& out,
-                                   time_point /*now*/)
+// Stops runs on a worker that is about to leave: long-running ones at once, the
+// others when little time remains.
+void scheduler_core::drain_leaving_worker(worker_record& worker,
+                                          guard_orders& out, time_point /*now*/)
 {
-    if (!at.what.draining || at.what.leaves_ms == 0)
+    if (!worker.description.draining || worker.description.leaves_ms == 0)
     {
         return;
     }
-    const bool late =
-        std::chrono::milliseconds(at.what.leaves_ms) < options_.leave_margin;
-    for (const task_name& name : at.held)
+    const bool is_due =
+        std::chrono::milliseconds(worker.description.leaves_ms) <
+        options_.leave_margin;
+    for (const task_name& name : worker.assigned_tasks)
     {
-        job_record& of = *job_of(name.job);
-        task_run& run = *of.find(name.at)->run;
-        if (run.seen && !run.stopping && (late || of.step_at(name.at).lasting))
+        job_record& record = *job_of(name.job);
+        task_run& run = *record.find(name.position)->run;
+        if (run.seen && !run.stopping &&
+            (is_due || record.step_at(name.position).lasting))
         {
             order_stop(run, name.text(), out);
         }
--- a/packages/scheduler/src/scheduler_reports.cpp
+++ b/packages/scheduler/src/scheduler_reports.cpp
@@ -1,4 +1,4 @@
-// What guards report, and what they are told.
+// Reports of guards and the answers to them.
 
 #include <springstair/scheduler.hpp>
 
@@ -7,262 +7,277 @@
 namespace springstair
 {
 
-report_answer scheduler_core::report(const worker_report& from, time_point now,
-                                     time_point verified)
+report_answer scheduler_core::report(const worker_report& report,
+                                     time_point now, time_point verified)
 {
     report_answer answer;
-    if (!begun_)
+    if (!is_ready_)
     {
         return answer;
     }
     answer.holds = true;
-    worker_record& at = worker_of(from, now);
+    worker_record& worker = worker_of(report, now);
     answer.orders.epoch = epoch_;
-    answer.orders.life = at.what.life;
-    answer.orders.acknowledged = at.acknowledged;
-    if (!believes(at, from, answer))
+    answer.orders.executor = worker.description.executor;
+    answer.orders.acknowledged = worker.acknowledged;
+    if (!is_admitted(worker, report, answer))
     {
         return answer;
     }
-    const bool is_known_guard = at.incarnation == from.incarnation;
+    const bool is_known_guard = worker.incarnation == report.incarnation;
     if (!is_known_guard)
     {
-        at.starts_until_ms = 0; // its VM may have booted: its clock began anew
+        // The VM may have rebooted and its clock restarted.
+        worker.starts_until_ms = 0;
     }
-    at.incarnation = from.incarnation;
-    at.sequence = from.sequence;
-    at.address = from.address;
-    at.reported = now;
-    // A life that its guard has not heard itself may be a former one, and only
-    // a whole report shows what a new one has taken.
-    const bool knows_life =
-        !from.worker.life.empty() &&
-        ((from.looked && from.whole) || from.worker.life == at.what.life);
-    const bool has_lapsed = knows_life && from.lapsed;
-    await_lapse(at, from, knows_life);
-    const duration permit = has_lapsed || at.has_to_lapse
-                                ? duration{0}
-                                : permit_for(from, now, verified);
-    answer.permit_ms = to_milliseconds(permit);
-    extend_lease(at, from, permit, now);
-    if (knows_life)
+    worker.incarnation = report.incarnation;
+    worker.sequence = report.sequence;
+    worker.address = report.address;
+    worker.reported = now;
+    // An incarnation that the guard has not polled itself may be a past one,
+    // and only a whole report shows which runs a new one has accepted.
+    const bool knows_incarnation =
+        !report.worker.executor.empty() &&
+        ((report.looked && report.whole) ||
+         report.worker.executor == worker.description.executor);
+    const bool has_lapsed = knows_incarnation && report.lapsed;
+    check_lease_must_expire(worker, report, knows_incarnation);
+    const duration lease_grant = has_lapsed || worker.lease_must_expire
+                                     ? duration{0}
+                                     : lease_grant_for(report, now, verified);
+    answer.permit_ms = to_milliseconds(lease_grant);
+    extend_lease(worker, report, lease_grant, now);
+    if (knows_incarnation)
     {
-        change_life(at, from, now);
-        at.what = from.worker;
-        at.witness = from.incarnation;
-        at.closed = data_centres_.is_closed(at.what.data_centre);
-        adopt_awaited(at, from, now);
-        judge_crashes(at, from, now);
+        on_executor_restart(worker, report, now);
+        worker.description = report.worker;
+        worker.witness_incarnation = report.incarnation;
+        worker.closed = closures_.is_closed(worker.description.data_centre);
+        adopt_inherited(worker, report, now);
+        judge_crashes(worker, report, now);
     }
-    at.lost = now - std::chrono::milliseconds(from.failing_ms);
-    at.answering = from.answering;
-    at.paces = from.paces;
+    worker.lost_at = now - std::chrono::milliseconds(report.failing_ms);
+    worker.answering = report.answering;
+    worker.paces = report.paces;
     if (has_lapsed)
     {
-        lose_lapsed(at, from, now);
+        lose_lapsed(worker, report, now);
     }
-    else if (from.looked && from.worker.life == at.what.life)
+    else if (report.looked &&
+             report.worker.executor == worker.description.executor)
     {
-        if (!at.has_to_lapse)
+        if (!worker.lease_must_expire)
         {
-            note_ends(at, from, now);
+            apply_ends(worker, report, now);
         }
-        note_refusals(at, from, now);
-        if (from.whole)
+        apply_refusals(worker, report, now);
+        if (report.whole)
         {
-            note_running(at, from, answer.orders, now);
-            stop_unwanted_starts(at, from, answer.orders);
-            learn_harm(at, from, now);
-            answer.harms = harms_at(at);
-            repeat_missing(at, from, answer.orders, now);
-            move_slowed(at, from, answer.orders, now);
+            process_running(worker, report, answer.orders, now);
+            stop_unwanted_starts(worker, report, answer.orders);
+            learn_interference(worker, report, now);
+            answer.harms = interference_at(worker);
+            repeat_missing(worker, report, answer.orders, now);
+            relocate_slowed(worker, report, answer.orders, now);
         }
-        leave_in_time(at, answer.orders, now);
+        drain_leaving_worker(worker, answer.orders, now);
     }
-    answer.orders.life = at.what.life;
-    answer.orders.incarnation = at.incarnation;
-    answer.orders.acknowledged = acknowledge(at);
-    answer.orders.starts_until_ms = starts_until_ms(at);
-    answer.orders.closed = at.closed;
+    answer.orders.executor = worker.description.executor;
+    answer.orders.incarnation = worker.incarnation;
+    answer.orders.acknowledged = acknowledge(worker);
+    answer.orders.starts_until_ms = starts_until_ms(worker);
+    answer.orders.closed = worker.closed;
     return answer;
 }
 
-// Whether a report is the newest word of a guard: a later one of the present
-// incarnation, or one of another that has repeated its admission.
-bool scheduler_core::believes(worker_record& at, const worker_report& from,
-                              report_answer& answer)
+// Whether a report is not stale: it is a later one of the known guard
+// incarnation, or one of another incarnation that repeats the admission offered
+// to it.
+bool scheduler_core::is_admitted(worker_record& worker,
+                                 const worker_report& report,
+                                 report_answer& answer)
 {
-    if (at.incarnation == from.incarnation)
+    if (worker.incarnation == report.incarnation)
     {
-        return from.sequence > at.sequence;
+        return report.sequence > worker.sequence;
     }
-    const guard_admission offered{.epoch = epoch_, .number = at.offered};
-    if (at.offered_to == from.incarnation && from.admission == offered)
+    const guard_admission offered{.epoch = epoch_,
+                                  .number = worker.admission_number};
+    if (worker.offered_to == report.incarnation && report.admission == offered)
     {
         return true;
     }
-    if (at.offered_to != from.incarnation)
+    if (worker.offered_to != report.incarnation)
     {
-        at.offered_to = from.incarnation;
-        ++at.offered;
-        note(event_id::guard_unproven, {{"guard", from.guard},
-                                        {"incarnation", from.incarnation},
-                                        {"present", at.incarnation},
-                                        {"life", from.worker.life.text()}});
+        worker.offered_to = report.incarnation;
+        ++worker.admission_number;
+        log_decision(event_id::guard_unproven,
+                     {{"guard", report.guard},
+                      {"incarnation", report.incarnation},
+                      {"present", worker.incarnation},
+                      {"life", report.worker.executor.text()}});
     }
-    answer.admission = {.epoch = epoch_, .number = at.offered};
+    answer.admission = {.epoch = epoch_, .number = worker.admission_number};
     return false;
 }
 
-worker_record& scheduler_core::worker_of(const worker_report& from,
+worker_record& scheduler_core::worker_of(const worker_report& report,
                                          time_point now)
 {
-    const auto [found, fresh] = workers_.try_emplace(from.guard);
-    worker_record& at = found->second;
-    if (fresh)
+    const auto [found, is_new] = workers_.try_emplace(report.guard);
+    worker_record& worker = found->second;
+    if (is_new)
     {
-        at.guard = from.guard;
-        at.reported = now;
+        worker.guard = report.guard;
+        worker.reported = now;
         may_place_ = true;
-        note(event_id::worker_known,
-             {{"guard", from.guard}, {"life", from.worker.life.text()}});
+        log_decision(
+            event_id::worker_known,
+            {{"guard", report.guard}, {"life", report.worker.executor.text()}});
     }
-    return at;
+    return worker;
 }
 
-void scheduler_core::note_ends(worker_record& at, const worker_report& from,
-                               time_point now)
+void scheduler_core::apply_ends(worker_record& worker,
+                                const worker_report& report, time_point now)
 {
-    for (const ended_task& end : from.ended)
+    for (const ended_task& end : report.ended)
     {
-        if (end.number <= at.noted)
+        if (end.number <= worker.applied_ends)
         {
             continue;
         }
-        at.noted = end.number;
-        const auto [of, task] = known(end.task);
-        const bool current = is_present(task, end.run, at);
-        note(event_id::run_ended, {{"task", end.task},
-                                   {"run", std::to_string(end.run)},
-                                   {"guard", at.guard},
-                                   {"how", std::string(to_string(end.how))},
-                                   {"current", current ? "yes" : "no"}});
+        worker.applied_ends = end.number;
+        const auto [record, task] = find_task(end.task);
+        const bool current = is_current_run(task, end.run, worker);
+        log_decision(event_id::run_ended,
+                     {{"task", end.task},
+                      {"run", std::to_string(end.run)},
+                      {"guard", worker.guard},
+                      {"how", std::string(to_string(end.how))},
+                      {"current", current ? "yes" : "no"}});
         if (current)
         {
-            close_run(*of, *task, run_over::listed(end), now);
+            close_run(*record, *task, end_proof::listed(end), now);
         }
-        if (of != nullptr)
+        if (record != nullptr)
         {
-            at.unkept.push_back({.number = end.number,
-                                 .job = of->what().id,
-                                 .change = of->change});
+            worker.uncommitted_ends.push_back({.number = end.number,
+                                               .job = record->definition().id,
+                                               .change = record->change});
         }
         else
         {
-            at.unkept.push_back({.number = end.number});
+            worker.uncommitted_ends.push_back({.number = end.number});
         }
     }
 }
 
-bool scheduler_core::lists_running(const worker_report& from,
+bool scheduler_core::lists_running(const worker_report& report,
                                    const std::string& task, std::int64_t run)
 {
-    return std::ranges::any_of(from.running, [&](const running_task& row)
+    return std::ranges::any_of(report.running, [&](const running_task& row)
                                { return row.task == task && row.run == run; });
 }
 
-bool scheduler_core::lists_end(const worker_report& from,
+bool scheduler_core::lists_end(const worker_report& report,
                                const std::string& task, std::int64_t run)
 {
-    return std::ranges::any_of(from.ended, [&](const ended_task& row)
+    return std::ranges::any_of(report.ended, [&](const ended_task& row)
                                { return row.task == task && row.run == run; });
 }
 
-// Whether a report that gives a run back shows that it is there all the same:
-// it runs, or another copy of its order is kept. Then it may go on or begin.
-// Reports between the whole ones list neither, and show nothing.
-bool scheduler_core::report_shows(const worker_report& from,
-                                  const refused_run& refusal)
+// Whether a report that refuses a run shows that the run is there all the same:
+// it runs, or the guard has another copy of its order. Then it may continue or
+// begin. Partial reports list neither, and show nothing.
+bool scheduler_core::report_contradicts_refusal(const worker_report& report,
+                                                const refused_run& refusal)
 {
-    return lists_running(from, refusal.task, refusal.run) ||
-           std::ranges::find(from.starting, refusal.task) !=
-               from.starting.end();
+    return lists_running(report, refusal.task, refusal.run) ||
+           std::ranges::find(report.starting, refusal.task) !=
+               report.starting.end();
 }
 
-void scheduler_core::note_refusals(worker_record& at, const worker_report& from,
-                                   time_point now)
+void scheduler_core::apply_refusals(worker_record& worker,
+                                    const worker_report& report, time_point now)
 {
-    for (const refused_run& refusal : from.refused)
+    for (const refused_run& refusal : report.refused)
     {
-        const auto [of, task] = known(refusal.task);
-        const bool current = is_present(task, refusal.run, at);
-        if (!current || report_shows(from, refusal))
+        const auto [record, task] = find_task(refusal.task);
+        const bool current = is_current_run(task, refusal.run, worker);
+        if (!current || report_contradicts_refusal(report, refusal))
         {
             continue;
         }
         ++counts_.refused;
-        note(event_id::run_refused, {{"task", refusal.task},
-                                     {"run", std::to_string(refusal.run)},
-                                     {"guard", at.guard},
-                                     {"incarnation", at.incarnation},
-                                     {"reason", refusal.reason}});
+        log_decision(event_id::run_refused,
+                     {{"task", refusal.task},
+                      {"run", std::to_string(refusal.run)},
+                      {"guard", worker.guard},
+                      {"incarnation", worker.incarnation},
+                      {"reason", refusal.reason}});
         if (refusal.reason == no_ticket_reason)
         {
-            advice_.refused(step_group(of->what().id, of->position_of(*task)),
-                            at.what.life);
+            tickets_.on_refused(
+                step_group(record->definition().id, record->position_of(*task)),
+                worker.description.executor);
         }
-        task->not_before = now + options_.refused_pause;
-        close_run(*of, *task, run_over::given_back(), now);
+        task->not_before = now + options_.refused_backoff;
+        close_run(*record, *task, end_proof::refused_by_worker(), now);
     }
 }
 
-void scheduler_core::note_running(worker_record& at, const worker_report& from,
-                                  guard_orders& out, time_point now)
+void scheduler_core::process_running(worker_record& worker,
+                                     const worker_report& report,
+                                     guard_orders& out, time_point now)
 {
-    for (const running_task& row : from.running)
+    for (const running_task& running : report.running)
     {
-        const auto [of, task] = known(row.task);
-        const bool current = is_present(task, row.run, at);
+        const auto [record, task] = find_task(running.task);
+        const bool current = is_current_run(task, running.run, worker);
         if (!current)
         {
-            out.stops.push_back({.task = row.task, .run = row.run});
-            note_unwanted(at, row, task);
+            out.stops.push_back({.task = running.task, .run = running.run});
+            log_orphan(worker, running, task);
             continue;
         }
-        const task_position where = of->position_of(*task);
-        of->begun = true;
-        if (!row.checkpoint.empty())
+        const task_position position = record->position_of(*task);
+        record->begun = true;
+        if (!running.checkpoint.empty())
         {
-            task->checkpoint = row.checkpoint;
+            task->checkpoint = running.checkpoint;
         }
-        note_progress(at, *task->run, of->step_at(where), row, now);
+        update_progress(worker, *task->run, record->step_at(position), running,
+                        now);
         task->run->last_seen =
             std::max(task->run->last_seen,
-                     now - std::chrono::milliseconds(from.lists_age_ms));
-        note_soundness(at, *task, {of->what().id, where});
+                     now - std::chrono::milliseconds(report.lists_age_ms));
+        clear_suspicion_if_proven(worker, *task,
+                                  {record->definition().id, position});
         const bool undescribed =
-            std::find(from.unknown.begin(), from.unknown.end(), row.task) !=
-            from.unknown.end();
+            std::find(report.unknown.begin(), report.unknown.end(),
+                      running.task) != report.unknown.end();
         if (undescribed)
         {
-            out.starts.push_back(order_for(*of, *task));
+            out.starts.push_back(order_for(*record, *task));
         }
         if (task->run->stopping)
         {
-            out.stops.push_back({.task = row.task, .run = row.run});
+            out.stops.push_back({.task = running.task, .run = running.run});
         }
     }
 }
 
-// Another run of the task may be at work elsewhere, or its end be kept.
-void scheduler_core::note_unwanted(const worker_record& at,
-                                   const running_task& row,
-                                   const job_task* task)
+// Logs an orphan with the state of its task: another run may be executing
+// elsewhere, or the task may be done.
+void scheduler_core::log_orphan(const worker_record& worker,
+                                const running_task& running,
+                                const job_task* task)
 {
-    std::vector<event_field> fields{{"task", row.task},
-                                    {"run", std::to_string(row.run)},
-                                    {"guard", at.guard},
-                                    {"incarnation", at.incarnation}};
+    std::vector<event_field> fields{{"task", running.task},
+                                    {"run", std::to_string(running.run)},
+                                    {"guard", worker.guard},
+                                    {"incarnation", worker.incarnation}};
     if (task != nullptr)
     {
         fields.push_back({"done", task->done ? "yes" : "no"});
@@ -270,155 +285,164 @@
         fields.push_back(
             {"present_at", task->run ? task->run->guard : std::string()});
     }
-    note(event_id::run_unwanted, std::move(fields));
+    log_decision(event_id::run_unwanted, std::move(fields));
 }
 
-// A copy of an order can come after its run was given back. The guard hears of
-// it with the answer, before its worker takes it. The number covers every run
-// that the task has had: none of them may begin there any more.
-void scheduler_core::stop_unwanted_starts(const worker_record& at,
-                                          const worker_report& from,
+// A duplicate of a start order can arrive after its run was refused. The answer
+// stops it in the guard before it is sent to the worker. The run number covers
+// every run that the task has had: none of them may begin there any more.
+void scheduler_core::stop_unwanted_starts(const worker_record& worker,
+                                          const worker_report& report,
                                           guard_orders& out)
 {
-    for (const std::string& name : from.starting)
+    for (const std::string& name : report.starting)
     {
-        const job_task* const task = known(name).task;
+        const job_task* const task = find_task(name).task;
         if (task == nullptr)
         {
-            continue; // it is stopped once it is seen
+            continue; // stopped once it runs
         }
-        const bool is_awaited =
-            task->run && is_present(task, task->run->number, at);
-        if (!is_awaited)
+        const bool is_current =
+            task->run && is_current_run(task, task->run->number, worker);
+        if (!is_current)
         {
             out.stops.push_back({.task = name, .run = task->runs});
         }
     }
 }
 
-// A run that stands still is stopped, and the task runs elsewhere.
-void scheduler_core::note_progress(worker_record& at, task_run& run,
-                                   const job_step& step,
-                                   const running_task& row, time_point now)
+// Records progress. A run without progress is stopped, and its task avoids this
+// worker from then on. Runs of gangs and throttled best-effort runs are not
+// stopped.
+void scheduler_core::update_progress(worker_record& worker, task_run& run,
+                                     const job_step& step,
+                                     const running_task& running,
+                                     time_point now)
 {
     run.seen = true;
     run.repeats = 0;
     run.over_target =
-        step.latency_target_ms > 0 && row.load > step.latency_target_ms;
-    const bool at_work = step.lasting && row.percent == full_percent;
-    if (row.percent != run.percent || at_work)
+        step.latency_target_ms > 0 && running.load > step.latency_target_ms;
+    const bool at_work = step.lasting && running.percent == full_percent;
+    if (running.percent != run.percent || at_work)
     {
-        run.percent = row.percent;
-        run.moved_at = now;
+        run.percent = running.percent;
+        run.last_progress_at = now;
         return;
     }
-    const duration bound =
+    const duration timeout =
         step.fills ? options_.stuck_fill_after : options_.stuck_after;
-    const auto pace = at.paces.find(step.image);
-    const bool slowed = step.fills && pace != at.paces.end() &&
-                        pace->second < options_.move_below;
-    if (now - run.moved_at <= bound || run.stopping || step.gang || slowed)
+    const auto pace = worker.paces.find(step.image);
+    const bool is_slowed = step.fills && pace != worker.paces.end() &&
+                           pace->second < options_.relocate_below_pace;
+    if (now - run.last_progress_at <= timeout || run.stopping || step.gang ||
+        is_slowed)
     {
         return;
     }
     run.stopping = true;
-    note(event_id::run_stuck,
-         {{"task", row.task},
-          {"run", std::to_string(row.run)},
-          {"guard", at.guard},
-          {"percent", std::to_string(row.percent)},
-          {"still_ms", std::to_string(to_milliseconds(now - run.moved_at))}});
-    if (const auto name = task_name::parse(row.task))
+    log_decision(event_id::run_stuck,
+                 {{"task", running.task},
+                  {"run", std::to_string(running.run)},
+                  {"guard", worker.guard},
+                  {"percent", std::to_string(running.percent)},
+                  {"still_ms", std::to_string(to_milliseconds(
+                                   now - run.last_progress_at))}});
+    if (const auto name = task_name::parse(running.task))
     {
-        job_of(name->job)->find(name->at)->avoided.insert(at.guard);
+        job_of(name->job)->find(name->position)->avoided.insert(worker.guard);
     }
 }
 
-// Runs that the store has but the worker does not show: the start was lost,
-// or an earlier holder fell before it sent one. A start is sent again; the
-// worker takes each run once.
-void scheduler_core::repeat_missing(worker_record& at,
-                                    const worker_report& from,
+// Repeats the start of committed runs that the worker does not show: the start
+// was lost, or a previous leader failed before it sent one. The worker
+// begins each run at most once.
+void scheduler_core::repeat_missing(worker_record& worker,
+                                    const worker_report& report,
                                     guard_orders& out, time_point now)
 {
-    std::set<std::string> there(from.starting.begin(), from.starting.end());
-    for (const running_task& row : from.running)
+    std::set<std::string> listed(report.starting.begin(),
+                                 report.starting.end());
+    for (const running_task& row : report.running)
     {
-        there.insert(row.task);
+        listed.insert(row.task);
     }
-    for (const task_name& name : at.held)
+    for (const task_name& name : worker.assigned_tasks)
     {
-        job_record& of = *job_of(name.job);
-        job_task& task = *of.find(name.at);
+        job_record& record = *job_of(name.job);
+        job_task& task = *record.find(name.position);
         task_run& run = *task.run;
         const std::string text = name.text();
-        const bool due = run.ordered && run.placed_in <= of.kept &&
-                         !there.contains(text) &&
-                         now - run.moved_at > options_.repeat_order;
+        const bool due =
+            run.ordered && run.placed_in <= record.committed_change &&
+            !listed.contains(text) &&
+            now - run.last_progress_at > options_.order_retry_interval;
         if (!due)
         {
             continue;
         }
-        run.moved_at = now;
-        tell_missing(at, from, run, text);
-        if (run.stopping || at.closed)
+        run.last_progress_at = now;
+        log_missing_run(worker, report, run, text);
+        if (run.stopping || worker.closed)
         {
             order_stop(run, text, out);
         }
         else
         {
-            out.starts.push_back(order_for(of, task));
+            out.starts.push_back(order_for(record, task));
         }
     }
 }
 
-// The first repeat is of an order that was lost; more of them need a reason.
-void scheduler_core::tell_missing(const worker_record& at,
-                                  const worker_report& from, task_run& run,
-                                  const std::string& task)
+// Logs repeated starts from the second on: the first repeat is explained by a
+// lost order.
+void scheduler_core::log_missing_run(const worker_record& worker,
+                                     const worker_report& report, task_run& run,
+                                     const std::string& task)
 {
     if (++run.repeats < 2)
     {
         return;
     }
     const auto end = std::ranges::find_if(
-        from.ended, [&](const ended_task& row)
+        report.ended, [&](const ended_task& row)
         { return row.task == task && row.run == run.number; });
-    note(event_id::run_missing,
-         {{"task", task},
-          {"run", std::to_string(run.number)},
-          {"guard", at.guard},
-          {"repeats", std::to_string(run.repeats)},
-          {"listed_end",
-           end == from.ended.end() ? "none" : std::to_string(end->number)},
-          {"ends_noted_to", std::to_string(at.noted)},
-          {"ends_acknowledged_to", std::to_string(at.acknowledged)}});
+    log_decision(
+        event_id::run_missing,
+        {{"task", task},
+         {"run", std::to_string(run.number)},
+         {"guard", worker.guard},
+         {"repeats", std::to_string(run.repeats)},
+         {"listed_end",
+          end == report.ended.end() ? "none" : std::to_string(end->number)},
+         {"ends_noted_to", std::to_string(worker.applied_ends)},
+         {"ends_acknowledged_to", std::to_string(worker.acknowledged)}});
 }
 
-std::int64_t scheduler_core::acknowledge(worker_record& at)
+std::int64_t scheduler_core::acknowledge(worker_record& worker)
 {
-    while (!at.unkept.empty())
+    while (!worker.uncommitted_ends.empty())
     {
-        const noted_end& oldest = at.unkept.front();
-        const job_record* const of = job_of(oldest.job);
-        if (of != nullptr && of->kept < oldest.change)
+        const applied_end& oldest = worker.uncommitted_ends.front();
+        const job_record* const record = job_of(oldest.job);
+        if (record != nullptr && record->committed_change < oldest.change)
         {
             break;
         }
-        at.acknowledged = oldest.number;
-        at.unkept.pop_front();
+        worker.acknowledged = oldest.number;
+        worker.uncommitted_ends.pop_front();
     }
-    return at.acknowledged;
+    return worker.acknowledged;
 }
 
-start_order scheduler_core::order_for(const job_record& of,
+start_order scheduler_core::order_for(const job_record& record,
                                       const job_task& task) const
 {
-    const task_position where = of.position_of(task);
-    const job_step& step = of.step_at(where);
-    return {.task = task_name{of.what().id, where}.text(),
+    const task_position position = record.position_of(task);
+    const job_step& step = record.step_at(position);
+    return {.task = task_name{record.definition().id, position}.text(),
             .run = task.run->number,
-            .payload = of.what().payload,
+            .payload = record.definition().payload,
             .checkpoint = task.checkpoint,
             .ticket = task.run->ticket,
             .fills = step.fills,
--- a/packages/scheduler/src/wait_report.cpp
+++ b/packages/scheduler/src/wait_report.cpp
@@ -8,32 +8,37 @@
 namespace
 {
 
-// How far the search of one task gets at one worker.
-wait_cause last_test(const worker_record& at, const placement_query& query)
+// The first check that a worker fails for a task. If it passes all of them, the
+// cause is taken to be interference. It may also be a reservation for another
+// task, or too few processors left over for a best-effort run: neither is
+// checked here.
+wait_cause first_failed_check(const worker_record& worker,
+                              const placement_query& query)
 {
     const resources asked = reserved_by(query.step);
-    if (!has_label(at, query.step.label))
+    if (!has_label(worker, query.step.label))
     {
         return wait_cause::label;
     }
-    if (!asked.fits(at.what.capacity))
+    if (!asked.fits(worker.description.capacity))
     {
         return wait_cause::size;
     }
-    if (!asked.fits(at.room_in_time()))
+    if (!asked.fits(worker.eventual_capacity()))
     {
         return wait_cause::lasting;
     }
-    if (!asked.fits(at.room()))
+    if (!asked.fits(worker.free_capacity()))
     {
         return wait_cause::room;
     }
-    if (!is_below_step_bound(at, query))
+    if (!is_below_step_bound(worker, query))
     {
         return wait_cause::bound;
     }
     const bool has_ticket =
-        query.tickets == nullptr || query.tickets->contains(at.what.life);
+        query.tickets == nullptr ||
+        query.tickets->contains(worker.description.executor);
     return has_ticket ? wait_cause::harm : wait_cause::ticket;
 }
 
@@ -73,23 +78,27 @@
                          const placement_query& query,
                          const placement_options& options)
 {
-    wait_report found;
-    for (const auto& [guard, at] : workers)
+    wait_report report;
+    for (const auto& [guard, worker] : workers)
     {
-        if (!takes_runs(at, query.service, query.now, options))
+        if (!accepts_runs(worker, query.service, query.now, options))
         {
-            const bool closed = at.closed && at.what.service == query.service;
-            found.cause = std::max(found.cause, closed ? wait_cause::closed
-                                                       : wait_cause::no_worker);
+            const bool closed =
+                worker.closed && worker.description.service == query.service;
+            report.cause =
+                std::max(report.cause,
+                         closed ? wait_cause::closed : wait_cause::no_worker);
             continue;
         }
-        ++found.workers;
-        found.cause = std::max(found.cause, last_test(at, query));
-        found.free_millis = std::max(found.free_millis, at.room().cpu_millis);
-        found.free_in_time_millis =
-            std::max(found.free_in_time_millis, at.room_in_time().cpu_millis);
+        ++report.workers;
+        report.cause =
+            std::max(report.cause, first_failed_check(worker, query));
+        report.free_millis =
+            std::max(report.free_millis, worker.free_capacity().cpu_millis);
+        report.free_in_time_millis = std::max(
+            report.free_in_time_millis, worker.eventual_capacity().cpu_millis);
     }
-    return found;
+    return report;
 }
 
 bool wait_log::is_due(const std::string& group, time_point now, duration gap)
@@ -97,11 +106,11 @@
     if (now >= next_cleaning_)
     {
         next_cleaning_ = now + gap;
-        std::erase_if(told_, [&](const auto& entry)
+        std::erase_if(last_logged_, [&](const auto& entry)
                       { return now - entry.second >= gap; });
     }
-    const auto [found, fresh] = told_.try_emplace(group, now);
-    const bool due = fresh || now - found->second >= gap;
+    const auto [found, is_new] = last_logged_.try_emplace(group, now);
+    const bool due = is_new || now - found->second >= gap;
     if (due)
     {
         found->second = now;
--- a/packages/transport/src/http_server.cpp
+++ b/packages/transport/src/http_server.cpp
@@ -1,6 +1,6 @@
 #include <springstair/transport.hpp>
 
-#include "socket_watch.hpp"
+#include "ack_timeout.hpp"
 
 #include <absl/synchronization/mutex.h>
 
@@ -20,8 +20,8 @@
 namespace springstair
 {
 
-// One request and its answer. The traffic thread fills the request and
-// suspends the connection; whoever responds resumes it.
+// One request and its response. The server thread fills in the request and
+// suspends the connection; answer() resumes it.
 struct http_responder::exchange
 {
     absl::Mutex mutex;
@@ -34,7 +34,7 @@
     bool closed = false;
     http_response response;
 
-    void answer(http_response with)
+    void answer(http_response reply)
     {
         const absl::MutexLock lock(&mutex);
         if (answered || closed)
@@ -42,7 +42,7 @@
             return;
         }
         answered = true;
-        response = std::move(with);
+        response = std::move(reply);
         MHD_resume_connection(connection);
     }
 
@@ -60,10 +60,10 @@
 
 constexpr int socket_failed = 201;
 constexpr std::size_t header_memory = 32U << 10U;
-constexpr duration longest_flush = std::chrono::seconds(2);
-// Callers that are gone without a word hold 32 KB and a descriptor each; above
-// the queue of a crowded thin link.
-constexpr duration silence_bound = std::chrono::seconds(5);
+constexpr duration max_flush = std::chrono::seconds(2);
+// A client that vanished without a reset holds 32 KB and a descriptor. The
+// value exceeds the queueing delay of a congested slow link.
+constexpr duration ack_timeout = std::chrono::seconds(5);
 constexpr int payload_too_large = 413;
 
 std::string lower_case(std::string_view text)
@@ -142,47 +142,48 @@
         return new std::shared_ptr<exchange>(std::move(fresh));
     }
 
-    MHD_Result receive(exchange& of, const char* data, std::size_t size) const
+    MHD_Result receive(exchange& current, const char* data,
+                       std::size_t size) const
     {
         const bool too_large =
-            of.received.size() + size > options.most_body_bytes;
+            current.received.size() + size > options.most_body_bytes;
         const bool too_slow =
-            boot_clock::now() - of.since > options.longest_upload;
+            boot_clock::now() - current.since > options.max_upload;
         if (too_large || too_slow)
         {
             return MHD_NO;
         }
-        of.received.append(data, size);
+        current.received.append(data, size);
         return MHD_YES;
     }
 
-    void hand_over(const std::shared_ptr<exchange>& of)
+    void hand_over(const std::shared_ptr<exchange>& current)
     {
-        of->handed_over = true;
-        of->request.body = make_body(std::move(of->received));
-        MHD_suspend_connection(of->connection);
+        current->handed_over = true;
+        current->request.body = make_body(std::move(current->received));
+        MHD_suspend_connection(current->connection);
         bool refuse = false;
         {
             const absl::MutexLock lock(&mutex);
             refuse = stopping;
         }
-        http_responder responder(of);
+        http_responder responder(current);
         if (refuse)
         {
             responder.respond(to_response({.reason = refusal::draining}));
             return;
         }
-        handler(std::move(of->request), std::move(responder));
+        handler(std::move(current->request), std::move(responder));
     }
 
-    void end(const std::shared_ptr<exchange>& of)
+    void end(const std::shared_ptr<exchange>& current)
     {
         {
-            const absl::MutexLock lock(&of->mutex);
-            of->closed = true;
+            const absl::MutexLock lock(&current->mutex);
+            current->closed = true;
         }
         const absl::MutexLock lock(&mutex);
-        open.erase(of);
+        open.erase(current);
     }
 
     bool nothing_open() const
@@ -194,7 +195,7 @@
     {
         const absl::MutexLock lock(&mutex);
         mutex.AwaitWithTimeout(absl::Condition(this, &state::nothing_open),
-                               absl::Microseconds(longest_flush.count()));
+                               absl::Microseconds(max_flush.count()));
     }
 
     void answer_all()
@@ -277,9 +278,9 @@
     ++server.connections;
     const MHD_ConnectionInfo* const info =
         MHD_get_connection_info(connection, MHD_CONNECTION_INFO_CONNECTION_FD);
-    if (info == nullptr || !watch_socket(info->connect_fd, silence_bound))
+    if (info == nullptr || !set_ack_timeout(info->connect_fd, ack_timeout))
     {
-        // It still ends by the server's idle time.
+        // The idle timeout of the server still closes the connection.
         log_event(event_id::connection_not_opened,
                   {{"peer", "a caller"}, {"errno", std::to_string(errno)}});
     }
@@ -300,8 +301,8 @@
 
 } // namespace
 
-http_responder::http_responder(std::shared_ptr<exchange> of)
-    : exchange_(std::move(of))
+http_responder::http_responder(std::shared_ptr<exchange> current)
+    : exchange_(std::move(current))
 {
 }
 
@@ -331,7 +332,7 @@
         MHD_USE_EPOLL_INTERNAL_THREAD | MHD_ALLOW_SUSPEND_RESUME, options.port,
         nullptr, nullptr, &on_access, state_.get(), MHD_OPTION_SOCK_ADDR,
         &address, MHD_OPTION_THREAD_POOL_SIZE, options.threads,
-        MHD_OPTION_CONNECTION_LIMIT, options.most_connections,
+        MHD_OPTION_CONNECTION_LIMIT, options.max_connections,
         MHD_OPTION_CONNECTION_TIMEOUT,
         static_cast<unsigned int>(to_seconds(options.idle_timeout)),
         MHD_OPTION_CONNECTION_MEMORY_LIMIT, header_memory,
@@ -348,9 +349,10 @@
 
 http_server::~http_server()
 {
-    // From here on new connections are refused rather than kept waiting. Not
-    // by MHD_quiesce_daemon: it takes the socket out of the epoll set while
-    // the library's own thread may do the same, which ends the process.
+    // Refuses new connections from here on instead of letting them wait.
+    // MHD_quiesce_daemon is not usable: it removes the socket from the epoll
+    // set while the library's own thread may do the same, which aborts the
+    // process.
     const MHD_DaemonInfo* const info =
         MHD_get_daemon_info(state_->daemon, MHD_DAEMON_INFO_LISTEN_FD);
     shutdown(info->listen_fd, SHUT_RDWR);
--- a/scripts/run.py
+++ b/scripts/run.py
@@ -1,5 +1,5 @@
-"""The main job: starts a small fleet, sends mixed load through it, shows
-what came of each class, and stops clean."""
+"""Demonstration: starts a small fleet, sends mixed load through it, prints the
+results of each class and a task, and stops all processes cleanly."""
 
 import json
 import sys
@@ -7,9 +7,10 @@
 from fleet import Fleet, call, collect, two_workspaces, wait_for
 
 
-def stream(firm, work, rate, service_ms, repeatable):
-    return {"label": f"{firm}/{work}", "class": work, "rate": rate,
-            "credential": firm + "-secret", "workspace": firm,
+def stream(workspace, class_name, rate, service_ms, repeatable):
+    return {"label": f"{workspace}/{class_name}", "class": class_name,
+            "rate": rate, "credential": workspace + "-secret",
+            "workspace": workspace,
             "service_ms": service_ms, "repeatable": repeatable,
             "deadline_ms": 5000}
 
@@ -35,9 +36,9 @@
         nonlocal status, record
         status, record = call(entry, "POST", "/v1/tasks", task, credential)
         return status == 202
-    wait_for("a shard of tasks", submitted)
+    wait_for("a task is accepted", submitted)
     path = "/v1/tasks/" + record["id"]
-    wait_for("the task's end", lambda: call(
+    wait_for("the task is finished", lambda: call(
         entry, "GET", path, headers=credential)[1]["state"] == "finished")
     print("\ntask", record["id"], call(entry, "GET", path,
                                        headers=credential)[1])
@@ -49,9 +50,9 @@
         print(fleet.cli("table", "set", "ramdeen", "weight", "3")[1])
         print("sending mixed load for 5 seconds ...\n")
         streams = []
-        for firm in ("ferreira", "ramdeen"):
-            streams += [stream(firm, "clause-fill", 100, 3, "true"),
-                        stream(firm, "bundle-render", 12, 400, "false")]
+        for workspace in ("ferreira", "ramdeen"):
+            streams += [stream(workspace, "clause-fill", 100, 3, "true"),
+                        stream(workspace, "bundle-render", 12, 400, "false")]
         results = collect(fleet.load(
             {"duration_ms": 5000, "seed": 7, "streams": streams}, ids=False))
         show(results)
@@ -60,7 +61,7 @@
         print(fleet.cli("status")[1])
         codes = {name: fleet.stop(name)
                  for name in list(fleet.guards) + list(fleet.entries)}
-        print("stopped clean:", all(code == 0 for code in codes.values()))
+        print("stopped cleanly:", all(code == 0 for code in codes.values()))
         return 0 if all(code == 0 for code in codes.values()) else 1
 
 
--- a/stand_ins/stand_in.hpp
+++ b/stand_ins/stand_in.hpp
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// What the stand-ins share: the command line, delayed answers, waiting for
-/// the signal to stop. A stand-in takes the platform's place in tests.
+/// Common parts of the stand-ins: command line, delayed answers, waiting for
+/// the stop signal. A stand-in replaces a part of the platform in tests.
 
 #include <springstair/transport.hpp>
 
@@ -20,7 +20,7 @@
 
 using namespace springstair; // NOLINT: a program of its own
 
-/// @brief Runs functions at given times on one thread.
+/// @brief Runs callbacks at given times on one thread.
 class timer
 {
 public:
@@ -36,12 +36,14 @@
     timer(const timer&) = delete;
     timer& operator=(const timer&) = delete;
 
-    /// @brief Runs @p what after @p wait. @return a key for cancel()
-    std::uint64_t after(duration wait, std::function<void()> what)
+    /// @brief Runs @p callback after @p wait.
+    /// @return the sequence number of the callback
+    std::uint64_t after(duration wait, std::function<void()> callback)
     {
         const absl::MutexLock lock(&mutex_);
         const std::uint64_t key = next_++;
-        due_.emplace(std::pair(boot_clock::now() + wait, key), std::move(what));
+        due_.emplace(std::pair(boot_clock::now() + wait, key),
+                     std::move(callback));
         return key;
     }
 
@@ -56,7 +58,7 @@
     {
         while (true)
         {
-            std::function<void()> what;
+            std::function<void()> callback;
             {
                 const absl::MutexLock lock(&mutex_);
                 duration wait = std::chrono::milliseconds(20);
@@ -77,10 +79,10 @@
                 {
                     continue;
                 }
-                what = std::move(due_.begin()->second);
+                callback = std::move(due_.begin()->second);
                 due_.erase(due_.begin());
             }
-            what();
+            callback();
         }
     }
 
@@ -97,7 +99,7 @@
     std::thread thread_;
 };
 
-/// @brief The options of a stand-in: `key=value` words.
+/// @brief The options of a stand-in: `key=value` arguments.
 class options
 {
 public:
@@ -112,7 +114,7 @@
         }
     }
 
-    /// @brief A value as a text.
+    /// @brief The text value of an option.
     [[nodiscard]] std::string text(const std::string& key,
                                    const std::string& fallback) const
     {
@@ -120,7 +122,7 @@
         return found == values_.end() ? fallback : found->second;
     }
 
-    /// @brief A value as a number.
+    /// @brief The numeric value of an option.
     [[nodiscard]] std::int64_t number(const std::string& key,
                                       std::int64_t fallback) const
     {
@@ -132,14 +134,14 @@
     std::map<std::string, std::string> values_;
 };
 
-/// @brief Answers JSON.
-inline void answer(const std::shared_ptr<http_responder>& to,
+/// @brief Sends a JSON response.
+inline void answer(const std::shared_ptr<http_responder>& responder,
                    const json& document, int status = 200)
 {
-    to->respond(json_response(status, document));
+    responder->respond(json_response(status, document));
 }
 
-/// @brief Blocks the stop signals; call it before threads are started.
+/// @brief Blocks the stop signals; must be called before threads are started.
 inline sigset_t block_stop_signals()
 {
     sigset_t signals;
@@ -151,7 +153,7 @@
     return signals;
 }
 
-/// @brief Returns when the process is told to stop.
+/// @brief Waits for a stop signal.
 inline void await_stop(sigset_t signals)
 {
     int taken = 0;
--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -1,5 +1,5 @@
-"""Callers: they submit jobs, ask for them and cancel some, through whichever
-entry, on connections that they keep open."""
+"""Callers that submit jobs, query their state and cancel some. Each call goes
+to a random entry over a kept-alive connection."""
 
 import asyncio
 import json
@@ -9,10 +9,10 @@
 from fleet import HOST
 from record import Submission
 
-ASK_EVERY_S = 0.5
-TRIES = 6
-WEIGHTS = (70, 25, 5)  # of quick, heavy and lasting jobs
-CRASHING_SHARE = 0.03  # of jobs; some seven tasks in a run of 20 s at 6 a second
+QUERY_INTERVAL_S = 0.5
+MAX_TRIES = 6
+WEIGHTS = (70, 25, 5)  # relative frequency of quick, heavy and lasting jobs
+CRASHING_SHARE = 0.03  # of jobs; 3 to 4 tasks in 20 s at 6 jobs per second
 
 
 class Caller:
@@ -26,11 +26,11 @@
         self.idle = [[] for _ in fleet.entries]
 
     async def call(self, method, job, document=None):
-        status, answer, _ = await self.call_any(method, job, document)
+        status, answer, _ = await self.call_entry(method, job, document)
         return status, answer
 
-    async def call_any(self, method, job, document=None):
-        """Also gives the number of the entry that was asked."""
+    async def call_entry(self, method, job, document=None):
+        """Like call(); also returns the number of the entry called."""
         headers = {"Host": HOST, "Content-Type": "application/json",
                    "Deadline-Ms": "2500"}
         path = f"/{job.queue}/{job.ident}"
@@ -62,25 +62,26 @@
         job = Submission(f"{draw.getrandbits(64):016x}", "", steps)
         job.spec = json.dumps({"of": job.ident})
         job.queue = kind
-        self.let_crash(job)
+        self.add_crashing_task(job)
         self.record.jobs[job.ident] = job
         return job
 
-    def let_crash(self, job):
-        """Some have a task that crashes each executor that starts it."""
+    def add_crashing_task(self, job):
+        """Gives some jobs a task that crashes each executor that starts it."""
         draw = random.Random(job.ident)
         if draw.random() < self.crashing:
             draw.choice(job.steps)["traits"]["crashes_after"] = draw.choice(
                 (0, draw.uniform(0, 0.3)))
 
     async def submit(self, job):
-        """As the platform's clients: again after no answer or a refusal."""
+        """Retries after a refusal or a missing answer, as the platform's
+        clients do."""
         visible = [{name: value for name, value in step.items()
                     if name != "traits"} for step in job.steps]
-        for _ in range(TRIES):
+        for _ in range(MAX_TRIES):
             status, _ = await self.call(
                 "POST", job, {"spec": job.spec, "steps": visible})
-            self.record.answered(job, status)
+            self.record.on_answer(job, status)
             if status == 200:
                 return True
             await asyncio.sleep(self.draw.uniform(0.1, 0.6))
@@ -88,41 +89,42 @@
 
     async def cancel(self, job):
         job.cancel_sent = True
-        for _ in range(TRIES):
+        for _ in range(MAX_TRIES):
             status, _ = await self.call("DELETE", job)
             if status in (200, 410):
-                self.record.cancelled(job)
+                self.record.on_cancelled(job)
                 return
             await asyncio.sleep(0.3)
 
     async def follow(self, job, until):
-        """Submits a job and asks for it until it has ended."""
+        """Submits a job, cancels some, and queries it until it has ended."""
         if not await self.submit(job):
             return
         if self.draw.random() < 0.1:
             await asyncio.sleep(self.draw.uniform(0, 1.5))
             await self.cancel(job)
-        while not until.is_set() and job.shown in ("pending", "running"):
-            await asyncio.sleep(ASK_EVERY_S)
-            await self.ask(job)
+        while not until.is_set() and job.state in ("pending", "running"):
+            await asyncio.sleep(QUERY_INTERVAL_S)
+            await self.query(job)
 
-    async def ask(self, job):
-        asked = time.monotonic()
-        status, answer, entry = await self.call_any("GET", job)
-        self.record.shown(job, status, answer.get("state"), asked, entry)
+    async def query(self, job):
+        asked_at = time.monotonic()
+        status, answer, entry = await self.call_entry("GET", job)
+        self.record.on_state(job, status, answer.get("state"), asked_at, entry)
 
-    async def run(self, seconds, a_second, until):
-        """Submits jobs for some time, then follows them until told."""
+    async def run(self, seconds, rate, until):
+        """Submits jobs for the given seconds and follows each until it has
+        ended or until is set."""
         loop = asyncio.get_running_loop()
         end = loop.time() + seconds
         followed = []
         while loop.time() < end:
             followed.append(asyncio.create_task(
                 self.follow(self.make_job(), until)))
-            await asyncio.sleep(self.draw.expovariate(a_second))
+            await asyncio.sleep(self.draw.expovariate(rate))
         await asyncio.gather(*followed)
 
     def close(self):
         for idle in self.idle:
-            for one in idle:
-                one.close()
+            for connection in idle:
+                connection.close()
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -1,15 +1,15 @@
-"""Faults from outside the programs, drawn from a seed: each begins at some
-moment, lasts for a while, and others may begin meanwhile."""
+"""Faults injected from outside the programs, drawn from a seed. Faults may
+overlap. The names of the fault methods are reported in the results."""
 
 import asyncio
 import signal
 import time
 
-from executor import KEEPS_ID
+from executor import KEEPS_ID_SHARE
 from fleet import ZONES
 
-BETWEEN_REPORTS_S = 0.6  # guards report twice a second
-CLOSED_X = 3  # closures outlast the bound on starts, most of them
+BETWEEN_REPORTS_S = 0.6  # longer than the guards' report interval of 0.5 s
+CLOSURE_FACTOR = 3  # makes most closures outlast record.CLOSURE_DEADLINE_S
 
 
 class Faults:
@@ -19,10 +19,11 @@
         self.draw = draw
         self.kinds = self.kinds_of(only)
         for kind in self.kinds:
-            record.played[kind.__name__] += 0  # told also if never played
+            record.fault_counts[kind.__name__] += 0  # reported even if zero
 
     def kinds_of(self, only):
-        """Some are drawn for themselves: seeds keep their meaning."""
+        """The fault kinds to draw from. Links and closures have their own
+        generators, so that they don't change the other draws of a seed."""
         if only == "silent links":
             return [self.hush, self.hush, self.hush_all, self.hold_back]
         if only == "closures":
@@ -44,188 +45,195 @@
             if loop.time() >= end:
                 break
             kind = self.draw.choice(self.kinds)
-            length = self.draw.uniform(0.3, 5)
-            self.record.played[kind.__name__] += 1
-            running.append(asyncio.create_task(kind(length)))
-        for one in running:
-            one.cancel()
+            duration = self.draw.uniform(0.3, 5)
+            self.record.fault_counts[kind.__name__] += 1
+            running.append(asyncio.create_task(kind(duration)))
+        for task in running:
+            task.cancel()
         for error in await asyncio.gather(*running, return_exceptions=True):
             if not isinstance(error, (asyncio.CancelledError, type(None))):
-                self.record.breach("HARNESS", "a fault failed:", repr(error))
+                self.record.breach("HARNESS", "injecting a fault failed:",
+                                   repr(error))
 
     def process(self):
         return self.draw.choice(self.fleet.processes)
 
-    def holder(self):
-        """The entry that holds the jobs, by the store."""
+    def leader(self):
+        """The leader according to the store; any process if there is none."""
         item = self.fleet.store.items.get("springstair/holder")
         address = self.fleet.store.text(item)
-        for one in self.fleet.processes:
-            if one.settings["announced_address"] in address:
-                return one
+        for process in self.fleet.processes:
+            if process.settings["announced_address"] in address:
+                return process
         return self.process()
 
     def victim(self):
-        return self.holder() if self.draw.random() < 0.4 else self.process()
-
-    # -- processes ---------------------------------------------------------------
-
-    async def kill(self, _length):
-        one = self.victim()
-        self.record.disturb("SIGKILL", one.name)
-        one.signal(signal.SIGKILL)
-
-    async def kill_all(self, _length):
-        self.record.disturb("SIGKILL to all")
-        for one in self.fleet.processes:
-            one.signal(signal.SIGKILL)
-
-    async def stop(self, _length):
-        one = self.victim()
-        self.record.disturb("SIGTERM", one.name)
-        one.signal(signal.SIGTERM)
-
-    async def roll(self, length):
-        for one in list(self.fleet.processes):
-            self.record.disturb("SIGTERM", one.name, "in turn")
-            one.signal(signal.SIGTERM)
-            await asyncio.sleep(length / 5)
-
-    async def pause(self, length):
-        one = self.victim()
-        self.record.disturb("SIGSTOP", one.name, f"{length:.1f} s")
-        one.signal(signal.SIGSTOP)
-        await asyncio.sleep(length)
-        self.record.disturb("SIGCONT", one.name)
-        one.signal(signal.SIGCONT)
-
-    # -- links -------------------------------------------------------------------
-
-    async def on_link(self, what, length, **fields):
+        return self.leader() if self.draw.random() < 0.4 else self.process()
+
+    # -- processes -----------------------------------------------------------
+
+    async def kill(self, _duration):
+        process = self.victim()
+        self.record.note_fault("SIGKILL", process.name)
+        process.signal(signal.SIGKILL)
+
+    async def kill_all(self, _duration):
+        self.record.note_fault("SIGKILL to all")
+        for process in self.fleet.processes:
+            process.signal(signal.SIGKILL)
+
+    async def stop(self, _duration):
+        process = self.victim()
+        self.record.note_fault("SIGTERM", process.name)
+        process.signal(signal.SIGTERM)
+
+    async def roll(self, duration):
+        for process in list(self.fleet.processes):
+            self.record.note_fault("SIGTERM", process.name, "in turn")
+            process.signal(signal.SIGTERM)
+            await asyncio.sleep(duration / 5)
+
+    async def pause(self, duration):
+        process = self.victim()
+        self.record.note_fault("SIGSTOP", process.name, f"{duration:.1f} s")
+        process.signal(signal.SIGSTOP)
+        await asyncio.sleep(duration)
+        self.record.note_fault("SIGCONT", process.name)
+        process.signal(signal.SIGCONT)
+
+    # -- links ---------------------------------------------------------------
+
+    async def on_link(self, fault, duration, **fields):
         link = self.draw.choice(self.fleet.links)
-        self.record.disturb(what, link.name, f"{length:.1f} s")
+        self.record.note_fault(fault, link.name, f"{duration:.1f} s")
         for name, value in fields.items():
             setattr(link, name, value)
-        await asyncio.sleep(length)
-        self.record.disturb("heals", link.name)
+        await asyncio.sleep(duration)
+        self.record.note_fault("recovers", link.name)
         link.heal()
 
-    async def delay(self, length):
-        await self.on_link("delay", length,
+    async def delay(self, duration):
+        await self.on_link("delay", duration,
                            delay_s=self.draw.uniform(0.05, 0.6))
 
-    async def silence(self, length):
-        await self.on_link("silence", length, silent_in=True, silent_out=True)
+    async def silence(self, duration):
+        await self.on_link("silence", duration, silent_in=True,
+                           silent_out=True)
 
-    async def half_cut(self, length):
+    async def half_cut(self, duration):
         side = self.draw.choice(("silent_in", "silent_out"))
-        await self.on_link(side, length, **{side: True})
+        await self.on_link(side, duration, **{side: True})
 
-    async def reset(self, _length):
+    async def reset(self, _duration):
         link = self.draw.choice(self.fleet.links)
-        self.record.disturb("reset", link.name)
+        self.record.note_fault("reset", link.name)
         link.reset()
 
-    async def hush(self, _length):
+    async def hush(self, _duration):
         link = self.draw.choice(self.fleet.links)
-        self.record.disturb("silent for good", link.name, len(link.open))
-        link.hush()
+        self.record.note_fault("connections silenced", link.name,
+                               len(link.open))
+        link.silence_connections()
 
-    async def hush_all(self, _length):
-        self.record.disturb("silent for good, all links")
+    async def hush_all(self, _duration):
+        self.record.note_fault("connections silenced, all links")
         for link in self.fleet.links:
-            link.hush()
-
-    async def hold_back(self, length):
-        """What a guard sends to entries comes after its end, when its
-        successor has reported from the same address."""
-        guard = self.draw.choice([one for one in self.fleet.processes
-                                  if one.name in self.fleet.guards])
-        self.record.disturb("held back and SIGKILL", guard.name,
-                            f"{length:.1f} s")
+            link.silence_connections()
+
+    async def hold_back(self, duration):
+        """Delays what a guard sends to entries until after it is killed, when
+        its next incarnation has reported from the same address."""
+        guard = self.draw.choice([process for process in self.fleet.processes
+                                  if process.name in self.fleet.guards])
+        self.record.note_fault("held back and SIGKILL", guard.name,
+                            f"{duration:.1f} s")
         links = [link for link in self.fleet.links
                  if link.name.startswith("to entry")]
         for link in links:
             link.hold()
         await asyncio.sleep(BETWEEN_REPORTS_S)
         guard.signal(signal.SIGKILL)
-        await asyncio.sleep(length)
+        await asyncio.sleep(duration)
         for link in links:
             link.heal()
 
-    # -- the store ---------------------------------------------------------------
+    # -- the store -----------------------------------------------------------
 
-    async def on_store(self, length, **fields):
+    async def on_store(self, duration, **fields):
         store = self.fleet.store
-        self.record.disturb("store", fields, f"{length:.1f} s")
-        usual = {name: getattr(type(store)(None), name) for name in fields}
+        self.record.note_fault("store", fields, f"{duration:.1f} s")
+        defaults = {name: getattr(type(store)(None), name) for name in fields}
         for name, value in fields.items():
             setattr(store, name, value)
-        await asyncio.sleep(length)
-        self.record.disturb("store heals", *fields)
-        for name, value in usual.items():
+        await asyncio.sleep(duration)
+        self.record.note_fault("store recovers", *fields)
+        for name, value in defaults.items():
             setattr(store, name, value)
 
-    async def store_away(self, length):
-        await self.on_store(length, away=self.draw.choice(
+    async def store_away(self, duration):
+        await self.on_store(duration, outage=self.draw.choice(
             ("silent", "busy", "reset")))
 
-    async def store_slow(self, length):
-        await self.on_store(length, delay_s=self.draw.uniform(0.05, 0.4))
+    async def store_slow(self, duration):
+        await self.on_store(duration, delay_s=self.draw.uniform(0.05, 0.4))
 
-    async def store_loses(self, length):
-        await self.on_store(length, lost_share=0.3)
+    async def store_loses(self, duration):
+        await self.on_store(duration, lost_share=0.3)
 
-    async def store_late(self, length):
-        await self.on_store(length, late_share=0.3)
+    async def store_late(self, duration):
+        await self.on_store(duration, late_share=0.3)
 
-    async def store_forgets(self, _length):
-        self.record.disturb("store forgets its history")
-        self.fleet.store.forget_history()
+    async def store_forgets(self, _duration):
+        self.record.note_fault("store discards its history")
+        self.fleet.store.compact_history()
 
-    async def store_revokes(self, _length):
-        self.record.disturb("store revokes leased keys")
+    async def store_revokes(self, _duration):
+        self.record.note_fault("store revokes leased keys")
         self.fleet.store.revoke("springstair/")
 
-    async def configure(self, _length):
-        self.record.disturb("a newer configuration")
+    async def configure(self, _duration):
+        self.record.note_fault("a newer configuration")
         self.fleet.configure()
 
-    async def close(self, length):
-        """No disturbance: it excuses nothing."""
+    async def close(self, duration):
+        """Closes a zone for a while. Not logged as a fault, since the bounds
+        on time hold during a closure."""
         zone = self.draw.choice(ZONES)
         if zone in self.record.closed:
             return
         self.fleet.store.close(zone)
         self.record.closed[zone] = time.monotonic()
-        self.record.note("closed", zone, f"{CLOSED_X * length:.1f} s")
-        await asyncio.sleep(CLOSED_X * length)
+        self.record.note("closed", zone, f"{CLOSURE_FACTOR * duration:.1f} s")
+        await asyncio.sleep(CLOSURE_FACTOR * duration)
         self.fleet.store.open(zone)
         del self.record.closed[zone]
         self.record.note("open", zone)
 
-    # -- workers -----------------------------------------------------------------
+    # -- workers -------------------------------------------------------------
 
-    async def worker_crash(self, length):
-        one = self.draw.choice(self.fleet.executors)
-        self.record.disturb("crash", one.life, f"{length:.1f} s")
-        one.crash(length, one.births.random() < KEEPS_ID)
+    async def worker_crash(self, duration):
+        executor = self.draw.choice(self.fleet.executors)
+        self.record.note_fault("crash", executor.incarnation,
+                               f"{duration:.1f} s")
+        executor.crash(duration,
+                       executor.restart_draw.random() < KEEPS_ID_SHARE)
 
-    async def on_worker(self, length, **fields):
-        one = self.draw.choice(self.fleet.executors)
-        self.record.disturb(one.life, fields, f"{length:.1f} s")
+    async def on_worker(self, duration, **fields):
+        executor = self.draw.choice(self.fleet.executors)
+        self.record.note_fault(executor.incarnation, fields,
+                               f"{duration:.1f} s")
         for name, value in fields.items():
-            setattr(one, name, value)
-        await asyncio.sleep(length)
-        self.record.disturb(one.life, "heals")
+            setattr(executor, name, value)
+        await asyncio.sleep(duration)
+        self.record.note_fault(executor.incarnation, "recovers")
         for name, value in fields.items():
-            setattr(one, name, type(value)(0))
+            setattr(executor, name, type(value)(0))
 
-    async def worker_late(self, length):
-        await self.on_worker(length, late_share=0.3)
+    async def worker_late(self, duration):
+        await self.on_worker(duration, late_share=0.3)
 
-    async def worker_fails(self, length):
-        await self.on_worker(length, fails_all=True)
+    async def worker_fails(self, duration):
+        await self.on_worker(duration, fails_all=True)
 
-    async def worker_still(self, length):
-        await self.on_worker(length, still=True)
+    async def worker_still(self, duration):
+        await self.on_worker(duration, stalled=True)
